--- a/core/src/leavings.rs
+++ b/core/src/leavings.rs
@@ -22,6 +22,16 @@
     Answer,
 }
 
+impl Source {
+    /// The value of the key `source` in log lines.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Record => "Record",
+            Self::Answer => "Answer",
+        }
+    }
+}
+
 /// A server that leaves.
 #[derive(Clone, Debug)]
 pub struct Leaving {
--- a/core/src/ledger_writer.rs
+++ b/core/src/ledger_writer.rs
@@ -12,7 +12,7 @@
 mod restores;
 
 use crate::{backoff, grants, ids, ledger, store};
-use std::collections;
+use std::{collections, fmt};
 
 /// How often the accounts are looked through while nothing is urgent.
 const LOOK_EVERY_MS: u64 = 100;
@@ -92,6 +92,13 @@
     pub is_final: bool,
 }
 
+impl fmt::Display for Verdict {
+    /// The value of the key `verdict` in log lines.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "Verdict {{ silent: {:?}, is_final: {} }}", self.silent, self.is_final)
+    }
+}
+
 /// What becomes of tokens that the configuration pays in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Payments {
--- a/core/src/node/counters.rs
+++ b/core/src/node/counters.rs
@@ -22,6 +22,23 @@
     QuarantineWrite,
 }
 
+impl CallPurpose {
+    /// The value of the label `purpose` in metrics.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::WatchConfiguration => "WatchConfiguration",
+            Self::WatchServers => "WatchServers",
+            Self::Announce => "Announce",
+            Self::LedgerRead => "LedgerRead",
+            Self::LedgerWrite => "LedgerWrite",
+            Self::LogRead => "LogRead",
+            Self::LogWrite => "LogWrite",
+            Self::QuarantineRead => "QuarantineRead",
+            Self::QuarantineWrite => "QuarantineWrite",
+        }
+    }
+}
+
 /// What became of a call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
@@ -48,6 +65,24 @@
     EarlierEra,
 }
 
+impl CallOutcome {
+    /// The value of the label `outcome` in metrics.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Sent => "Sent",
+            Self::News => "News",
+            Self::Empty => "Empty",
+            Self::Forgotten => "Forgotten",
+            Self::Refused => "Refused",
+            Self::Silent => "Silent",
+            Self::Overtaken => "Overtaken",
+            Self::GivenUp => "GivenUp",
+            Self::Late => "Late",
+            Self::EarlierEra => "EarlierEra",
+        }
+    }
+}
+
 /// Counts since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 #[allow(missing_docs)]
--- a/core/src/node/notices.rs
+++ b/core/src/node/notices.rs
@@ -26,6 +26,19 @@
     Operator,
 }
 
+impl QuarantineSource {
+    /// The value of the key `source` in log lines.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Seen => "Seen",
+            Self::Peer => "Peer",
+            Self::Store => "Store",
+            Self::GoodEnd => "GoodEnd",
+            Self::Operator => "Operator",
+        }
+    }
+}
+
 /// From where a router knows what a server says of its limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitSource {
--- a/core/src/node/types.rs
+++ b/core/src/node/types.rs
@@ -161,6 +161,31 @@
     Backoff,
 }
 
+impl Reason {
+    /// The value of the label `reason` in metrics.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::NotReady => "NotReady",
+            Self::Stopping => "Stopping",
+            Self::Fenced => "Fenced",
+            Self::Unconfigured => "Unconfigured",
+            Self::BudgetExhausted => "BudgetExhausted",
+            Self::BudgetUnreachable => "BudgetUnreachable",
+            Self::Overloaded => "Overloaded",
+            Self::NoServer => "NoServer",
+            Self::DeadlineTooClose => "DeadlineTooClose",
+            Self::ClaimUnreachable => "ClaimUnreachable",
+            Self::InProgress => "InProgress",
+            Self::IdConflict => "IdConflict",
+            Self::RetriesExhausted => "RetriesExhausted",
+            Self::Quarantined => "Quarantined",
+            Self::Suspended => "Suspended",
+            Self::Limited => "Limited",
+            Self::Backoff => "Backoff",
+        }
+    }
+}
+
 impl From<servers::Lack> for Reason {
     fn from(lack: servers::Lack) -> Self {
         match lack {
--- a/core/src/servers/said.rs
+++ b/core/src/servers/said.rs
@@ -43,6 +43,17 @@
     Backoff,
 }
 
+impl Header {
+    /// The value of the key `header` in log lines.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Limit => "Limit",
+            Self::Leaving => "Leaving",
+            Self::Backoff => "Backoff",
+        }
+    }
+}
+
 impl Said {
     /// Whether none of these headers is there.
     pub fn is_silent(&self) -> bool {
--- a/core/src/watch.rs
+++ b/core/src/watch.rs
@@ -58,6 +58,16 @@
     Servers,
 }
 
+impl Topic {
+    /// The value of the label `topic` in metrics, and of the key `topic` in log lines.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Configuration => "Configuration",
+            Self::Servers => "Servers",
+        }
+    }
+}
+
 impl Topic {
     /// All of them.
     pub const ALL: [Self; 2] = [Self::Configuration, Self::Servers];
@@ -86,6 +96,18 @@
     Listener,
 }
 
+impl Duty {
+    /// The value of the key `duty` in log lines.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Joining => "Joining",
+            Self::EveryRouter => "EveryRouter",
+            Self::Watcher => "Watcher",
+            Self::Listener => "Listener",
+        }
+    }
+}
+
 /// A call to the store that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Call {
--- a/core/src/watch/calls.rs
+++ b/core/src/watch/calls.rs
@@ -11,6 +11,16 @@
     Peer,
 }
 
+impl Evidence {
+    /// The value of the key `evidence` in log lines.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::LaterCall => "LaterCall",
+            Self::Peer => "Peer",
+        }
+    }
+}
+
 /// A call that was given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GivenUp {
--- /dev/null
+++ b/core/tests/wire_format.rs
@@ -0,0 +1,232 @@
+//! The bytes of messages between routers. Order and types of fields and variants are on the wire; a change of either
+//! needs another [`message::PROTOCOL`].
+
+#![allow(clippy::unwrap_used, missing_docs)]
+
+use doorswitch_core::{
+    evacuation, ids, leavings, log_index, members, message, quarantine, servers, store, watch,
+};
+use std::collections;
+
+fn router(id: u64) -> ids::Incarnation {
+    ids::Incarnation(id)
+}
+
+fn member() -> members::Record {
+    members::Record {
+        id: router(1),
+        address: "a".to_owned(),
+        vm: "b".to_owned(),
+        failure_domain: "c".to_owned(),
+        beat: 2,
+        health: members::Health::Suspect,
+    }
+}
+
+fn claim() -> log_index::Claim {
+    let key = ids::RequestKey { high: 1, low: 2 };
+    log_index::Claim { key, attempt: ids::AttemptId(3), body_hash: 4 }
+}
+
+fn settlement() -> log_index::Settlement {
+    let outcome =
+        log_index::Outcome { status: 1, content_type: "a".to_owned(), body: Some("b".to_owned()) };
+    log_index::Settlement {
+        key: ids::RequestKey { high: 1, low: 2 },
+        attempt: ids::AttemptId(3),
+        origin: router(4),
+        number: 5,
+        keyed: true,
+        body_hash: 6,
+        budget: "c".to_owned(),
+        region: "d".to_owned(),
+        consumed_tokens: 7,
+        outcome: Some(outcome),
+    }
+}
+
+fn seen() -> message::Seen {
+    message::Seen { position: store::Position::new(1, 2), age_ms: Some(3) }
+}
+
+fn evacuations() -> evacuation::Evacuations {
+    evacuation::Evacuations {
+        position: store::Position::new(1, 2),
+        domains: collections::BTreeSet::from(["a".to_owned()]),
+    }
+}
+
+fn vm() -> servers::Vm {
+    servers::Vm {
+        vm: "a".to_owned(),
+        service: "b".to_owned(),
+        address: "c".to_owned(),
+        class: "d".to_owned(),
+        failure_domain: "e".to_owned(),
+        state: servers::VmState::Leaving,
+        slots: 1,
+        life: ids::ServerLife(2),
+        cold_ms: 3,
+    }
+}
+
+fn limit() -> servers::LimitNews {
+    servers::LimitNews {
+        vm: "a".to_owned(),
+        life: ids::ServerLife(1),
+        limit_milli_per_s: Some(2),
+        answer: servers::AnswerId { router: router(3), number: 4 },
+        sent_age_ms: 5,
+        heard_age_ms: 6,
+    }
+}
+
+fn gossip() -> message::Gossip {
+    let request = ids::Fingerprint { head: 1, whole: [2; 16] };
+    let crashes = vec![
+        quarantine::Crash { server: quarantine::Server::Life(3), age_ms: 4 },
+        quarantine::Crash { server: quarantine::Server::Vm(5), age_ms: 6 },
+    ];
+    let report = quarantine::Report { request, crashes, cleared_age_ms: Some(7) };
+    let change = |record| watch::ServerChange {
+        vm: "a".to_owned(),
+        position: store::Position::new(1, 2),
+        record,
+    };
+    message::Gossip {
+        from: member(),
+        kind: message::GossipKind::Push,
+        digest: message::Digest {
+            era: 1,
+            config_version: 2,
+            configuration: seen(),
+            evacuations: evacuations(),
+            servers: seen(),
+            changes_after: store::Position::new(3, 4),
+            changes: vec![
+                change(watch::ServerRecord::Listed(vm())),
+                change(watch::ServerRecord::Gone),
+                change(watch::ServerRecord::Unreadable),
+                change(watch::ServerRecord::Lapsed),
+            ],
+            routers: 5,
+        },
+        news: vec![member()],
+        leaving: vec![message::Leaving {
+            vm: "a".to_owned(),
+            life: ids::ServerLife(1),
+            source: leavings::Source::Answer,
+        }],
+        quarantine: quarantine::News { summary: 8, reports: vec![report] },
+        limits: vec![limit()],
+    }
+}
+
+fn hex(datagram: message::Datagram) -> String {
+    let bytes = postcard::to_stdvec(&datagram).unwrap();
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn envelope(message: message::Message) -> message::Datagram {
+    message::Datagram::Message(message::Envelope { from: router(1), to: router(2), message })
+}
+
+macro_rules! bytes {
+    ($($name:ident: $message:expr => $expected:expr;)*) => { $(
+        #[test]
+        fn $name() {
+            assert_eq!(hex(envelope($message)), $expected);
+        }
+    )* };
+}
+
+#[test]
+fn gossip_keeps_its_bytes() {
+    assert_eq!(
+        hex(message::Datagram::Gossip(gossip())),
+        r#"000101610162016302010201020102010301020101610102010303040401610102000161016201630164016501010203016101020101610102020161010203050101016101620163020101016101010801010202020202020202020202020202020202000304010506010701016101010203040506"#
+    );
+}
+
+bytes! {
+    claim_keeps_its_bytes: message::Message::Claim(claim()) => "0101020001020304";
+    claim_reply_keeps_its_bytes: message::Message::ClaimReply {
+        claim: claim(),
+        verdict: log_index::Verdict::Conflict,
+    } => "010102010102030403";
+    settle_keeps_its_bytes: message::Message::Settle(settlement()) => "0101020201020304050106016301640701010161010162";
+    settle_stored_keeps_its_bytes: message::Message::SettleStored(ids::AttemptId(1)) => "0101020301";
+    settle_durable_keeps_its_bytes: message::Message::SettleDurable(ids::AttemptId(1)) => "0101020401";
+    transfer_ask_keeps_its_bytes: message::Message::TransferAsk {
+        number: 1,
+        budget: "a".to_owned(),
+        needed_tokens: 2,
+        wanted_tokens: 3,
+        asker: member(),
+    } => "010102050101610203010161016201630201";
+    transfer_keeps_its_bytes: message::Message::Transfer {
+        number: 1,
+        open_from: 2,
+        answers: 3,
+        budget: "a".to_owned(),
+        tokens: 4,
+    } => "01010206010203016104";
+    transfer_taken_keeps_its_bytes: message::Message::TransferTaken { number: 1 } => "0101020701";
+    transfer_declined_keeps_its_bytes: message::Message::TransferDeclined { number: 1 } => "0101020801";
+    transfer_wait_keeps_its_bytes: message::Message::TransferWait {
+        number: 1,
+        budget: "a".to_owned(),
+    } => "01010209010161";
+    transfer_none_keeps_its_bytes: message::Message::TransferNone {
+        number: 1,
+        budget: "a".to_owned(),
+        certain: true,
+    } => "0101020a01016101";
+    config_ask_keeps_its_bytes: message::Message::ConfigAsk => "0101020b";
+    config_keeps_its_bytes: message::Message::Config {
+        version: 1,
+        seen: seen(),
+        evacuations: evacuations(),
+        value: vec![2, 3],
+    } => "0101020c01010201030102010161020203";
+    vms_ask_keeps_its_bytes: message::Message::VmsAsk => "0101020d";
+    vms_keeps_its_bytes: message::Message::Vms { seen: seen(), vms: vec![vm()] } => "0101020e01020103010161016201630164016501010203";
+    members_ask_keeps_its_bytes: message::Message::MembersAsk => "0101020f";
+    members_keeps_its_bytes: message::Message::Members(vec![member()]) => "0101021001010161016201630201";
+    permit_ask_keeps_its_bytes: message::Message::PermitAsk {
+        number: 1,
+        known: limit(),
+        wanted: servers::PermitsWanted { permits: 2, within_ms: 3, trial: true },
+    } => "0101021101016101010203040506020301";
+    permits_keeps_its_bytes: message::Message::Permits {
+        number: 1,
+        vm: "a".to_owned(),
+        life: ids::ServerLife(2),
+        trial: true,
+        granted: servers::PermitsGranted { permits: 3, in_ms: 4 },
+    } => "0101021201016102010304";
+    ledger_copy_keeps_its_bytes: message::Message::LedgerCopy {
+        shard: 1,
+        position: store::Position::new(2, 3),
+        value: vec![4, 5],
+    } => "01010213010203020405";
+    ledger_copy_stored_keeps_its_bytes: message::Message::LedgerCopyStored {
+        shard: 1,
+        write: 2,
+    } => "010102140102";
+    left_behind_keeps_its_bytes: message::Message::LeftBehind { shard: 1 } => "0101021501";
+    recovery_ask_keeps_its_bytes: message::Message::RecoveryAsk {
+        era: 1,
+        shards: vec![(2, 3)],
+        routers: 4,
+    } => "010102160101020304";
+    recovery_reply_keeps_its_bytes: message::Message::RecoveryReply {
+        era: 1,
+        shards: vec![
+            (2, message::Recovered::Nothing),
+            (3, message::Recovered::OwnLife),
+            (4, message::Recovered::All),
+        ],
+        addresses: vec!["a".to_owned()],
+    } => "010102170103020003010402010161";
+}
--- a/src/probe.rs
+++ b/src/probe.rs
@@ -34,6 +34,17 @@
     Silent,
 }
 
+impl Probed {
+    /// The value of the key `server` in log lines.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Accepts => "Accepts",
+            Self::Refuses => "Refuses",
+            Self::Silent => "Silent",
+        }
+    }
+}
+
 /// Looks whether a server still takes connections: the connection, if one comes up and lasts. While a process ends, the
 /// kernel may still take connections for it, which end with its listening socket. `others_live` tells whether other
 /// connections to the server have outlived the one that ended.
@@ -94,7 +105,11 @@
     let run = node::BrokenRun { slot, server: server.clone(), address, request };
     control.do_send(control::RunBroken(run));
     let probed = probing.await;
-    log::info!("event=run_broken id={id} vm={} fingerprint={request} server={probed:?}", place.vm);
+    log::info!(
+        "event=run_broken id={id} vm={} fingerprint={request} server={}",
+        place.vm,
+        probed.as_str()
+    );
     match probed {
         Probed::Refuses => {
             control.do_send(control::ServerRefused(server));
--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -77,18 +77,17 @@
             metrics::counter!(name).absolute(value);
         }
         for (reason, count) in &counters.refused {
-            let reason = format!("{reason:?}");
-            metrics::counter!("doorswitch_refused_total", "reason" => reason).absolute(*count);
+            metrics::counter!("doorswitch_refused_total", "reason" => reason.as_str())
+                .absolute(*count);
         }
         report_said(node);
         for ((purpose, outcome), count) in &counters.store_calls {
-            let labels = [("purpose", format!("{purpose:?}")), ("outcome", format!("{outcome:?}"))];
+            let labels = [("purpose", purpose.as_str()), ("outcome", outcome.as_str())];
             metrics::counter!("doorswitch_store_calls_total", &labels).absolute(*count);
         }
         for (topic, age_ms) in node.news_ages_ms(now_ms) {
             let Some(age_ms) = age_ms else { continue };
-            let topic = format!("{topic:?}");
-            metrics::gauge!("doorswitch_news_age_ms", "topic" => topic).set(age_ms as f64);
+            metrics::gauge!("doorswitch_news_age_ms", "topic" => topic.as_str()).set(age_ms as f64);
         }
         metrics::gauge!("doorswitch_store_era").set(node.store_era() as f64);
         metrics::gauge!("doorswitch_config_version").set(node.config_version() as f64);
@@ -180,14 +179,16 @@
         counters.written_off_tokens,
     );
     let calls = counters.store_calls.iter();
-    let calls = calls.map(|((purpose, outcome), count)| format!("{purpose:?}_{outcome:?}={count}"));
+    let calls = calls.map(|((purpose, outcome), count)| {
+        format!("{}_{}={count}", purpose.as_str(), outcome.as_str())
+    });
     log::info!("event=store_calls {}", calls.collect::<Vec<_>>().join(" "));
 }
 
 /// Writes how old the knowledge of what the store holds is: a copy that is older than a call waits has lost its watch.
 fn log_news_ages(node: &node::Node, now_ms: u64) {
     for (topic, age_ms) in node.news_ages_ms(now_ms) {
-        log::info!("event=news_age topic={topic:?} age_ms={}", logging::known_ms(age_ms));
+        log::info!("event=news_age topic={} age_ms={}", topic.as_str(), logging::known_ms(age_ms));
     }
 }
 
--- a/src/telemetry/notices.rs
+++ b/src/telemetry/notices.rs
@@ -40,8 +40,9 @@
             }
         ),
         node::Notice::ServerLeaving { vm, life, service, source, from } => log::info!(
-            "event=server_leaving vm={vm} born_ms={} service={service} source={source:?} from={}",
+            "event=server_leaving vm={vm} born_ms={} service={service} source={} from={}",
             life.0,
+            source.as_str(),
             from.map_or_else(|| "self".to_owned(), |peer| peer.to_string()),
         ),
         node::Notice::ServerLeavingEnded { vm, life } => {
@@ -55,7 +56,7 @@
             log::info!("event=server_backoff_ended vm={vm} service={service}");
         }
         node::Notice::HeaderUnreadable { vm, header } => {
-            log::warn!("event=header_unreadable vm={vm} header={header:?}");
+            log::warn!("event=header_unreadable vm={vm} header={}", header.as_str());
         }
         node::Notice::ItemLapsed { vm, kept_ms } => {
             log::info!("event=item_lapsed vm={vm} kept_ms={kept_ms}");
@@ -64,19 +65,21 @@
             "event=evacuation failure_domain={failure_domain} evacuated={evacuated} servers={servers}"
         ),
         node::Notice::CallGivenUp { topic, call } => log::warn!(
-            "event=call_given_up topic={topic:?} evidence={:?} waited_ms={}",
-            call.evidence,
+            "event=call_given_up topic={} evidence={} waited_ms={}",
+            topic.as_str(),
+            call.evidence.as_str(),
             call.waited_ms,
         ),
         node::Notice::StaleAnswerIgnored { topic, position, known } => log::info!(
-            "event=stale_answer_ignored topic={topic:?} era={} revision={} known_era={} known_revision={}",
+            "event=stale_answer_ignored topic={} era={} revision={} known_era={} known_revision={}",
+            topic.as_str(),
             position.era,
             position.revision,
             known.era,
             known.revision,
         ),
         node::Notice::RecoveryDecided { shard, era, verdict } => {
-            log::info!("event=withheld_tokens_decided shard={shard} era={era} verdict={verdict:?}");
+            log::info!("event=withheld_tokens_decided shard={shard} era={era} verdict={verdict}");
         }
         node::Notice::StoreRestored { era, previous } => {
             log::warn!("event=store_restored era={era} previous={previous}");
@@ -87,7 +90,7 @@
         node::Notice::ServerHeldBack { vm, for_ms } => {
             log::info!("event=server_held_back vm={vm} for_ms={for_ms}");
         }
-        node::Notice::WatchDuty { duty } => log::info!("event=watch_duty duty={duty:?}"),
+        node::Notice::WatchDuty { duty } => log::info!("event=watch_duty duty={}", duty.as_str()),
         node::Notice::Ejected { vm, ejected_ms } => {
             log::info!("event=server_ejected vm={vm} ejected_ms={ejected_ms}");
         }
@@ -101,13 +104,16 @@
             log::warn!("event=server_crashed vm={vm} born_ms={} requests={requests}", life.0);
         }
         node::Notice::RequestSuspected { request, crashes, source } => log::info!(
-            "event=request_suspected fingerprint={request} crashes={crashes} source={source:?}"
+            "event=request_suspected fingerprint={request} crashes={crashes} source={}",
+            source.as_str()
         ),
         node::Notice::RequestQuarantined { request, for_ms, source } => log::warn!(
-            "event=request_quarantined fingerprint={request} for_ms={for_ms} source={source:?}"
+            "event=request_quarantined fingerprint={request} for_ms={for_ms} source={}",
+            source.as_str()
         ),
         node::Notice::RequestCleared { request, crashes, source } => log::info!(
-            "event=request_cleared fingerprint={request} crashes={crashes} source={source:?}"
+            "event=request_cleared fingerprint={request} crashes={crashes} source={}",
+            source.as_str()
         ),
         node::Notice::RecordUnreadable { key, fault } => {
             log::error!("event=record_unreadable key={key} fault={}", logging::quoted(fault));
