--- a/core/src/node.rs
+++ b/core/src/node.rs
@@ -1,8 +1,9 @@
-//! One router's control state: tables, and the systems that run over them each tick.
+//! One router's control state: tables, and the functions that process them on each tick.
 //!
-//! [`Node`] takes events as method calls and leaves what is to be done in a list of [`Action`]s. The
-//! systems live in the modules beside this one: `admit` (from request to dispatch), `retries`, `tokens` and `queue`
-//! (what requests wait for), `limits` (what servers take), `said` (what they say of themselves), `settle` (their ends), `platform` (calls to the store), `peers` (messages).
+//! [`Node`] receives events as method calls and queues the effects as a list of [`Action`]s. Its functions are in the
+//! submodules: `admit` (from a request to its dispatch), `retries`, `tokens` and `queue` (waits for tokens and for
+//! servers), `limits` (rate limits of servers), `said` (what servers state in their answers), `settle` (ends of
+//! requests), `platform` (calls to the store), `peers` (messages).
 
 mod admit;
 mod adopt;
@@ -45,26 +46,27 @@
 use rand::rngs;
 use std::collections;
 
-/// The share of the platform's rates that the routers use together, in percent; operators, engines
-/// and watches need the rest.
+/// The share of the platform's call rates that all routers use together, in percent; the rest is for operators, engines
+/// and polls.
 const PLATFORM_SHARE_PERCENT: u64 = 70;
-/// How often spend rates are measured.
-const MEASURE_EVERY_MS: u64 = 500;
+/// Interval between measurements of the spending rates.
+const MEASURE_INTERVAL_MS: u64 = 500;
 
-/// Where a request stands. Each stage owns what it may still use.
+/// The processing stage of a request. Each stage owns the reservation that it may still use.
 #[derive(Debug)]
 enum Stage {
-    /// Too few tokens are free here.
+    /// Too few tokens of its budget are free on this router.
     WaitingBudget,
-    /// Every fitting server is full.
+    /// No eligible server has capacity for it.
     WaitingServer { reservation: crate::request::Reservation<crate::request::Held> },
-    /// Its claim is not durable yet.
+    /// A server is chosen, and its claim is not durable yet.
     WaitingClaim {
         reservation: crate::request::Reservation<crate::request::Held>,
         server: ids::ServerSlot,
+        /// Whether this router appended the claim itself.
         appended: bool,
-        /// When another attempt was last seen to hold the id: this one waits for its outcome.
-        taken_ms: Option<u64>,
+        /// When the log last showed that another attempt has claimed the id: this one waits for its outcome.
+        other_attempt_seen_ms: Option<u64>,
     },
     /// Sent to a server.
     Running {
@@ -72,10 +74,11 @@
         server: ids::ServerSlot,
         sent_ms: u64,
     },
-    /// Settled; its last chunk waits until the settlement is safe.
+    /// Settled; its last chunk waits until the settlement is durable or handed over.
     Ending,
 }
 
+/// An admitted request.
 #[derive(Debug)]
 struct Request {
     wanted: Wanted,
@@ -83,25 +86,28 @@
     attempt: ids::AttemptId,
     stage: Stage,
     stage_since_ms: u64,
+    /// Servers that are not tried again.
     failed_servers: Vec<ids::ServerSlot>,
-    /// Servers on which it may have run and failed.
+    /// The number of servers on which it may have run and failed.
     attempts: u32,
-    /// Tokens that its server has to read before the first token of the answer.
+    /// Prompt tokens that its server is estimated to process before the first token of the answer.
     unread_tokens: u64,
 }
 
-/// What was asked of peers for one budget.
+/// The state of the search for one budget's tokens, in the store and at peers.
 #[derive(Debug, Default)]
 struct Ask {
+    /// Peers that have not answered the last transfer request.
     unanswered: collections::BTreeSet<ids::Incarnation>,
+    /// When peers were last asked.
     asked_ms: u64,
-    /// Everybody was asked in vain: until then, requests of this size are refused at once.
+    /// After an unsuccessful search: until then, requests of `refused_tokens` or more are refused at once.
     refused_until_ms: u64,
     refused_tokens: u64,
     refused_reason: Option<Reason>,
-    /// When the store was last followed.
+    /// When the last sync of the budget's ledger shard ended.
     followed_ms: u64,
-    /// No holder could help: until then, tokens come straight from the ledger.
+    /// No holder answered: until then, tokens are drawn from the ledger.
     direct_until_ms: u64,
 }
 
@@ -115,8 +121,9 @@
     config: Option<config::Published>,
     vms: collections::HashMap<String, servers::Vm>,
     vms_index: store::Position,
+    /// When a list of VMs was last received from the platform.
     vms_heard_ms: u64,
-    /// The first list in which this router saw its own VM; [`store::Position::START`] before that.
+    /// The position of the first list that contained this router's own VM; [`store::Position::START`] before that.
     listed_index: store::Position,
     leavings: leavings::Leavings,
     leavings_told_ms: u64,
@@ -131,28 +138,29 @@
     by_key: collections::HashMap<ids::RequestKey, ids::RequestSlot>,
     by_attempt: collections::HashMap<ids::AttemptId, ids::RequestSlot>,
     waiting_servers: collections::BTreeSet<queue::Place>,
+    /// How fast the queue of each service drains.
     drained: collections::HashMap<String, queue::Drain>,
     asks: collections::HashMap<ids::BudgetSlot, Ask>,
     retries: collections::HashMap<String, retry::Budget>,
-    /// The most routers that were live at once in this life: those that are cut off still count.
+    /// The most routers that were live at once since this process started: routers that are cut off still count.
     most_routers: u64,
     outbox: outbox::Outbox,
     holders: holders::Holders,
     outage: outage::Outage,
-    /// VMs that are missing from the platform's list and may be back soon.
+    /// VMs whose records expired and may be listed again soon.
     lapsed: Vec<servers::Vm>,
     evacuations: evacuation::Evacuations,
     eras: eras::Eras,
-    era_record: era_record::Known,
+    era_record: era_record::EraRecordState,
     confirmations: confirmations::Confirmations,
-    /// The age that a backup of the store has at most when it is restored.
+    /// The maximum age of a backup of the store at its restore, in milliseconds.
     backup_age_ms: u64,
-    /// Whether no router of this deployment has run before this one and those that started with it.
+    /// Whether no router of this deployment ran before this one and those that started with it.
     is_first_start: bool,
     pauses: pauses::Pauses,
     quarantine: quarantine::Quarantine,
     limits: limits::Sharing,
-    /// How the store's news are followed; `None` where the shell follows them.
+    /// The subscriptions to the store's topics; `None` where the shell follows the store.
     watching: Option<watching::Watching>,
     relay: relay::Relay,
     started_ms: u64,
@@ -165,7 +173,7 @@
 }
 
 impl Node {
-    /// A node that knows nothing yet: it serves once it has a configuration.
+    /// Creates a node without any data. It admits requests once it has a configuration and a list of VMs.
     pub fn new(settings: Settings, seed: u64, now_ms: u64) -> Self {
         let own = members::Record {
             id: settings.incarnation,
@@ -230,12 +238,12 @@
         }
     }
 
-    /// What is to be done since the last call.
+    /// Removes and returns the actions queued since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Where the router is in its life.
+    /// The router's lifecycle state.
     pub fn lifecycle(&self) -> Lifecycle {
         self.lifecycle
     }
@@ -245,53 +253,53 @@
         self.config.as_ref()
     }
 
-    /// The version in force; 0 before the first.
+    /// The version of the configuration in force; 0 before the first.
     pub fn config_version(&self) -> u64 {
         self.config.as_ref().map_or(0, |config| config.version)
     }
 
-    /// What the list of VMs as known here stands for; [`store::Position::START`] before the first.
+    /// The position of this router's list of VMs; [`store::Position::START`] before the first.
     pub fn vms_index(&self) -> store::Position {
         self.vms_index
     }
 
-    /// How long ago this router's copies of what it follows held all that the store had, in milliseconds; empty where
-    /// the shell follows the store, `None` for a copy that never did.
+    /// The staleness of this router's copy of each topic, in milliseconds: the time since it was last known to be
+    /// current. Empty where the shell follows the store, `None` for a copy that was never current.
     pub fn news_ages_ms(&self, now_ms: u64) -> Vec<(watch::Topic, Option<u64>)> {
         self.watching.iter().flat_map(|watching| watching.ages_ms(now_ms)).collect()
     }
 
-    /// Counts since the start.
+    /// Event counts since the start.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// The budgets as held here.
+    /// The budgets, with the tokens granted to this router.
     pub fn grants(&self) -> &grants::Table {
         &self.grants
     }
 
-    /// The servers as seen from here.
+    /// The servers in this router's view.
     pub fn servers(&self) -> &servers::Table {
         &self.servers
     }
 
-    /// The servers that are known to leave.
+    /// The servers that are leaving.
     pub fn leavings(&self) -> &leavings::Leavings {
         &self.leavings
     }
 
-    /// The routers as seen from here.
+    /// The routers in this router's view of the membership.
     pub fn members(&self) -> &members::Table {
         &self.members
     }
 
-    /// The logs as read so far.
+    /// The shards of the log, as far as they were read.
     pub fn logs(&self) -> &[log_writer::Writer] {
         &self.logs
     }
 
-    /// Runs every system once.
+    /// Runs all periodic work that is due.
     pub fn tick(&mut self, now_ms: u64) {
         self.tick_pauses(now_ms);
         self.tick_members(now_ms);
@@ -314,12 +322,12 @@
         self.tick_lifecycle(now_ms);
     }
 
-    /// Takes in a load report of a server, and gives waiting requests what room it shows.
+    /// Stores a load report of a server.
     pub fn report_load(&mut self, slot: ids::ServerSlot, load: servers::Load) {
         self.servers.reported(slot, load);
     }
 
-    /// The answer of a dispatched request has begun: its prompt is read.
+    /// Handles the start of the answer to a dispatched request: the server has processed the prompt.
     pub fn answering(&mut self, slot: ids::RequestSlot) {
         let Some(request) = self.requests.get_mut(slot) else { return };
         let Stage::Running { server, sent_ms, .. } = &request.stage else { return };
@@ -328,38 +336,40 @@
         self.servers.answered(*server, *sent_ms);
     }
 
-    /// Takes in what a server said of its load on an answer.
+    /// Stores the load that a server reported on an answer, if it is the current incarnation of the server.
     pub fn report_load_of(&mut self, vm: &str, life: ids::ServerLife, load: servers::Load) {
         if let Some(slot) = self.servers.find_life(vm, life) {
             self.report_load(slot, load);
         }
     }
 
-    /// Changes what the platform takes from all routers together; in force from the next measurement.
+    /// Sets the call rates that the platform accepts from all callers together. They are in force from the next
+    /// measurement of rates.
     pub fn set_platform_rates(&mut self, reads_per_s: u64, writes_per_s: u64) {
         self.settings.platform_reads_per_s = reads_per_s;
         self.settings.platform_writes_per_s = writes_per_s;
     }
 
-    /// Sets the age that a backup of the store has at most when it is restored, in milliseconds. To be called before the
-    /// first configuration; 30 s if it is not.
+    /// Sets the maximum age of a backup of the store at its restore, in milliseconds. Must be called before the first
+    /// configuration is applied; 30 s if it is not.
     pub fn set_backup_age_ms(&mut self, backup_age_ms: u64) {
         self.backup_age_ms = backup_age_ms;
     }
 
-    /// Notes that no router of this deployment has run before, so that a store which was restored earlier has lost nothing
-    /// of the ledger. To be called before the first configuration.
+    /// Marks that no router of this deployment has run before, so that a store which was restored earlier has lost
+    /// nothing of the ledger. Must be called before the first configuration is applied.
     pub fn set_first_start(&mut self) {
         self.is_first_start = true;
     }
 
-    /// Adds addresses where other routers may be found.
+    /// Adds addresses at which other routers may be reachable.
     pub fn offer_seeds(&mut self, seeds: Vec<String>) {
         self.members.add_seeds(seeds.into_iter());
     }
 
+    /// Measures spending and queue rates, and updates what depends on the number of live routers.
     fn tick_rates(&mut self, now_ms: u64) {
-        if now_ms < self.measured_ms + MEASURE_EVERY_MS {
+        if now_ms < self.measured_ms + MEASURE_INTERVAL_MS {
             return;
         }
         self.measured_ms = now_ms;
@@ -376,7 +386,7 @@
         }
     }
 
-    /// Takes a request out of the table.
+    /// Removes a request from the tables.
     fn forget_request(&mut self, slot: ids::RequestSlot) -> Option<Request> {
         let request = self.requests.remove(slot)?;
         self.by_attempt.remove(&request.attempt);
@@ -386,6 +396,7 @@
         Some(request)
     }
 
+    /// This router's entry as a holder in the ledger.
     fn ledger_holder(&self) -> ledger::Holder {
         ledger::Holder {
             vm: self.settings.vm.clone(),
--- a/core/src/node/admit.rs
+++ b/core/src/node/admit.rs
@@ -1,24 +1,26 @@
-//! From a request to its dispatch: tokens, then a server, then (if unrepeatable) the claim.
+//! Admission of requests: reserves tokens, chooses a server, records the claim of an unrepeatable request, dispatches.
 
 use super::{Action, Answer, Node, Reason, Request, Stage, Wanted};
 use crate::node::types::Lifecycle;
 use crate::{config, ids, log_index, log_writer, message, rendezvous, servers};
 use rand::RngExt;
 
-/// How long the home of a claim may take before this router appends the claim itself.
-const HOME_WAIT_MS: u64 = 400;
-/// How often a request looks for the outcome of another attempt at its id.
-const LOOK_AGAIN_MS: u64 = 250;
+/// Time after which this router appends a claim itself if the claim's home router has not decided it.
+const CLAIM_HOME_TIMEOUT_MS: u64 = 400;
+/// Interval at which a request checks the log for the outcome of another attempt with its id.
+const CLAIM_CHECK_INTERVAL_MS: u64 = 250;
 
+/// Retry delay returned with refusals whose cause may end at any moment.
 pub(super) const RETRY_AFTER_SHORT_MS: u64 = 1_000;
+/// Retry delay returned with refusals for an exhausted budget.
 const RETRY_AFTER_EXHAUSTED_MS: u64 = 10_000;
 
 impl Node {
-    /// Takes a request; its answer comes as an action, often at once.
+    /// Admits or refuses a request. The answer is an [`Action::Answer`], often queued before this returns.
     pub fn admit(&mut self, wanted: Wanted, now_ms: u64) -> ids::RequestSlot {
         let budget = self.grants.find(&wanted.budget);
         let attempt = ids::AttemptId(self.rng.random());
-        let fault = self.fault_before(&wanted, budget, now_ms);
+        let refusal_reason = self.admission_refusal(&wanted, budget, now_ms);
         let request = Request {
             budget: budget.unwrap_or_default(),
             attempt,
@@ -31,7 +33,7 @@
         };
         let key = request.wanted.key;
         let slot = self.requests.insert(request);
-        if let Some(reason) = fault {
+        if let Some(reason) = refusal_reason {
             self.refuse(slot, reason, now_ms);
             return slot;
         }
@@ -44,31 +46,37 @@
         slot
     }
 
+    /// Checks the claims that requests wait for: appends a claim that its home has not decided in time, checks again
+    /// for the outcome of another attempt, and refuses requests that have waited too long.
     pub(super) fn tick_waiting_claims(&mut self, now_ms: u64) {
-        let mut late = Vec::new();
-        let mut taken = Vec::new();
-        let mut over = Vec::new();
+        let mut undecided = Vec::new();
+        let mut held_by_other = Vec::new();
+        let mut expired = Vec::new();
         for (slot, request) in &self.requests {
-            let Stage::WaitingClaim { appended, taken_ms, .. } = &request.stage else { continue };
+            let Stage::WaitingClaim { appended, other_attempt_seen_ms, .. } = &request.stage else {
+                continue;
+            };
             let waited_ms = now_ms.saturating_sub(request.stage_since_ms);
             if waited_ms >= self.settings.claim_wait_ms || now_ms >= request.wanted.deadline_ms {
-                over.push((slot, taken_ms.is_some()));
-            } else if taken_ms.is_some_and(|seen_ms| now_ms >= seen_ms + LOOK_AGAIN_MS) {
-                taken.push(slot);
-            } else if !appended && waited_ms >= HOME_WAIT_MS {
-                late.push(slot);
+                expired.push((slot, other_attempt_seen_ms.is_some()));
+            } else if other_attempt_seen_ms
+                .is_some_and(|seen_ms| now_ms >= seen_ms + CLAIM_CHECK_INTERVAL_MS)
+            {
+                held_by_other.push(slot);
+            } else if !appended && waited_ms >= CLAIM_HOME_TIMEOUT_MS {
+                undecided.push(slot);
             }
         }
-        for slot in late.into_iter().chain(taken) {
+        for slot in undecided.into_iter().chain(held_by_other) {
             self.append_own_claim(slot, now_ms);
         }
-        for (slot, taken) in over {
-            let reason = if taken { Reason::InProgress } else { Reason::ClaimUnreachable };
+        for (slot, held_by_other) in expired {
+            let reason = if held_by_other { Reason::InProgress } else { Reason::ClaimUnreachable };
             self.refuse(slot, reason, now_ms);
         }
     }
 
-    /// Takes the verdict on a claim of this router.
+    /// Handles the decision on a claim of this router.
     pub(super) fn claim_decided(
         &mut self,
         claim: &log_index::Claim,
@@ -77,11 +85,11 @@
     ) {
         let Some(slot) = self.by_attempt.get(&claim.attempt).copied() else { return };
         let Some(request) = self.requests.get_mut(slot) else { return };
-        let Stage::WaitingClaim { taken_ms, .. } = &mut request.stage else { return };
+        let Stage::WaitingClaim { other_attempt_seen_ms, .. } = &mut request.stage else { return };
         match verdict {
             log_index::Verdict::Granted => self.dispatch(slot, now_ms),
-            // Another attempt is at it: its outcome is this caller's answer too.
-            log_index::Verdict::Taken => *taken_ms = Some(now_ms),
+            // Another attempt is running: its outcome answers this caller as well.
+            log_index::Verdict::Taken => *other_attempt_seen_ms = Some(now_ms),
             log_index::Verdict::Conflict => self.refuse(slot, Reason::IdConflict, now_ms),
             log_index::Verdict::Done(outcome) => {
                 self.counters.replayed += 1;
@@ -90,7 +98,7 @@
         }
     }
 
-    /// Refuses a request for which nothing was sent.
+    /// Refuses a request that was not sent to any server.
     pub(super) fn refuse(&mut self, slot: ids::RequestSlot, reason: Reason, now_ms: u64) {
         let retry_after_ms = self.retry_after_ms(slot, reason, now_ms);
         *self.counters.refused.entry(reason).or_default() += 1;
@@ -101,15 +109,18 @@
         self.end_unsent(slot, refusal(reason, retry_after_ms), now_ms);
     }
 
+    /// The configuration of a service.
     pub(super) fn service(&self, name: &str) -> Option<&config::Service> {
         self.config.as_ref()?.document.service(name)
     }
 
+    /// Queues an answer for a request's traffic thread.
     pub(super) fn answer(&mut self, slot: ids::RequestSlot, answer: Answer) {
         self.actions.push(Action::Answer { slot, answer });
     }
 
-    fn fault_before(
+    /// The reason to refuse a request before any tokens are reserved for it, if there is one.
+    fn admission_refusal(
         &self,
         wanted: &Wanted,
         budget: Option<ids::BudgetSlot>,
@@ -124,18 +135,19 @@
         if let Some((reason, _)) = self.kept_back(wanted.fingerprint, now_ms) {
             return Some(reason);
         }
-        let unpaid = budget.is_none() && wanted.bound_tokens > 0;
-        if unpaid || self.service(&wanted.service).is_none() {
+        let budget_missing = budget.is_none() && wanted.bound_tokens > 0;
+        if budget_missing || self.service(&wanted.service).is_none() {
             return Some(Reason::Unconfigured);
         }
         if wanted.deadline_ms <= now_ms {
             return Some(Reason::DeadlineTooClose);
         }
-        // An unrepeatable request may wait for the outcome of another with its id.
+        // An unrepeatable request may wait for the outcome of another request with its id.
         let running = self.by_key.contains_key(&wanted.key) && !wanted.unrepeatable;
         running.then_some(Reason::InProgress)
     }
 
+    /// Reserves the tokens of a request and looks for a server; returns false if too few tokens are free.
     pub(super) fn try_reserve(&mut self, slot: ids::RequestSlot, now_ms: u64) -> bool {
         let Some(request) = self.requests.get_mut(slot) else { return true };
         let Some(reservation) = self.grants.reserve(request.budget, request.wanted.bound_tokens)
@@ -144,11 +156,12 @@
         };
         request.stage = Stage::WaitingServer { reservation };
         request.stage_since_ms = now_ms;
-        self.place(slot, now_ms);
+        self.choose_server(slot, now_ms);
         true
     }
 
-    fn place(&mut self, slot: ids::RequestSlot, now_ms: u64) {
+    /// Chooses a server for a request, or queues the request until there is one.
+    fn choose_server(&mut self, slot: ids::RequestSlot, now_ms: u64) {
         if !self.servers.limits().is_empty() {
             let service = self.requests.get(slot).map(|request| request.wanted.service.clone());
             service.iter().for_each(|service| self.ask_for_trials(service, now_ms));
@@ -156,10 +169,11 @@
         let Some(request) = self.requests.get(slot) else { return };
         match choose(&mut self.servers, request, now_ms, &mut self.rng) {
             Ok(choice) => self.placed(slot, choice, now_ms),
-            Err(lack) => self.enqueue(slot, lack, now_ms),
+            Err(unavailable) => self.enqueue(slot, unavailable, now_ms),
         }
     }
 
+    /// Handles the choice of a server: records a claim first if the request is unrepeatable, else dispatches it.
     pub(super) fn placed(&mut self, slot: ids::RequestSlot, choice: servers::Choice, now_ms: u64) {
         let servers::Choice { slot: server, unread_tokens } = choice;
         let Some(request) = self.requests.get_mut(slot) else { return };
@@ -169,18 +183,23 @@
             request.stage = stage;
             return;
         };
-        request.stage =
-            Stage::WaitingClaim { reservation, server, appended: false, taken_ms: None };
+        request.stage = Stage::WaitingClaim {
+            reservation,
+            server,
+            appended: false,
+            other_attempt_seen_ms: None,
+        };
         request.stage_since_ms = now_ms;
         if request.wanted.unrepeatable && !self.logs.is_empty() {
-            self.claim(slot, now_ms);
+            self.send_claim(slot, now_ms);
         } else {
             self.dispatch(slot, now_ms);
         }
     }
 
-    fn claim(&mut self, slot: ids::RequestSlot, now_ms: u64) {
-        let Some(claim) = self.claim_of(slot) else { return };
+    /// Sends a request's claim to the router that appends to its shard of the log, or appends it here.
+    fn send_claim(&mut self, slot: ids::RequestSlot, now_ms: u64) {
+        let Some(claim) = self.build_claim(slot) else { return };
         let own = self.settings.incarnation;
         let shard = claim.key.shard(self.logs.len() as u32);
         let live = self.members.live().map(|record| record.id);
@@ -190,33 +209,37 @@
         }
     }
 
+    /// Appends a request's claim to the log.
     fn append_own_claim(&mut self, slot: ids::RequestSlot, now_ms: u64) {
-        let Some(claim) = self.claim_of(slot) else { return };
-        if let Some(Request { stage: Stage::WaitingClaim { appended, taken_ms, .. }, .. }) =
-            self.requests.get_mut(slot)
+        let Some(claim) = self.build_claim(slot) else { return };
+        if let Some(Request {
+            stage: Stage::WaitingClaim { appended, other_attempt_seen_ms, .. },
+            ..
+        }) = self.requests.get_mut(slot)
         {
             *appended = true;
-            *taken_ms = taken_ms.map(|_| now_ms);
+            *other_attempt_seen_ms = other_attempt_seen_ms.map(|_| now_ms);
         }
         let (entry, waiter) = (log_index::Entry::Claim(claim), log_writer::Waiter::Local(slot));
         self.append(entry, waiter, log_writer::Urgency::Waited, now_ms);
     }
 
-    fn claim_of(&self, slot: ids::RequestSlot) -> Option<log_index::Claim> {
+    fn build_claim(&self, slot: ids::RequestSlot) -> Option<log_index::Claim> {
         let request = self.requests.get(slot)?;
         let (key, body_hash) = (request.wanted.key, request.wanted.body_hash);
         Some(log_index::Claim { key, attempt: request.attempt, body_hash })
     }
 
+    /// Dispatches a request whose claim, if it needs one, is recorded.
     fn dispatch(&mut self, slot: ids::RequestSlot, now_ms: u64) {
         let Some(request) = self.requests.get(slot) else { return };
         if let Some((reason, _)) = self.kept_back(request.wanted.fingerprint, now_ms) {
-            // A server crashed under it elsewhere while it waited.
+            // While it waited, a server crashed while running the same request for another router.
             self.refuse(slot, reason, now_ms);
             return;
         }
-        if let Err(lack) = self.confirm_server(slot, now_ms) {
-            self.refuse(slot, lack.into(), now_ms);
+        if let Err(unavailable) = self.confirm_server(slot, now_ms) {
+            self.refuse(slot, unavailable.into(), now_ms);
             return;
         }
         let Some(request) = self.requests.get_mut(slot) else { return };
@@ -232,8 +255,8 @@
         self.answer_dispatch(slot, server);
     }
 
-    /// Chooses another server for a request if the one that was chosen may not be sent to any more: while its claim was
-    /// recorded it may have said that it leaves, or become limited.
+    /// Chooses another server for a request if the chosen one may not receive it any more: while the claim was recorded
+    /// the server may have reported that it is leaving, or may have become limited.
     fn confirm_server(&mut self, slot: ids::RequestSlot, now_ms: u64) -> Result<(), servers::Lack> {
         let Some(request) = self.requests.get(slot) else { return Ok(()) };
         let Stage::WaitingClaim { server, .. } = request.stage else { return Ok(()) };
@@ -251,6 +274,7 @@
         Ok(())
     }
 
+    /// Answers a request with the server that it is dispatched to.
     pub(super) fn answer_dispatch(&mut self, slot: ids::RequestSlot, server: ids::ServerSlot) {
         let Some(request) = self.requests.get(slot) else { return };
         let (attempt, unread_tokens) = (request.attempt, request.unread_tokens);
@@ -259,7 +283,7 @@
         self.answer(slot, Answer::Dispatch { address, vm, life, attempt, unread_tokens });
     }
 
-    /// Ends a request for which nothing was sent, giving back all that it held.
+    /// Ends a request that was not sent to any server, and releases its tokens, its place at a server and its claim.
     fn end_unsent(&mut self, slot: ids::RequestSlot, answer: Answer, now_ms: u64) {
         let Some(request) = self.forget_request(slot) else { return };
         let key = request.wanted.key;
@@ -282,7 +306,7 @@
         self.answer(slot, answer);
     }
 
-    /// Voids a claim that may or may not be in the log: its attempt certainly did not run.
+    /// Releases a claim that may or may not be in the log. The claim's attempt has certainly not run.
     pub(super) fn release_claim(
         &mut self,
         slot: ids::RequestSlot,
@@ -299,6 +323,7 @@
         self.append(release, waiter, log_writer::Urgency::Gather, now_ms);
     }
 
+    /// The retry delay returned with a refusal, in milliseconds.
     pub(super) fn retry_after_ms(
         &mut self,
         slot: ids::RequestSlot,
@@ -314,12 +339,14 @@
             }
             Reason::Limited => {
                 let service = self.requests.get(slot).map(|request| request.wanted.service.clone());
-                service.map_or(RETRY_AFTER_SHORT_MS, |it| self.limited_retry_after_ms(&it, now_ms))
+                service
+                    .map_or(RETRY_AFTER_SHORT_MS, |name| self.limited_retry_after_ms(&name, now_ms))
             }
             Reason::Backoff => self.backoff_retry_after_ms(slot, now_ms),
             Reason::Quarantined | Reason::Suspended => {
-                let request = self.requests.get(slot).and_then(|it| it.wanted.fingerprint);
-                let kept_back = self.kept_back(request, now_ms);
+                let fingerprint =
+                    self.requests.get(slot).and_then(|request| request.wanted.fingerprint);
+                let kept_back = self.kept_back(fingerprint, now_ms);
                 kept_back.map_or(RETRY_AFTER_SHORT_MS, |(_, left_ms)| left_ms)
             }
             _ => RETRY_AFTER_SHORT_MS,
@@ -327,6 +354,7 @@
     }
 }
 
+/// Chooses a server for a request.
 pub(super) fn choose(
     table: &mut servers::Table,
     request: &Request,
@@ -336,7 +364,7 @@
     table.choose(&servers_for(request), now_ms, rng)
 }
 
-/// The servers that a request may go to.
+/// The criteria for servers that may run a request.
 pub(super) fn servers_for(request: &Request) -> servers::Wanted<'_> {
     servers::Wanted {
         service: &request.wanted.service,
@@ -347,6 +375,7 @@
     }
 }
 
+/// The answer that refuses a request.
 pub(super) fn refusal(reason: Reason, retry_after_ms: u64) -> Answer {
     Answer::Refuse { reason, retry_after_ms }
 }
--- a/core/src/node/adopt.rs
+++ b/core/src/node/adopt.rs
@@ -1,16 +1,16 @@
-//! What the platform and peers tell of the world: configurations, lists of VMs, what earlier lives left.
+//! Applies configurations and lists of VMs that were received from the store or from peers.
 
 use super::{Action, ConfigSource, Lifecycle, Node, Notice, ROUTER_SERVICE};
 use crate::{config, grants, ids, leavings, ledger_writer, log_writer, servers, store};
 use std::collections;
 
 impl Node {
-    /// Takes over a configuration of the store, if it is newer than the one in force.
+    /// Applies a configuration of the store if it is newer than the one in force; returns whether it is.
     pub fn offer_config(&mut self, published: config::Published, now_ms: u64) -> bool {
         self.adopt_config(published, ConfigSource::Store, now_ms)
     }
 
-    /// Takes over a configuration, if it is newer than the one in force.
+    /// Applies a configuration if it is newer than the one in force; returns whether it is.
     pub(super) fn adopt_config(
         &mut self,
         published: config::Published,
@@ -40,7 +40,7 @@
                 self.grants.declare_prepaid(&name, budget.cover(), prepaid, now_ms);
             }
         }
-        self.poke_ledgers_for_config();
+        self.request_syncs_for_config();
         let version = published.version;
         let limits = published.document.services.iter().map(|service| {
             let limit = servers::ColdLimit {
@@ -57,27 +57,28 @@
         true
     }
 
-    /// A new configuration may change what is paid in, which concerns who holds something in hand.
-    fn poke_ledgers_for_config(&mut self) {
+    /// Has the ledger shards synced in which this router holds a budget or has a grant: a new configuration may change
+    /// prepaid amounts.
+    fn request_syncs_for_config(&mut self) {
         for (shard, ledger) in self.ledgers.iter_mut().enumerate() {
             let mut slots = self.grants.in_shard(shard as u32).iter();
-            let held = |slot: &ids::BudgetSlot| {
+            let is_held = |slot: &ids::BudgetSlot| {
                 let account = self.grants.account(*slot);
                 account.holder || account.has_row
             };
-            if slots.any(held) {
+            if slots.any(is_held) {
                 ledger.poke();
             }
         }
     }
 
-    /// Follows the platform's list of VMs. An older list than the last one is ignored.
+    /// Applies the platform's list of VMs. An older list than the last one is ignored.
     pub fn offer_vms(&mut self, index: store::Position, vms: Vec<servers::Vm>, now_ms: u64) {
         self.offer_vms_and_lapsed(index, vms, Vec::new(), now_ms);
     }
 
-    /// Follows the platform's list of VMs. Those of `lapsed` are not in it but may be back soon; they are used
-    /// meanwhile, and not told to peers, who may know better.
+    /// Applies the platform's list of VMs. Those of `lapsed` are missing from it because their records expired, but may
+    /// be listed again soon. They are used until then, but not sent to peers, which may have later records.
     pub fn offer_vms_and_lapsed(
         &mut self,
         index: store::Position,
@@ -87,22 +88,23 @@
     ) {
         self.vms_heard_ms = now_ms;
         self.lapsed = lapsed;
-        // At the same index the platform's client may have learned that a record will not come back.
+        // At the same index, the platform's client may have dropped an expired record that will not be written again.
         if index >= self.vms_index {
             self.follow_vms(index, vms, now_ms);
         }
     }
 
+    /// Replaces the list of VMs and updates all that depends on it.
     pub(super) fn follow_vms(
         &mut self,
         index: store::Position,
         vms: Vec<servers::Vm>,
         now_ms: u64,
     ) {
-        let listed = std::mem::replace(&mut self.vms_index, index);
+        let previous_index = std::mem::replace(&mut self.vms_index, index);
         let vms = vms.into_iter().map(|vm| {
-            let known = self.vms.get(&vm.vm);
-            vm.unless_over(known)
+            let previous = self.vms.get(&vm.vm);
+            vm.unless_over(previous)
         });
         let vms: Vec<servers::Vm> = vms.collect();
         for vm in vms.iter().filter(|vm| vm.state == servers::VmState::Leaving) {
@@ -111,38 +113,39 @@
         let routers = vms.iter().filter(|vm| vm.service == ROUTER_SERVICE);
         self.members.add_seeds(routers.map(|vm| vm.address.clone()));
         self.servers.follow(&self.backends(&vms), now_ms);
-        self.note_restarted();
+        self.report_restarted();
         let earlier = std::mem::take(&mut self.vms);
         self.vms = vms.into_iter().map(|vm| (vm.vm.clone(), vm)).collect();
-        let gone = |vm: &&servers::Vm| !self.vms.contains_key(&vm.vm);
-        let router_gone = earlier.values().filter(gone).any(|vm| vm.service == ROUTER_SERVICE);
-        for vm in earlier.values().filter(gone) {
-            self.eras.note_removed(&vm.vm, vm.life, listed, now_ms);
+        let removed = |vm: &&servers::Vm| !self.vms.contains_key(&vm.vm);
+        let router_removed =
+            earlier.values().filter(removed).any(|vm| vm.service == ROUTER_SERVICE);
+        for vm in earlier.values().filter(removed) {
+            self.eras.note_removed(&vm.vm, vm.life, previous_index, now_ms);
         }
         if self.listed_index == store::Position::START && self.vms.contains_key(&self.settings.vm) {
             self.listed_index = index;
         }
         self.note_ended_lives(now_ms);
-        self.forget_leavings(now_ms);
-        if router_gone {
-            // What it held is written off by whoever reads the ledger next.
+        self.expire_leaving_servers(now_ms);
+        if router_removed {
+            // The next router that reads the ledger writes off its grants.
             self.ledgers.iter_mut().for_each(ledger_writer::Writer::poke);
         }
         self.become_ready();
     }
 
-    /// The backend servers: those of the list, and those whose records lapsed but may be back soon. One that is known to
-    /// leave does so whatever its record says.
+    /// The backend servers: the listed ones, and those whose records expired but may be listed again soon. A server
+    /// that is leaving counts as leaving whatever the state in its record.
     fn backends(&self, vms: &[servers::Vm]) -> Vec<servers::Vm> {
         let stays = |vm: &&servers::Vm| !self.leavings.holds(&vm.vm, vm.life);
-        let back_soon = self.lapsed.iter().filter(stays);
+        let lapsed = self.lapsed.iter().filter(stays);
         let mut backends: Vec<servers::Vm> = vms
             .iter()
-            .chain(back_soon)
+            .chain(lapsed)
             .filter(|vm| vm.service != ROUTER_SERVICE && !self.eras.holds_back(&vm.vm))
             .cloned()
             .collect();
-        // Where servers say when they started, a record that does not is another writer's.
+        // Where servers record when they started, a record without a start time comes from another writer.
         for vm in backends.iter_mut().filter(|vm| self.leavings.holds(&vm.vm, vm.life)) {
             vm.state = servers::VmState::Leaving;
         }
@@ -152,8 +155,8 @@
         backends
     }
 
-    /// Reports servers that started again.
-    fn note_restarted(&mut self) {
+    /// Reports servers that restarted.
+    fn report_restarted(&mut self) {
         for restarted in self.servers.take_restarted() {
             let servers::Restarted { vm, life, .. } = &restarted;
             self.actions.push(Action::ServerRestarted { vm: vm.clone(), life: *life });
@@ -161,20 +164,21 @@
         }
     }
 
-    /// A leaving that was heard holds also for a record that lapsed meanwhile, and not for a later life.
-    fn forget_leavings(&mut self, now_ms: u64) {
-        let known = self.vms.values().chain(&self.lapsed);
+    /// Forgets leaving servers that are over. A received report stays valid if the server's record expired meanwhile,
+    /// and does not apply to a later incarnation of the server.
+    fn expire_leaving_servers(&mut self, now_ms: u64) {
+        let vms = self.vms.values().chain(&self.lapsed);
         let lives: collections::HashMap<&str, ids::ServerLife> =
-            known.map(|vm| (vm.vm.as_str(), vm.life)).collect();
+            vms.map(|vm| (vm.vm.as_str(), vm.life)).collect();
         for (vm, life) in self.leavings.forget(&lives, now_ms) {
             self.actions.push(Action::Notice(Notice::ServerLeavingEnded { vm, life }));
         }
     }
 
-    /// Requests are taken once both the configuration and the servers are known.
+    /// Starts admitting requests once both the configuration and the list of VMs have been received.
     fn become_ready(&mut self) {
-        let known = self.config.is_some() && self.vms_index > store::Position::START;
-        if known && self.lifecycle == Lifecycle::Starting {
+        let complete = self.config.is_some() && self.vms_index > store::Position::START;
+        if complete && self.lifecycle == Lifecycle::Starting {
             self.lifecycle = Lifecycle::Ready;
         }
     }
--- a/core/src/node/confirmations.rs
+++ b/core/src/node/confirmations.rs
@@ -1,44 +1,47 @@
-//! Finds out whether the routers that could have drawn tokens before a restore of the store have recovered what they
-//! knew, so that less has to be withheld.
+//! Determines whether the routers that could have drawn tokens before a restore of the store have recovered the data
+//! that they had of the ledger, so that fewer tokens have to be withheld.
 //!
-//! A router answers for itself and for earlier lives at its address. It can answer for those if it has read the shard
-//! before the restore, or had run for longer than the age of any backup; or the router that asks has read the shard
-//! after it heard of the life that answers.
+//! A router confirms this for itself and for earlier incarnations at its address. It can confirm the latter if it read
+//! the shard before the restore, or had run for longer than the age of any backup; or if the requesting router read the
+//! shard after it discovered the incarnation that replies.
 
 use super::{Action, Node, Notice};
 use crate::{ids, ledger_writer, members, message, rendezvous};
 use std::collections;
 
-/// The time between two questions.
-const ASK_INTERVAL_MS: u64 = 300;
-/// After this long, routers that have answered have nothing to add.
-const SETTLE_MS: u64 = 3_000;
-/// The most routers that are asked at once.
+/// Interval between requests to the same router.
+const REQUEST_INTERVAL_MS: u64 = 300;
+/// Time after which the replies of routers are considered final.
+const REPLIES_FINAL_MS: u64 = 3_000;
+/// Maximum number of routers that are asked at once.
 const ASKED_MAX: usize = 32;
 
-/// What routers answered in an era.
+/// The replies of other routers in an era.
 #[derive(Debug, Default)]
 pub(super) struct Confirmations {
     era: u64,
+    /// When the first requests of the era were due.
     since_ms: u64,
-    asked_ms: u64,
-    answers: collections::BTreeMap<String, Answer>,
+    /// When requests were last sent.
+    requested_ms: u64,
+    /// The replies, by the address of the router.
+    replies: collections::BTreeMap<String, Reply>,
 }
 
-/// The answer of the router at an address.
+/// The reply of the router at an address.
 #[derive(Debug, Default)]
-struct Answer {
-    /// What is recovered of each shard. It stays so for the rest of the era.
+struct Reply {
+    /// The recovered part of each shard. A shard that is recovered in full stays so for the rest of the era.
     shards: collections::BTreeMap<u32, message::Recovered>,
-    /// The addresses of the routers that it knows, where they are others than this router's.
+    /// The addresses of the routers in its view, if they differ from this router's view.
     addresses: Vec<String>,
 }
 
 impl Node {
-    /// Asks other routers while tokens are withheld that their answers may release.
+    /// Requests confirmations from other routers while tokens are withheld that their replies may release.
     pub(super) fn tick_confirmations(&mut self, now_ms: u64) {
         let era = self.store_era();
-        if era == 0 || now_ms < self.confirmations.asked_ms + ASK_INTERVAL_MS {
+        if era == 0 || now_ms < self.confirmations.requested_ms + REQUEST_INTERVAL_MS {
             return;
         }
         if self.confirmations.era != era {
@@ -52,16 +55,19 @@
         if shards.is_empty() {
             return;
         }
-        self.confirmations.asked_ms = now_ms;
+        self.confirmations.requested_ms = now_ms;
         let routers = routers_digest(&self.router_addresses());
         for router in self.unconfirmed_routers(&shards) {
             let shards = shards.clone();
             self.send(router, message::Message::RecoveryAsk { era, shards, routers });
         }
         let others = self.other_router_addresses();
-        let long = now_ms > self.confirmations.since_ms + SETTLE_MS;
+        let replies_final = now_ms > self.confirmations.since_ms + REPLIES_FINAL_MS;
         for (shard, since_era) in shards {
-            let Some(verdict) = self.verdict(shard, since_era, &others, long) else { continue };
+            let Some(verdict) = self.recovery_decision(shard, since_era, &others, replies_final)
+            else {
+                continue;
+            };
             if self.ledgers[shard as usize].verdict(era) != Some(verdict) {
                 self.ledgers[shard as usize].decide(era, verdict);
                 self.actions.push(Action::Notice(Notice::RecoveryDecided { shard, era, verdict }));
@@ -69,31 +75,35 @@
         }
     }
 
-    /// What can be said of draws that may be unknown; `None` before this router has recovered what it knew. After `long`,
-    /// routers that have answered have nothing to add.
-    fn verdict(
+    /// The decision on draws that may have been lost; `None` before this router has recovered its own data. If
+    /// `replies_final`, no reply is expected to change any more.
+    fn recovery_decision(
         &self,
         shard: u32,
         since_era: u64,
         others: &collections::BTreeSet<String>,
-        long: bool,
+        replies_final: bool,
     ) -> Option<ledger_writer::Verdict> {
         let own = self.recovered(shard, since_era);
         if own == message::Recovered::Nothing {
             return None;
         }
-        let answers = &self.confirmations.answers;
-        let answer = |address| answers.get(address)?.shards.get(&shard).copied();
-        let all: Vec<_> = others.iter().map(answer).chain([Some(own)]).collect();
-        let silent = all.iter().filter(|it| **it != Some(message::Recovered::All)).count() as u64;
-        let answered = all.iter().all(|it| it.is_some_and(|it| it != message::Recovered::Nothing));
-        let is_final = long && answered && silent > 0;
+        let replies = &self.confirmations.replies;
+        let reply = |address| replies.get(address)?.shards.get(&shard).copied();
+        let all: Vec<_> = others.iter().map(reply).chain([Some(own)]).collect();
+        let silent =
+            all.iter().filter(|recovered| **recovered != Some(message::Recovered::All)).count()
+                as u64;
+        let answered = all.iter().all(|recovered| {
+            recovered.is_some_and(|recovered| recovered != message::Recovered::Nothing)
+        });
+        let is_final = replies_final && answered && silent > 0;
         let silent = Some(silent).filter(|silent| *silent <= self.silent_max());
         (is_final || silent.is_some()).then_some(ledger_writer::Verdict { silent, is_final })
     }
 
-    /// Releases what is withheld of a budget since restores of the store, on an operator's word; only tells if `dry_run`.
-    /// Returns how many tokens it is; `None` if there is no such budget.
+    /// Releases the tokens of a budget that are withheld since restores of the store, on an operator's command. Returns
+    /// their number, without releasing them if `dry_run`; `None` if there is no such budget.
     pub fn release_withheld(&mut self, budget: &str, dry_run: bool) -> Option<u64> {
         let slot = self.grants.find(budget)?;
         let withheld_tokens = self.grants.account(slot).withheld.tokens();
@@ -106,64 +116,68 @@
         Some(withheld_tokens)
     }
 
-    /// The addresses of routers that have not told whether they recovered all they knew of a budget; empty if nothing
-    /// waits for that.
+    /// The addresses of routers that have not confirmed that they recovered all their data of a budget; empty if no
+    /// tokens are withheld until they do.
     pub(super) fn awaited_routers(&self, budget: ids::BudgetSlot) -> Vec<String> {
         let shard = self.ledger_shard(budget);
         let era = self.store_era();
-        let waits =
-            self.ledgers.get(shard).is_some_and(|it| it.unconfirmed_since_era(era).is_some());
-        let answers = &self.confirmations.answers;
+        let is_unconfirmed = self
+            .ledgers
+            .get(shard)
+            .is_some_and(|ledger| ledger.unconfirmed_since_era(era).is_some());
+        let replies = &self.confirmations.replies;
         let awaited = |address: &String| {
-            answers.get(address).is_none_or(|answer| !answer.has_recovered_all(shard as u32))
+            replies.get(address).is_none_or(|reply| !reply.has_recovered_all(shard as u32))
         };
         let others = self.other_router_addresses().into_iter();
-        others.filter(|address| waits && awaited(address)).collect()
+        others.filter(|address| is_unconfirmed && awaited(address)).collect()
     }
 
-    /// Live routers that have not recovered all of one of the shards, some of them.
+    /// Up to [`ASKED_MAX`] live routers that have not confirmed the full recovery of each of the shards.
     fn unconfirmed_routers(&self, shards: &[(u32, u64)]) -> Vec<ids::Incarnation> {
-        let answers = &self.confirmations.answers;
+        let replies = &self.confirmations.replies;
         let unconfirmed = |record: &&members::Record| {
-            answers.get(&record.address).is_none_or(|answer| {
-                shards.iter().any(|(shard, _)| !answer.has_recovered_all(*shard))
+            replies.get(&record.address).is_none_or(|reply| {
+                shards.iter().any(|(shard, _)| !reply.has_recovered_all(*shard))
             })
         };
         let live = self.members.live().filter(unconfirmed);
         live.map(|record| record.id).take(ASKED_MAX).collect()
     }
 
-    /// The addresses of all routers that may run, as far as this one knows.
+    /// The addresses of all routers that may be running, in this router's view of the membership.
     fn router_addresses(&self) -> collections::BTreeSet<String> {
-        let may_run = self.members.records().filter(|it| it.health != members::Health::Left);
-        may_run.map(|it| &it.address).chain([&self.settings.address]).cloned().collect()
+        let may_run =
+            self.members.records().filter(|record| record.health != members::Health::Left);
+        may_run.map(|record| &record.address).chain([&self.settings.address]).cloned().collect()
     }
 
-    /// The same without this one, and with those that others named in their answers.
+    /// The same without this router's own address, and with the addresses that other routers reported in their replies.
     fn other_router_addresses(&self) -> collections::BTreeSet<String> {
         let mut addresses = self.router_addresses();
-        let answers = self.confirmations.answers.values();
-        addresses.extend(answers.flat_map(|answer| &answer.addresses).cloned());
+        let replies = self.confirmations.replies.values();
+        addresses.extend(replies.flat_map(|reply| &reply.addresses).cloned());
         addresses.remove(&self.settings.address);
         addresses
     }
 
-    /// What this router has recovered of what was known of a shard at its address before `since_era`.
+    /// The part that this router has recovered of the data that it and earlier incarnations at its address had of a
+    /// shard before `since_era`.
     fn recovered(&self, shard: u32, since_era: u64) -> message::Recovered {
         let Some(ledger) = self.ledgers.get(shard as usize) else {
             return message::Recovered::Nothing;
         };
-        let ran_long = self.ran_before_era_ms(since_era) >= self.backup_age_ms;
+        let ran_longer_than_backups = self.ran_before_era_ms(since_era) >= self.backup_age_ms;
         match ledger.has_recovered(self.store_era()) {
             false => message::Recovered::Nothing,
-            true if ran_long || ledger.read_before_ms(since_era).is_some() => {
+            true if ran_longer_than_backups || ledger.read_before_ms(since_era).is_some() => {
                 message::Recovered::All
             }
             true => message::Recovered::OwnLife,
         }
     }
 
-    /// Answers a router that waits for this one to recover what it knows.
+    /// Handles a request of a router that waits for this one to recover its data.
     pub(super) fn take_recovery_ask(
         &mut self,
         from: ids::Incarnation,
@@ -185,7 +199,7 @@
         self.send(from, message::Message::RecoveryReply { era, shards, addresses });
     }
 
-    /// Takes in another router's answer.
+    /// Handles another router's reply to a recovery request.
     pub(super) fn take_recovery_reply(
         &mut self,
         from: ids::Incarnation,
@@ -196,40 +210,41 @@
         let current = era == self.confirmations.era && era == self.store_era();
         let Some(record) = self.members.find(from).filter(|_| current) else { return };
         let address = record.address.clone();
-        self.confirmations.answers.entry(address.clone()).or_default().addresses = addresses;
+        self.confirmations.replies.entry(address.clone()).or_default().addresses = addresses;
         for (shard, recovered) in shards {
             let recovered = match recovered {
-                message::Recovered::OwnLife if self.knows_earlier_lives(*shard, from) => {
+                message::Recovered::OwnLife if self.covers_earlier_incarnations(*shard, from) => {
                     message::Recovered::All
                 }
                 recovered => *recovered,
             };
-            let answer = self.confirmations.answers.entry(address.clone()).or_default();
-            if !answer.has_recovered_all(*shard) {
-                answer.shards.insert(*shard, recovered);
+            let reply = self.confirmations.replies.entry(address.clone()).or_default();
+            if !reply.has_recovered_all(*shard) {
+                reply.shards.insert(*shard, recovered);
             }
         }
     }
 
-    /// Whether this router read the shard, before draws may be unknown, after it heard of a life: then it knows all that
-    /// earlier lives at that address drew.
-    fn knows_earlier_lives(&self, shard: u32, life: ids::Incarnation) -> bool {
-        let heard_ms = self.members.first_heard_ms(life);
+    /// Whether this router read the shard after it discovered the router `life`, and before draws may have been lost.
+    /// Then it has read all draws of earlier incarnations at that address.
+    fn covers_earlier_incarnations(&self, shard: u32, life: ids::Incarnation) -> bool {
+        let discovered_ms = self.members.first_heard_ms(life);
         let ledger = self.ledgers.get(shard as usize);
         let read_ms = ledger.and_then(|ledger| {
             ledger.read_before_ms(ledger.unconfirmed_since_era(self.store_era())?)
         });
-        read_ms.zip(heard_ms).is_some_and(|(read_ms, heard_ms)| read_ms >= heard_ms)
+        read_ms.zip(discovered_ms).is_some_and(|(read_ms, discovered_ms)| read_ms >= discovered_ms)
     }
 }
 
-impl Answer {
+impl Reply {
+    /// Whether the router confirmed the full recovery of a shard.
     fn has_recovered_all(&self, shard: u32) -> bool {
         self.shards.get(&shard) == Some(&message::Recovered::All)
     }
 }
 
-/// The same for the same addresses.
+/// A digest of a set of addresses, which doesn't depend on their order.
 fn routers_digest(addresses: &collections::BTreeSet<String>) -> u64 {
     addresses.iter().fold(0, |digest, address| digest ^ rendezvous::digest(address))
 }
--- a/core/src/node/copies.rs
+++ b/core/src/node/copies.rs
@@ -1,15 +1,16 @@
-//! Copies of the ledger at other routers, for draws that a restore of the store loses.
+//! Copies of ledger shards at other routers, from which draws that a restore of the store loses are recovered.
 
 use super::{Action, Node, Notice};
 use crate::{ids, ledger, ledger_writer, members, message, rendezvous, store};
 use std::collections;
 
-/// The number of routers that get a copy of a ledger value after a write that draws tokens or closes grants. A draw is
-/// unknown to the others only if its router and so many more are unavailable.
+/// The number of routers that receive a copy of a ledger shard after a write that draws tokens or closes grants. A draw
+/// cannot be recovered only if its router and this many others are unavailable.
 const LEDGER_COPIES: usize = 2;
 
 impl Node {
-    /// Unlocks draws that enough other routers have a copy of, and sends copies again that were not stored.
+    /// Unlocks draws that enough other routers have stored a copy of, and sends copies again that were not
+    /// acknowledged.
     pub(super) fn tick_copies(&mut self, now_ms: u64) {
         if !self.ledgers.iter().any(ledger_writer::Writer::has_uncopied) {
             return;
@@ -26,13 +27,14 @@
         }
     }
 
-    /// The number of routers that may be silent at once while every draw is known to another router, or small.
+    /// The number of routers that may be unavailable at once while every draw has a copy at another router, or is
+    /// small.
     pub(super) fn silent_max(&self) -> u64 {
         LEDGER_COPIES.min(self.members.other_addresses()) as u64
     }
 
-    /// Sends a shard of the ledger to other routers, preferably in the same failure domain. They recover it if a restore
-    /// of the store loses it and this router is unavailable.
+    /// Sends a shard of the ledger to other routers, preferably in the same failure domain. They recover it if a
+    /// restore of the store loses it and this router is unavailable.
     pub(super) fn send_ledger_copies(
         &mut self,
         shard: usize,
@@ -42,12 +44,12 @@
         let (position, value) = (*position, value.encode());
         let key = rendezvous::digest(&ledger::key(shard as u32));
         let own_domain = self.settings.failure_domain.clone();
-        let alive = self.members.live().filter(|it| it.health == members::Health::Alive);
-        let alive = alive.filter(|it| !copied_to.contains(&it.id));
+        let alive = self.members.live().filter(|record| record.health == members::Health::Alive);
+        let alive = alive.filter(|record| !copied_to.contains(&record.id));
         let mut peers: Vec<(bool, u64, ids::Incarnation)> = alive
-            .map(|it| {
-                let same_domain = it.failure_domain == own_domain;
-                (same_domain, rendezvous::weight(key, it.id.0), it.id)
+            .map(|record| {
+                let same_domain = record.failure_domain == own_domain;
+                (same_domain, rendezvous::weight(key, record.id.0), record.id)
             })
             .collect();
         peers.sort_unstable_by(|one, other| other.cmp(one));
@@ -58,7 +60,7 @@
     }
 
     /// Stores a copy of a ledger shard that another router wrote. A copy of an earlier era is not acknowledged: this
-    /// router may have told others already that it has recovered all it knew.
+    /// router may already have reported to others that it has recovered all its data.
     pub(super) fn take_ledger_copy(
         &mut self,
         from: ids::Incarnation,
--- a/core/src/node/counters.rs
+++ b/core/src/node/counters.rs
@@ -1,9 +1,9 @@
-//! What a node counts.
+//! Event counters of a node.
 
 use super::Reason;
 use serde::Serialize;
 
-/// What a call to the store is for.
+/// The purpose of a call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 #[allow(missing_docs)]
@@ -14,10 +14,10 @@
     Announce,
     LedgerRead,
     LedgerWrite,
-    /// Of the log of settled requests.
+    /// Reads the log of settled requests.
     LogRead,
     LogWrite,
-    /// Of the record of requests that are kept from servers.
+    /// Reads the record of quarantined requests, which are not sent to servers.
     QuarantineRead,
     QuarantineWrite,
 }
@@ -39,29 +39,29 @@
     }
 }
 
-/// What became of a call to the store.
+/// The outcome of a call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallOutcome {
-    /// It went out; how it ended is counted apart.
+    /// It was sent; its end is counted separately.
     Sent,
-    /// It brought news.
+    /// It returned an update.
     News,
-    /// It ended without any.
+    /// It ended without an update.
     Empty,
-    /// The history that it asked for is gone.
+    /// The store has discarded the history that it requested.
     Forgotten,
-    /// The store said that it does not serve.
+    /// The store replied that it does not serve requests at present.
     Refused,
-    /// No answer came.
+    /// No answer arrived.
     Silent,
-    /// Another router's write came first.
+    /// Another router's write was applied before it, so it was rejected as a conflict.
     Overtaken,
-    /// It was given up, because news came that it should have brought.
+    /// It was cancelled, because the update that it waited for arrived from elsewhere.
     GivenUp,
-    /// It ended after it was given up.
+    /// Its answer arrived after it was cancelled.
     Late,
-    /// The answer is of an earlier era of the store.
+    /// The answer belongs to an earlier era of the store.
     EarlierEra,
 }
 
@@ -83,7 +83,7 @@
     }
 }
 
-/// Counts since the start.
+/// Event counts since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 #[allow(missing_docs)]
 pub struct Counters {
@@ -97,7 +97,7 @@
     pub refused: std::collections::BTreeMap<Reason, u64>,
     /// Requests refused because all fitting servers were limited, by service.
     pub refused_for_limits: std::collections::BTreeMap<String, u64>,
-    /// Backoffs that servers asked for, by service.
+    /// Backoffs that servers requested, by service.
     pub server_backoffs: std::collections::BTreeMap<String, u64>,
     #[serde(skip)]
     pub store_calls: std::collections::BTreeMap<(CallPurpose, CallOutcome), u64>,
--- a/core/src/node/dump.rs
+++ b/core/src/node/dump.rs
@@ -1,10 +1,10 @@
-//! One process's whole control state, for a person.
+//! A dump of a router's whole control state, for operators.
 
 use super::{Node, Stage};
 use serde_json::json;
 
 impl Node {
-    /// The state as JSON.
+    /// The control state as JSON.
     pub fn dump(&self, now_ms: u64) -> serde_json::Value {
         json!({
             "incarnation": self.settings.incarnation.to_string(),
@@ -18,13 +18,13 @@
             "store_era": self.store_era(),
             "store_era_age_ms": self.era_age_ms(now_ms),
             "leaving_vms": self.leavings.iter().map(|(vm, _)| vm).collect::<Vec<_>>(),
-            "leaving_servers": self.dump_leavings(),
-            "backing_off_servers": self.dump_backoffs(now_ms),
+            "leaving_servers": self.dump_leaving_servers(),
+            "backing_off_servers": self.dump_backing_off_servers(now_ms),
             "counters": self.counters,
             "quarantine": self.dump_quarantine(now_ms),
             "budgets": self.dump_budgets(),
             "servers": self.dump_servers(),
-            "limited_servers": self.dump_limits(now_ms),
+            "limited_servers": self.dump_limited_servers(now_ms),
             "members": self.members.records().collect::<Vec<_>>(),
             "requests": self.dump_requests(now_ms),
             "unsettled": self.outbox.unsettled.len(),
@@ -91,7 +91,7 @@
         servers.collect::<serde_json::Map<_, _>>().into()
     }
 
-    fn dump_leavings(&self) -> serde_json::Value {
+    fn dump_leaving_servers(&self) -> serde_json::Value {
         let leavings = self.leavings.iter().map(|(vm, leaving)| {
             let figures = json!({ "life": leaving.life.0, "source": leaving.source });
             (vm.to_owned(), figures)
@@ -99,7 +99,7 @@
         leavings.collect::<serde_json::Map<_, _>>().into()
     }
 
-    fn dump_backoffs(&self, now_ms: u64) -> serde_json::Value {
+    fn dump_backing_off_servers(&self, now_ms: u64) -> serde_json::Value {
         let backoffs = self.servers.backing_off().filter_map(|(slot, backoff)| {
             let server = self.servers.get(slot)?;
             let figures = json!({
@@ -111,15 +111,15 @@
         backoffs.collect::<serde_json::Map<_, _>>().into()
     }
 
-    fn dump_limits(&self, now_ms: u64) -> serde_json::Value {
-        let limits = self.servers.limits().iter_limited().filter_map(|(slot, known)| {
+    fn dump_limited_servers(&self, now_ms: u64) -> serde_json::Value {
+        let limits = self.servers.limits().iter_limited().filter_map(|(slot, limited)| {
             let server = self.servers.get(slot)?;
             let figures = json!({
                 "service": server.vm.service,
-                "limit_milli_per_s": known.report.limit_milli_per_s,
-                "since_ms_ago": now_ms.saturating_sub(known.since_ms),
-                "heard_ms_ago": now_ms.saturating_sub(known.report.heard_ms),
-                "heard_by": known.report.answer.router.to_string(),
+                "limit_milli_per_s": limited.report.limit_milli_per_s,
+                "since_ms_ago": now_ms.saturating_sub(limited.since_ms),
+                "heard_ms_ago": now_ms.saturating_sub(limited.report.heard_ms),
+                "heard_by": limited.report.answer.router.to_string(),
                 "paced_by": self.pacing_router(slot).map(|router| router.to_string()),
             });
             Some((server.vm.vm.clone(), figures))
--- a/core/src/node/eras.rs
+++ b/core/src/node/eras.rs
@@ -1,11 +1,11 @@
-//! Handles restores of the store: detects a new era, resets the watches, and retains restrictions from the lost
+//! Handles restores of the store: detects a new era, resets the subscriptions, and retains restrictions from the lost
 //! history.
 
 use super::{Action, CallOutcome, Node, Notice, watching};
 use crate::{evacuation, ids, message, servers, store, watch};
 use std::collections;
 
-/// Time for routers to write what they know of the ledger back to a restored store.
+/// Time for routers to write their part of the ledger back to a restored store.
 const LEDGER_RECOVERY_MS: u64 = 1_000;
 /// Time for writers to repeat writes that a restore lost, and for the records of dead writers to expire: a record
 /// expires after three heartbeats of 1.2 s without a write.
@@ -20,8 +20,8 @@
 const ERA_CALLS_PER_S: u64 = 400;
 /// Interval between such calls of one router.
 const ERA_CALL_INTERVAL_MS: u64 = 500;
-/// The number of eras of which it is kept when they were heard of.
-const ERAS_KEPT: usize = 16;
+/// The number of latest eras for which the time of the first answer is kept.
+const ERAS_MAX: usize = 16;
 /// How long an era that the store did not confirm is not verified again.
 const REJECTED_ERA_TTL_MS: u64 = 10_000;
 
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug)]
 struct UnconfirmedEra {
     era: u64,
-    heard_ms: u64,
+    reported_ms: u64,
     /// When to call the store next.
     call_at_ms: u64,
 }
@@ -50,15 +50,17 @@
     current: Option<u64>,
     /// When the first answer of that era arrived.
     current_since_ms: u64,
-    /// The same for each of the latest eras.
-    heard_ms: collections::BTreeMap<u64, u64>,
+    /// When the first answer of each of the latest eras arrived.
+    first_answer_ms: collections::BTreeMap<u64, u64>,
     /// When this router last detected a restore of the store.
     restored_ms: Option<u64>,
     /// The earliest possible time of that restore.
     restored_after_ms: u64,
+    /// The era that peers reported, until the store confirms or refutes it.
     unconfirmed: Option<UnconfirmedEra>,
     /// An era that the store did not confirm, and until when peers' reports of it or an earlier one are ignored.
     rejected: Option<(u64, u64)>,
+    /// Servers whose records were removed, by VM.
     removed: collections::BTreeMap<String, Removed>,
     /// The revisions of the listed records, where known.
     revisions: collections::HashMap<String, u64>,
@@ -86,7 +88,7 @@
         self.revisions.insert(vm.to_owned(), revision);
     }
 
-    /// Notes that a server's record was removed; `listed` is the position of a list that contained it.
+    /// Records the removal of a server's record; `listed` is the position of a list that contained it.
     pub(super) fn note_removed(
         &mut self,
         vm: &str,
@@ -116,32 +118,34 @@
         self.eras.current.unwrap_or(self.vms_index.era)
     }
 
-    /// Processes the era of an answer of the store. A lower era than the known one belongs to a late answer and is
+    /// Processes the era of an answer of the store. A lower era than the current one belongs to a late answer and is
     /// ignored.
     pub fn hear_store_era(&mut self, era: u64, now_ms: u64) {
         let previous = self.eras.current;
-        if previous.is_some_and(|known| era <= known) {
+        if previous.is_some_and(|current| era <= current) {
             return;
         }
         self.eras.current = Some(era);
         self.eras.current_since_ms = now_ms;
-        self.eras.heard_ms.insert(era, now_ms);
-        if self.eras.heard_ms.len() > ERAS_KEPT {
-            self.eras.heard_ms.pop_first();
+        self.eras.first_answer_ms.insert(era, now_ms);
+        if self.eras.first_answer_ms.len() > ERAS_MAX {
+            self.eras.first_answer_ms.pop_first();
         }
         self.eras.unconfirmed = self.eras.unconfirmed.filter(|unconfirmed| unconfirmed.era > era);
         let copies = self.latest_copy();
         if previous.is_none() && copies.era > era {
             // The copies come from peers that reported an era which the store has not reached.
-            self.forget_copies(now_ms);
+            self.reset_copies(now_ms);
         } else if previous.is_some() || (copies != store::Position::START && copies.era < era) {
             let previous = previous.unwrap_or(copies.era);
             self.actions.push(Action::Notice(Notice::StoreRestored { era, previous }));
             self.counters.store_restores += 1;
-            let before_ms =
-                self.watching.as_ref().and_then(|it| it.servers.last_current_or_failed_ms());
+            let before_ms = self
+                .watching
+                .as_ref()
+                .and_then(|watching| watching.servers.last_current_or_failed_ms());
             self.eras.restored_after_ms = before_ms.unwrap_or(now_ms);
-            self.restart_watches(now_ms);
+            self.restart_polls(now_ms);
             self.quarantine.store_restored(now_ms, &mut self.rng);
             self.eras.restored_ms = Some(now_ms);
             let grants = &self.grants;
@@ -154,27 +158,30 @@
     /// Whether data of this era may be applied. A router that has had no answer of the store accepts any era from
     /// peers.
     pub(super) fn accepts_era(&self, era: u64) -> bool {
-        self.eras.current.is_none_or(|known| era <= known)
+        self.eras.current.is_none_or(|current| era <= current)
     }
 
+    /// The latest position among this router's copies of the store's topics.
     fn latest_copy(&self) -> store::Position {
         let watching = self.watching.as_ref();
-        let configuration = watching.map(|it| it.configuration.position()).unwrap_or_default();
+        let configuration =
+            watching.map(|watching| watching.configuration.position()).unwrap_or_default();
         self.vms_index.max(configuration).max(self.evacuations.position)
     }
 
-    fn forget_copies(&mut self, now_ms: u64) {
+    /// Resets the positions of all copies, so that everything is read again.
+    fn reset_copies(&mut self, now_ms: u64) {
         self.vms_index = store::Position::START;
         self.evacuations.position = store::Position::START;
         self.relay.restart_changes(store::Position::START);
         if let Some(watching) = &mut self.watching {
             watch::Topic::ALL.iter().for_each(|topic| watching.topic(*topic).forget_copy());
         }
-        self.restart_watches(now_ms);
+        self.restart_polls(now_ms);
     }
 
-    /// Cancels the watches of the previous era, so that everything is read again.
-    fn restart_watches(&mut self, now_ms: u64) {
+    /// Cancels the polls of the previous era, so that everything is read again.
+    fn restart_polls(&mut self, now_ms: u64) {
         let Some(watching) = &mut self.watching else { return };
         watching.announce_again();
         for topic in watch::Topic::ALL {
@@ -184,8 +191,8 @@
         }
     }
 
-    /// Handles a digest with a later era than the store's last answer: schedules a call to the store and keeps all
-    /// copies until it answers. Servers that are leaving according to the digest get no new requests.
+    /// Handles a peer's digest with a later era than the store's last answer: schedules a call to the store and keeps
+    /// all copies until it answers. Servers that are leaving according to the digest get no new requests.
     pub(super) fn hear_unconfirmed_era(
         &mut self,
         from: ids::Incarnation,
@@ -195,26 +202,26 @@
         for change in &digest.changes {
             let watch::ServerRecord::Listed(vm) = &change.record else { continue };
             let leaves = vm.state == servers::VmState::Leaving;
-            if leaves && self.vms.get(&vm.vm).is_some_and(|known| known.life == vm.life) {
+            if leaves && self.vms.get(&vm.vm).is_some_and(|listed| listed.life == vm.life) {
                 let source = crate::leavings::Source::Record;
                 self.hear_leaving(&vm.vm, vm.life, source, Some(from));
             }
         }
         let era = digest.era.max(digest.servers.position.era);
         let rejected = self.eras.rejected.filter(|(_, until_ms)| now_ms < *until_ms);
-        let known = self.eras.unconfirmed.is_some_and(|unconfirmed| era <= unconfirmed.era);
-        if known || rejected.is_some_and(|(rejected, _)| era <= rejected) {
+        let is_scheduled = self.eras.unconfirmed.is_some_and(|unconfirmed| era <= unconfirmed.era);
+        if is_scheduled || rejected.is_some_and(|(rejected, _)| era <= rejected) {
             return;
         }
         let window_ms = self.members.live_count() * 1_000 / ERA_CALLS_PER_S;
         let call_at_ms = now_ms + rand::RngExt::random_range(&mut self.rng, 0..=window_ms);
-        self.eras.unconfirmed = Some(UnconfirmedEra { era, heard_ms: now_ms, call_at_ms });
+        self.eras.unconfirmed = Some(UnconfirmedEra { era, reported_ms: now_ms, call_at_ms });
     }
 
     /// Rejects the unconfirmed era if the store answered with an earlier one to a call sent after peers reported it.
     pub(super) fn check_unconfirmed_era(&mut self, era: u64, sent_ms: u64, now_ms: u64) {
         let Some(unconfirmed) = self.eras.unconfirmed else { return };
-        if era < unconfirmed.era && sent_ms > unconfirmed.heard_ms {
+        if era < unconfirmed.era && sent_ms > unconfirmed.reported_ms {
             self.eras.unconfirmed = None;
             self.eras.rejected = Some((unconfirmed.era, now_ms + REJECTED_ERA_TTL_MS));
             self.actions.push(Action::Notice(Notice::EraUnconfirmed { era: unconfirmed.era }));
@@ -271,21 +278,23 @@
         }
     }
 
-    /// Retains the evacuations of the lost history before `news` of a later era replaces them, so that the operator has
-    /// time to write them again.
+    /// Retains the evacuations of the lost history before `update` of a later era replaces them, so that the operator
+    /// has time to write them again.
     pub(super) fn keep_evacuations(
         &mut self,
         position: store::Position,
-        news: &evacuation::News,
+        update: &evacuation::News,
         now_ms: u64,
     ) {
-        let known = &self.evacuations;
+        let current = &self.evacuations;
         let restored =
-            known.position != store::Position::START && position.era > known.position.era;
-        match news {
+            current.position != store::Position::START && position.era > current.position.era;
+        match update {
             evacuation::News::All(_) if restored => {
-                let mut domains = known.domains.clone();
-                domains.extend(self.eras.evacuated.take().into_iter().flat_map(|(it, _)| it));
+                let mut domains = current.domains.clone();
+                domains.extend(
+                    self.eras.evacuated.take().into_iter().flat_map(|(domains, _)| domains),
+                );
                 self.eras.evacuated = Some((domains, now_ms + EVACUATIONS_TTL_MS));
             }
             evacuation::News::All(_) => {}
@@ -298,9 +307,9 @@
         }
     }
 
-    /// Returns whether an answer of the store is of an earlier era than the known one, and counts it if so.
+    /// Returns whether an answer of the store is of an earlier era than the current one, and counts it if so.
     pub(super) fn reject_earlier_era(&mut self, topic: watch::Topic, era: u64) -> bool {
-        let earlier = self.eras.current.is_some_and(|known| era < known);
+        let earlier = self.eras.current.is_some_and(|current| era < current);
         if earlier {
             self.count_call(watching::purpose(topic), CallOutcome::EarlierEra);
         }
@@ -312,7 +321,7 @@
         self.eras.restored_ms.map_or(0, |at_ms| at_ms + LEDGER_RECOVERY_MS)
     }
 
-    /// Whether other routers had time to write what they know back to a restored store.
+    /// Whether other routers had time to write their part of the ledger back to a restored store.
     pub(super) fn recovery_window_over(&self, now_ms: u64) -> bool {
         now_ms >= self.eras.restored_ms.unwrap_or(self.started_ms) + LEDGER_RECOVERY_MS
     }
@@ -322,10 +331,12 @@
         self.eras.restored_ms.is_some()
     }
 
-    /// How long this router had run when it first heard of `era` or a later one, in milliseconds.
+    /// How long this router had run when it received the first answer of `era` or a later one, in milliseconds; 0 if it
+    /// has received none.
     pub(super) fn ran_before_era_ms(&self, era: u64) -> u64 {
-        let heard_ms = self.eras.heard_ms.range(era..).next().map(|(_, at_ms)| *at_ms);
-        heard_ms.unwrap_or(self.started_ms).saturating_sub(self.started_ms)
+        let first_answer_ms =
+            self.eras.first_answer_ms.range(era..).next().map(|(_, at_ms)| *at_ms);
+        first_answer_ms.unwrap_or(self.started_ms).saturating_sub(self.started_ms)
     }
 
     /// Milliseconds since the first answer of the store's era; `None` before any answer.
--- a/core/src/node/evacuate.rs
+++ b/core/src/node/evacuate.rs
@@ -1,38 +1,42 @@
-//! Evacuated failure domains, and servers that are cold.
+//! Evacuated failure domains, and the live routers that share cold servers.
 
 use super::{Action, Node, Notice};
 use crate::{evacuation, servers, store};
 use std::collections;
 
 impl Node {
-    /// The failure domains that are evacuated now, by the store's word or by the configuration.
+    /// The failure domains that are evacuated, according to the store or the configuration.
     pub fn evacuated(&self) -> &collections::BTreeSet<String> {
         self.servers.evacuated()
     }
 
-    /// Takes in what an answer of the store says of evacuations.
+    /// Applies the evacuations in an answer of the store.
     pub(super) fn take_evacuations(
         &mut self,
         position: store::Position,
-        news: evacuation::News,
+        update: evacuation::News,
         now_ms: u64,
     ) {
-        self.keep_evacuations(position, &news, now_ms);
-        self.evacuations.take(position, news);
+        self.keep_evacuations(position, &update, now_ms);
+        self.evacuations.take(position, update);
         self.follow_evacuations(now_ms);
     }
 
-    /// Takes in what a peer knows; returns whether that changed anything.
-    pub(super) fn hear_evacuations(&mut self, told: &evacuation::Evacuations, now_ms: u64) -> bool {
-        if told.position > self.evacuations.position {
-            let all = evacuation::News::All(told.domains.clone());
-            self.keep_evacuations(told.position, &all, now_ms);
+    /// Merges the evacuations reported by a peer; returns whether the set of evacuated failure domains changed.
+    pub(super) fn hear_evacuations(
+        &mut self,
+        reported: &evacuation::Evacuations,
+        now_ms: u64,
+    ) -> bool {
+        if reported.position > self.evacuations.position {
+            let all = evacuation::News::All(reported.domains.clone());
+            self.keep_evacuations(reported.position, &all, now_ms);
         }
-        self.evacuations.take_over(told);
+        self.evacuations.take_over(reported);
         self.follow_evacuations(now_ms)
     }
 
-    /// Has the servers follow what is evacuated; returns whether anything changed.
+    /// Updates the servers' table and reports changes; returns whether the set of evacuated failure domains changed.
     pub(super) fn follow_evacuations(&mut self, now_ms: u64) -> bool {
         let published = self.config.iter().flat_map(|config| &config.document.evacuated);
         let evacuated: collections::BTreeSet<String> = self
@@ -60,7 +64,7 @@
         true
     }
 
-    /// Tells the servers' table what it needs to share out the requests that cold servers bear.
+    /// Updates the live routers in the servers' table. The requests that cold servers can run are divided among them.
     pub(super) fn follow_fleet(&mut self, now_ms: u64) {
         let own = self.settings.incarnation;
         let fleet = servers::Fleet {
--- a/core/src/node/holders.rs
+++ b/core/src/node/holders.rs
@@ -1,152 +1,169 @@
-//! Budgets that only some routers hold in hand.
+//! Budgets whose tokens are granted to some routers only, the budget's holders.
 //!
-//! Where a router's share of a budget would be smaller than one request, the others ask a holder for what a
-//! request needs, and hand back what is left over. Rendezvous hashing over the live routers says who holds a
-//! budget, so nobody has to be told. Routers whose views differ for a while may all hold it: that
-//! splits it, and is safe, since each draws its own grant.
+//! If an equal share of a budget would be smaller than one request, the other routers request the tokens that a request
+//! needs from a holder, and return the excess. Rendezvous hashing over the live routers determines the holders, which
+//! needs no message. Routers with different views of the membership may all act as holders for a while: this splits the
+//! budget, and is safe, since each draws its own grant.
 
 use super::{Action, Lifecycle, Node, Notice, Reason, Request, Stage, questions};
 use crate::{grants, ids, members, message, rendezvous};
 
-/// How long a holder may take to answer before the next one is asked.
-const ANSWER_MS: u64 = 120;
-/// A question that stays unanswered is sent again after this long: datagrams get lost.
-const REPEAT_MS: u64 = 40;
-/// How long a holder that did not answer is passed over.
-const PASSED_OVER_MS: u64 = 2_000;
-/// Holders that are asked for one need before this router draws for itself.
-const HOLDERS_ASKED: usize = 2;
-/// How long a router draws for itself after no holder could help.
-const DIRECT_MS: u64 = 2_000;
-/// Spending that is asked for beyond what waits, in milliseconds of this router's rate.
-const AHEAD_MS: u64 = 1_000;
-/// Left-over tokens up to this much spending are kept.
-const KEPT_MS: u64 = 2_000;
-const HAND_BACK_EVERY_MS: u64 = 250;
-/// A router holds nothing in advance before it had the time to hear of the others: until no new member came for so
-/// long, since peers tell all they know at once, or until it has run for so long. While it holds nothing, every
-/// need is a call to the store.
-const VIEW_SETTLED_MS: u64 = 400;
-const SETTLE_MS: u64 = 2_000;
+/// Time after which the next holder is asked if a holder has not answered.
+const ANSWER_TIMEOUT_MS: u64 = 120;
+/// Time after which an unanswered transfer request is sent again, since messages may be lost.
+const RESEND_INTERVAL_MS: u64 = 40;
+/// How long a holder that did not answer is skipped.
+const SKIP_MS: u64 = 2_000;
+/// Number of holders that are asked, one after the other, before this router draws from the ledger itself.
+const HOLDERS_ASKED_MAX: usize = 2;
+/// How long a router draws from the ledger itself after no holder answered.
+const DIRECT_DRAW_MS: u64 = 2_000;
+/// Headroom that is requested beyond the waiting requests, in milliseconds of this router's spending rate.
+const REQUEST_HEADROOM_MS: u64 = 1_000;
+/// Headroom that a router keeps when it returns tokens to a holder, in milliseconds of its spending rate.
+const KEPT_HEADROOM_MS: u64 = 2_000;
+/// Interval between returns of excess tokens.
+const RETURN_INTERVAL_MS: u64 = 250;
+/// A router does not act as a holder before it has discovered the other routers: until no new member was discovered for
+/// this long, since peers send all the members that they have in one go. Without a holder, every shortage costs a call
+/// to the store.
+const MEMBERSHIP_QUIET_MS: u64 = 400;
+/// A router may act as a holder after running this long, even if it still discovers members or has discovered none.
+const MEMBERSHIP_SETTLE_MS: u64 = 2_000;
 
-/// A question of this router that a holder has not answered yet.
+/// A transfer request of this router that a holder has not answered yet.
 #[derive(Debug)]
-pub(super) struct Need {
+pub(super) struct PendingTransfer {
     number: u64,
     holder: ids::Incarnation,
+    /// When the request was first sent to this holder.
     asked_ms: u64,
+    /// When the request was last sent to this holder.
     sent_ms: u64,
+    /// The holders asked before.
     earlier: Vec<ids::Incarnation>,
-    /// Whether one of the earlier ones answered, if only that it cannot tell.
+    /// Whether one of the earlier holders answered, even if it could not determine whether tokens are left.
     answered: bool,
-    /// Whether this one said that it waits for the store.
+    /// Whether this holder reported that it waits for the store.
     waits: bool,
 }
 
-/// What asking holders has to remember.
+/// Transfer requests between this router and other routers.
 #[derive(Debug, Default)]
 pub(super) struct Holders {
-    needs: std::collections::HashMap<ids::BudgetSlot, Need>,
+    /// The unanswered requests of this router.
+    sent_requests: std::collections::HashMap<ids::BudgetSlot, PendingTransfer>,
+    /// The requests of other routers that wait here.
     pub(super) questions: Vec<questions::Question>,
-    passed_over: std::collections::HashMap<ids::Incarnation, u64>,
-    next_number: u64,
-    handed_back_ms: u64,
+    /// Holders that did not answer, and until when they are skipped.
+    skipped_until_ms: std::collections::HashMap<ids::Incarnation, u64>,
+    last_number: u64,
+    /// When excess tokens were last returned.
+    returned_ms: u64,
 }
 
 impl Node {
-    /// Whether tokens of a budget come from a holder, not from the ledger.
+    /// Whether this router requests tokens of a budget from a holder instead of drawing them from the ledger.
     pub(super) fn asks_holders(&self, budget: ids::BudgetSlot, now_ms: u64) -> bool {
         let direct = self.asks.get(&budget).is_some_and(|ask| now_ms < ask.direct_until_ms);
         !self.grants.account(budget).holder && !direct
     }
 
-    /// Notes which budgets this router holds in hand.
+    /// Updates for which budgets this router is a holder, and which of them it draws from the ledger.
     pub(super) fn note_holders(&mut self, now_ms: u64) {
         let routers = self.members.live_count();
-        let settled = self.view_settled(now_ms);
+        let membership_settled = self.membership_settled(now_ms);
         let alive = self.alive();
         let own = self.settings.incarnation;
-        let holds = |account: &grants::Account| {
-            let ranked = ranked(&account.name, &alive);
-            (settled || account.holder)
+        let is_holder = |account: &grants::Account| {
+            let ranked = rank_holders(&account.name, &alive);
+            (membership_settled || account.holder)
                 && ranked.iter().take(account.settings.holders as usize).any(|id| *id == own)
         };
         let draws = |budget| {
             let direct = self.asks.get(&budget).is_some_and(|ask| now_ms < ask.direct_until_ms);
             direct || self.holders.questions.iter().any(|question| question.budget == budget)
         };
-        self.grants.note_holders(routers, holds, draws);
+        self.grants.note_holders(routers, is_holder, draws);
     }
 
-    /// Goes on with what waits for a holder's answer.
+    /// Continues the search for a waiting request's tokens: asks a holder, or refuses the request after its wait.
     pub(super) fn search_holders(&mut self, slot: ids::RequestSlot, now_ms: u64) {
         let Some(request) = self.requests.get(slot) else { return };
         let budget = request.budget;
         let waited_ms = now_ms.saturating_sub(request.stage_since_ms);
         if waited_ms >= self.settings.budget_wait_ms || now_ms >= request.wanted.deadline_ms {
             self.refuse(slot, Reason::BudgetUnreachable, now_ms);
-        } else if !self.holders.needs.contains_key(&budget) {
+        } else if !self.holders.sent_requests.contains_key(&budget) {
             self.ask_holder(budget, now_ms);
         }
     }
 
-    /// Asks again, or the next holder, where an answer is overdue; answers what waited too long here.
+    /// Repeats unanswered requests, asks the next holder after a timeout, answers the requests of other routers, and
+    /// returns excess tokens.
     pub(super) fn tick_holders(&mut self, now_ms: u64) {
-        self.holders.passed_over.retain(|_, until_ms| now_ms < *until_ms);
-        let overdue = |need: &Need| {
-            let patience_ms =
-                if need.waits { ANSWER_MS + questions::STORE_WAIT_MS } else { ANSWER_MS };
-            now_ms >= need.asked_ms + patience_ms
+        self.holders.skipped_until_ms.retain(|_, until_ms| now_ms < *until_ms);
+        let timed_out = |pending: &PendingTransfer| {
+            let timeout_ms = if pending.waits {
+                ANSWER_TIMEOUT_MS + questions::STORE_WAIT_MS
+            } else {
+                ANSWER_TIMEOUT_MS
+            };
+            now_ms >= pending.asked_ms + timeout_ms
         };
-        let needs = &self.holders.needs;
-        let late: Vec<ids::BudgetSlot> =
-            needs.iter().filter(|(_, need)| overdue(need)).map(|(budget, _)| *budget).collect();
-        for budget in late {
-            let Some(need) = self.holders.needs.remove(&budget) else { continue };
-            self.pass_over(need.holder, budget, now_ms);
-            self.ask_next(budget, need, false, now_ms);
+        let sent_requests = &self.holders.sent_requests;
+        let timed_out: Vec<ids::BudgetSlot> = sent_requests
+            .iter()
+            .filter(|(_, pending)| timed_out(pending))
+            .map(|(budget, _)| *budget)
+            .collect();
+        for budget in timed_out {
+            let Some(pending) = self.holders.sent_requests.remove(&budget) else { continue };
+            self.skip_holder(pending.holder, budget, now_ms);
+            self.ask_next_holder(budget, pending, false, now_ms);
         }
         let repeated: Vec<ids::BudgetSlot> = self
             .holders
-            .needs
+            .sent_requests
             .iter()
-            .filter(|(_, need)| !need.waits && now_ms >= need.sent_ms + REPEAT_MS)
+            .filter(|(_, pending)| !pending.waits && now_ms >= pending.sent_ms + RESEND_INTERVAL_MS)
             .map(|(budget, _)| *budget)
             .collect();
         for budget in repeated {
-            self.send_need(budget, now_ms);
+            self.send_transfer_request(budget, now_ms);
         }
         self.answer_questions(now_ms);
-        if now_ms >= self.holders.handed_back_ms + HAND_BACK_EVERY_MS {
-            self.holders.handed_back_ms = now_ms;
-            self.hand_back(now_ms);
+        if now_ms >= self.holders.returned_ms + RETURN_INTERVAL_MS {
+            self.holders.returned_ms = now_ms;
+            self.return_excess(now_ms);
         }
     }
 
-    /// Whether this router has had the time to hear who else there is.
-    fn view_settled(&self, now_ms: u64) -> bool {
-        let met = self.members.live().next().is_some();
-        let settled = met && now_ms >= self.members.met_ms() + VIEW_SETTLED_MS;
-        settled || now_ms >= self.started_ms + SETTLE_MS
+    /// Whether this router has had the time to discover the other routers.
+    fn membership_settled(&self, now_ms: u64) -> bool {
+        let has_peers = self.members.live().next().is_some();
+        let settled = has_peers && now_ms >= self.members.met_ms() + MEMBERSHIP_QUIET_MS;
+        settled || now_ms >= self.started_ms + MEMBERSHIP_SETTLE_MS
     }
 
-    fn pass_over(&mut self, holder: ids::Incarnation, budget: ids::BudgetSlot, now_ms: u64) {
-        self.holders.passed_over.insert(holder, now_ms + PASSED_OVER_MS);
+    /// Skips a holder for a while because it did not answer.
+    fn skip_holder(&mut self, holder: ids::Incarnation, budget: ids::BudgetSlot, now_ms: u64) {
+        self.holders.skipped_until_ms.insert(holder, now_ms + SKIP_MS);
         let vm = self.members.find(holder).map(|record| record.vm.clone()).unwrap_or_default();
         let budget = self.grants.account(budget).name.clone();
         self.actions.push(Action::Notice(Notice::HolderSilent { vm, budget }));
     }
 
-    /// Asks the first holder that is not passed over, unless one is being asked.
+    /// Asks the first holder that is not skipped, unless a request is under way.
     pub(super) fn ask_holder(&mut self, budget: ids::BudgetSlot, now_ms: u64) {
-        if !self.holders.needs.contains_key(&budget) {
-            self.ask_other_than(Vec::new(), false, budget, now_ms);
+        if !self.holders.sent_requests.contains_key(&budget) {
+            self.ask_another_holder(Vec::new(), false, budget, now_ms);
         }
     }
 
-    /// Asks the next holder. Where none is left, this router draws for itself if all were silent; one that
-    /// answered is as near to the ledger as this router is.
-    fn ask_other_than(
+    /// Asks the next holder. If none is left, this router draws from the ledger itself, but only if no holder answered:
+    /// a holder that answered can reach the ledger as well as this router can.
+    fn ask_another_holder(
         &mut self,
         earlier: Vec<ids::Incarnation>,
         answered: bool,
@@ -154,103 +171,120 @@
         now_ms: u64,
     ) {
         let Some(holder) = self.holder_to_ask(budget, &earlier) else {
-            // The first in rank is this router itself, as far as it knows.
-            let first = earlier.is_empty();
-            self.grants.account_mut(budget).holder |= first;
+            // In this router's view of the membership, it is the first holder itself.
+            let is_first = earlier.is_empty();
+            self.grants.account_mut(budget).holder |= is_first;
             match answered {
-                true => self.refuse_waiting(budget, Reason::BudgetUnreachable, now_ms),
+                true => self.refuse_waiting_requests(budget, Reason::BudgetUnreachable, now_ms),
                 false => self.draw_directly(budget, now_ms),
             }
             return;
         };
-        self.holders.next_number += 1;
-        let number = self.holders.next_number;
+        self.holders.last_number += 1;
+        let number = self.holders.last_number;
         let (asked_ms, sent_ms, waits) = (now_ms, now_ms, false);
-        let need = Need { number, holder, asked_ms, sent_ms, earlier, answered, waits };
-        self.holders.needs.insert(budget, need);
-        self.send_need(budget, now_ms);
+        let pending =
+            PendingTransfer { number, holder, asked_ms, sent_ms, earlier, answered, waits };
+        self.holders.sent_requests.insert(budget, pending);
+        self.send_transfer_request(budget, now_ms);
     }
 
-    /// Takes a holder's word that it has nothing to give.
+    /// Handles a holder's reply that it has no tokens to transfer; `certain` if the budget is exhausted.
     pub(super) fn holder_has_none(&mut self, name: &str, number: u64, certain: bool, now_ms: u64) {
         let Some(budget) = self.grants.find(name) else { return };
-        if self.holders.needs.get(&budget).is_none_or(|need| need.number != number) {
+        if self.holders.sent_requests.get(&budget).is_none_or(|pending| pending.number != number) {
             return;
         }
-        let Some(need) = self.holders.needs.remove(&budget) else { return };
+        let Some(pending) = self.holders.sent_requests.remove(&budget) else { return };
         match certain {
-            true => self.refuse_waiting(budget, Reason::BudgetExhausted, now_ms),
-            false => self.ask_next(budget, need, true, now_ms),
+            true => self.refuse_waiting_requests(budget, Reason::BudgetExhausted, now_ms),
+            false => self.ask_next_holder(budget, pending, true, now_ms),
         }
     }
 
-    /// The holder that is asked has the question, and waits for the store.
+    /// Handles a holder's reply that it received the request and waits for the store.
     pub(super) fn holder_waits(&mut self, name: &str, number: u64) {
         let Some(budget) = self.grants.find(name) else { return };
-        if let Some(need) = self.holders.needs.get_mut(&budget).filter(|it| it.number == number) {
-            need.waits = true;
+        if let Some(pending) =
+            self.holders.sent_requests.get_mut(&budget).filter(|pending| pending.number == number)
+        {
+            pending.waits = true;
         }
     }
 
-    /// A holder's answer has come: what still waits for this budget asks again.
+    /// Ends a request that a holder answered with tokens. If requests still wait for this budget, another one follows.
     pub(super) fn holder_gave(&mut self, budget: ids::BudgetSlot, number: u64) {
-        if self.holders.needs.get(&budget).is_some_and(|need| need.number == number) {
-            self.holders.needs.remove(&budget);
+        if self.holders.sent_requests.get(&budget).is_some_and(|pending| pending.number == number) {
+            self.holders.sent_requests.remove(&budget);
         }
     }
 
-    fn ask_next(&mut self, budget: ids::BudgetSlot, need: Need, answered: bool, now_ms: u64) {
-        let mut earlier = need.earlier;
-        earlier.push(need.holder);
-        if self.waits_for(budget) {
-            self.ask_other_than(earlier, need.answered || answered, budget, now_ms);
+    /// Asks the next holder if requests still wait for the budget.
+    fn ask_next_holder(
+        &mut self,
+        budget: ids::BudgetSlot,
+        pending: PendingTransfer,
+        answered: bool,
+        now_ms: u64,
+    ) {
+        let mut earlier = pending.earlier;
+        earlier.push(pending.holder);
+        if self.has_waiting_requests(budget) {
+            self.ask_another_holder(earlier, pending.answered || answered, budget, now_ms);
         }
     }
 
+    /// Draws a budget from the ledger without a holder, for a while.
     fn draw_directly(&mut self, budget: ids::BudgetSlot, now_ms: u64) {
-        self.asks.entry(budget).or_default().direct_until_ms = now_ms + DIRECT_MS;
+        self.asks.entry(budget).or_default().direct_until_ms = now_ms + DIRECT_DRAW_MS;
         self.grants.account_mut(budget).draws = true;
         self.sum_shortages();
         self.poke_ledger_of(budget);
         self.tick_platform(now_ms);
     }
 
-    fn send_need(&mut self, budget: ids::BudgetSlot, now_ms: u64) {
+    /// Sends, or sends again, the transfer request for a budget.
+    fn send_transfer_request(&mut self, budget: ids::BudgetSlot, now_ms: u64) {
         let (smallest, all) = self.waiting_tokens(budget);
-        let Some(need) = self.holders.needs.get_mut(&budget) else { return };
-        need.sent_ms = now_ms;
-        let (holder, number) = (need.holder, need.number);
+        let Some(pending) = self.holders.sent_requests.get_mut(&budget) else { return };
+        pending.sent_ms = now_ms;
+        let (holder, number) = (pending.holder, pending.number);
         let account = self.grants.account(budget);
         let free_tokens = account.free_tokens();
-        let ahead = account.rate_tokens_per_s().saturating_mul(AHEAD_MS) / 1_000;
+        let headroom_tokens =
+            account.rate_tokens_per_s().saturating_mul(REQUEST_HEADROOM_MS) / 1_000;
         let message = message::Message::TransferAsk {
             number,
             budget: account.name.clone(),
             needed_tokens: smallest.saturating_sub(free_tokens).max(1),
-            wanted_tokens: all.saturating_add(ahead).saturating_sub(free_tokens).max(1),
+            wanted_tokens: all.saturating_add(headroom_tokens).saturating_sub(free_tokens).max(1),
             asker: self.members.own().clone(),
         };
         self.send(holder, message);
     }
 
-    /// The bounds of the requests that wait for a budget: the smallest one, and all together.
+    /// The token bounds of the requests that wait for a budget: the smallest one, and the sum.
     fn waiting_tokens(&self, budget: ids::BudgetSlot) -> (u64, u64) {
-        let bounds = || self.waiting_for(budget).map(|request| request.wanted.bound_tokens);
+        let bounds =
+            || self.requests_waiting_for(budget).map(|request| request.wanted.bound_tokens);
         (bounds().min().unwrap_or(0), bounds().sum())
     }
 
-    fn waits_for(&self, budget: ids::BudgetSlot) -> bool {
-        self.waiting_for(budget).next().is_some()
+    /// Whether requests wait for a budget.
+    fn has_waiting_requests(&self, budget: ids::BudgetSlot) -> bool {
+        self.requests_waiting_for(budget).next().is_some()
     }
 
-    fn waiting_for(&self, budget: ids::BudgetSlot) -> impl Iterator<Item = &Request> {
+    /// The requests that wait for a budget.
+    fn requests_waiting_for(&self, budget: ids::BudgetSlot) -> impl Iterator<Item = &Request> {
         let waits = move |request: &&Request| {
             request.budget == budget && matches!(request.stage, Stage::WaitingBudget)
         };
         self.requests.values().filter(waits)
     }
 
-    fn refuse_waiting(&mut self, budget: ids::BudgetSlot, reason: Reason, now_ms: u64) {
+    /// Refuses all requests that wait for a budget.
+    fn refuse_waiting_requests(&mut self, budget: ids::BudgetSlot, reason: Reason, now_ms: u64) {
         let (smallest, _) = self.waiting_tokens(budget);
         self.note_exhausted(budget, smallest, reason, now_ms);
         let waiting: Vec<ids::RequestSlot> = self
@@ -266,51 +300,52 @@
         }
     }
 
+    /// The next holder of a budget to ask; `None` if enough were asked, none is left, or it is this router.
     fn holder_to_ask(
         &self,
         budget: ids::BudgetSlot,
         earlier: &[ids::Incarnation],
     ) -> Option<ids::Incarnation> {
-        if earlier.len() >= HOLDERS_ASKED {
+        if earlier.len() >= HOLDERS_ASKED_MAX {
             return None;
         }
         let account = self.grants.account(budget);
-        let mut holders = ranked(&account.name, &self.alive());
-        holders.truncate((account.settings.holders as usize).max(HOLDERS_ASKED));
-        // Askers share themselves out among the holders; the next in rank stand in.
+        let mut holders = rank_holders(&account.name, &self.alive());
+        holders.truncate((account.settings.holders as usize).max(HOLDERS_ASKED_MAX));
+        // Spreads the requesting routers over the holders; the routers ranked next are the fallback.
         let first = self.settings.incarnation.0 % account.settings.holders.max(1);
-        let turned = holders.len().min(first as usize);
-        holders.rotate_left(turned);
-        let passed = |id: &ids::Incarnation| self.holders.passed_over.contains_key(id);
-        let holder = holders.into_iter().find(|id| !earlier.contains(id) && !passed(id))?;
+        let offset = holders.len().min(first as usize);
+        holders.rotate_left(offset);
+        let skipped = |id: &ids::Incarnation| self.holders.skipped_until_ms.contains_key(id);
+        let holder = holders.into_iter().find(|id| !earlier.contains(id) && !skipped(id))?;
         (holder != self.settings.incarnation).then_some(holder)
     }
 
-    /// The routers that answer, this one among them.
+    /// The routers that respond to probes, including this one.
     fn alive(&self) -> Vec<ids::Incarnation> {
         let alive = self.members.live().filter(|record| record.health == members::Health::Alive);
         alive.map(|record| record.id).chain([self.settings.incarnation]).collect()
     }
 
-    /// Hands back what is left over here to who holds the budget.
-    fn hand_back(&mut self, now_ms: u64) {
+    /// Returns excess tokens to the holders of their budgets.
+    fn return_excess(&mut self, now_ms: u64) {
         self.grants.confirm_empty();
         let stopping = self.lifecycle == Lifecycle::Stopping;
         if !stopping && self.lifecycle != Lifecycle::Ready {
             return;
         }
-        let over: Vec<(ids::BudgetSlot, u64)> = self
+        let returned: Vec<(ids::BudgetSlot, u64)> = self
             .grants
             .iter()
             .filter(|(_, account)| account.settings.holders > 0 && account.shortage_tokens == 0)
             .filter(|(_, account)| match stopping {
-                // What was drawn from the ledger is closed there; a copy must not go elsewhere.
+                // A grant drawn from the ledger is closed in the ledger; its tokens must not be sent elsewhere as well.
                 true => !account.has_row,
                 false => !account.holder,
             })
-            .filter_map(|(slot, account)| Some((slot, left_over(account, stopping)?)))
+            .filter_map(|(slot, account)| Some((slot, excess_tokens(account, stopping)?)))
             .collect();
-        for (budget, tokens) in over {
+        for (budget, tokens) in returned {
             if let Some(holder) = self.holder_to_ask(budget, &[]) {
                 self.give(holder, budget, tokens, 0, now_ms);
                 self.grants.account_mut(budget).note_handed_back(tokens);
@@ -319,20 +354,20 @@
     }
 }
 
-/// What a router that does not hold a budget may hand back of it.
-fn left_over(account: &grants::Account, stopping: bool) -> Option<u64> {
+/// The tokens that a router may return to a holder; `None` if there are none.
+fn excess_tokens(account: &grants::Account, stopping: bool) -> Option<u64> {
     let kept = match stopping || account.confirm_version > 0 {
         true => 0,
-        false => account.rate_tokens_per_s().saturating_mul(KEPT_MS) / 1_000,
+        false => account.rate_tokens_per_s().saturating_mul(KEPT_HEADROOM_MS) / 1_000,
     };
-    // What was drawn from the ledger goes back there.
+    // Tokens drawn from the ledger are returned to the ledger.
     let drawn = account.surplus_tokens();
-    let over = account.free_tokens().saturating_sub(kept).saturating_sub(drawn);
-    (over > 0 && !account.awaits_recovery).then_some(over)
+    let excess = account.free_tokens().saturating_sub(kept).saturating_sub(drawn);
+    (excess > 0 && !account.awaits_recovery).then_some(excess)
 }
 
-/// All of `routers`, the first holder of a budget first.
-fn ranked(budget: &str, routers: &[ids::Incarnation]) -> Vec<ids::Incarnation> {
+/// All of `routers` by their rank as holders of a budget, the first holder first.
+fn rank_holders(budget: &str, routers: &[ids::Incarnation]) -> Vec<ids::Incarnation> {
     let subject = rendezvous::digest(budget);
     let mut ranked = routers.to_vec();
     ranked.sort_by_cached_key(|id| std::cmp::Reverse(rendezvous::weight(subject, id.0)));
--- a/core/src/node/lifecycle.rs
+++ b/core/src/node/lifecycle.rs
@@ -1,10 +1,10 @@
-//! How a router stops by plan: nothing new is taken, what runs is finished, all is handed back.
+//! The planned stop of a router.
 
 use super::{Lifecycle, Node, Reason, Stage};
 use crate::ids;
 
 impl Node {
-    /// Starts a planned stop: nothing new is taken, what runs is finished, all is handed back.
+    /// Starts a planned stop: new requests are refused, running ones finish, all grants are returned.
     pub fn stop(&mut self, now_ms: u64) {
         if matches!(self.lifecycle, Lifecycle::Stopping | Lifecycle::Stopped) {
             return;
@@ -23,6 +23,7 @@
         }
     }
 
+    /// Completes a planned stop once no request, settlement, transfer or grant is left.
     pub(super) fn tick_lifecycle(&mut self, now_ms: u64) {
         if self.lifecycle != Lifecycle::Stopping {
             return;
