--- a/core/src/node.rs
+++ b/core/src/node.rs
@@ -6,15 +6,15 @@
 //! requests), `platform` (calls to the store), `peers` (messages).
 
 mod admit;
-mod adopt;
+mod config_and_vms;
 mod confirmations;
-mod copies;
 mod counters;
 mod dump;
 mod era_record;
 mod eras;
 mod evacuate;
 mod holders;
+mod ledger_copies;
 mod lifecycle;
 mod limits;
 mod notices;
