--- a/core/src/node.rs
+++ b/core/src/node.rs
@@ -306,7 +306,7 @@
         self.tick_eras(now_ms);
         self.tick_era_record(now_ms);
         self.tick_confirmations(now_ms);
-        self.tick_copies(now_ms);
+        self.tick_ledger_copies(now_ms);
         self.tick_watching(now_ms);
         self.tick_rates(now_ms);
         self.tick_waiting_budget(now_ms);
@@ -376,8 +376,8 @@
         let routers = self.members.live_count();
         self.most_routers = self.most_routers.max(routers);
         self.grants.measure_rates(now_ms);
-        self.note_holders(now_ms);
-        self.follow_fleet(now_ms);
+        self.update_holders(now_ms);
+        self.update_fleet(now_ms);
         let share = |rate_per_s: u64| (rate_per_s * PLATFORM_SHARE_PERCENT / 100 / routers).max(1);
         self.reads.set_rate(share(self.settings.platform_reads_per_s));
         self.writes.set_rate(share(self.settings.platform_writes_per_s));
@@ -387,7 +387,7 @@
     }
 
     /// Removes a request from the tables.
-    fn forget_request(&mut self, slot: ids::RequestSlot) -> Option<Request> {
+    fn remove_request(&mut self, slot: ids::RequestSlot) -> Option<Request> {
         let request = self.requests.remove(slot)?;
         self.by_attempt.remove(&request.attempt);
         if self.by_key.get(&request.wanted.key) == Some(&slot) {
--- a/core/src/node/admit.rs
+++ b/core/src/node/admit.rs
@@ -77,7 +77,7 @@
     }
 
     /// Handles the decision on a claim of this router.
-    pub(super) fn claim_decided(
+    pub(super) fn handle_claim_verdict(
         &mut self,
         claim: &log_index::Claim,
         verdict: log_index::Verdict,
@@ -164,17 +164,22 @@
     fn choose_server(&mut self, slot: ids::RequestSlot, now_ms: u64) {
         if !self.servers.limits().is_empty() {
             let service = self.requests.get(slot).map(|request| request.wanted.service.clone());
-            service.iter().for_each(|service| self.ask_for_trials(service, now_ms));
+            service.iter().for_each(|service| self.request_trials(service, now_ms));
         }
         let Some(request) = self.requests.get(slot) else { return };
         match choose(&mut self.servers, request, now_ms, &mut self.rng) {
-            Ok(choice) => self.placed(slot, choice, now_ms),
+            Ok(choice) => self.handle_server_choice(slot, choice, now_ms),
             Err(unavailable) => self.enqueue(slot, unavailable, now_ms),
         }
     }
 
     /// Handles the choice of a server: records a claim first if the request is unrepeatable, else dispatches it.
-    pub(super) fn placed(&mut self, slot: ids::RequestSlot, choice: servers::Choice, now_ms: u64) {
+    pub(super) fn handle_server_choice(
+        &mut self,
+        slot: ids::RequestSlot,
+        choice: servers::Choice,
+        now_ms: u64,
+    ) {
         let servers::Choice { slot: server, unread_tokens } = choice;
         let Some(request) = self.requests.get_mut(slot) else { return };
         request.unread_tokens = unread_tokens;
@@ -285,7 +290,7 @@
 
     /// Ends a request that was not sent to any server, and releases its tokens, its place at a server and its claim.
     fn end_unsent(&mut self, slot: ids::RequestSlot, answer: Answer, now_ms: u64) {
-        let Some(request) = self.forget_request(slot) else { return };
+        let Some(request) = self.remove_request(slot) else { return };
         let key = request.wanted.key;
         match request.stage {
             Stage::WaitingServer { reservation } => {
--- a/core/src/node/config_and_vms.rs
+++ b/core/src/node/config_and_vms.rs
@@ -7,11 +7,11 @@
 impl Node {
     /// Applies a configuration of the store if it is newer than the one in force; returns whether it is.
     pub fn offer_config(&mut self, published: config::Published, now_ms: u64) -> bool {
-        self.adopt_config(published, ConfigSource::Store, now_ms)
+        self.apply_config(published, ConfigSource::Store, now_ms)
     }
 
     /// Applies a configuration if it is newer than the one in force; returns whether it is.
-    pub(super) fn adopt_config(
+    pub(super) fn apply_config(
         &mut self,
         published: config::Published,
         source: ConfigSource,
@@ -51,7 +51,7 @@
         });
         self.servers.set_cold_limits(limits, now_ms);
         self.config = Some(published);
-        self.follow_evacuations(now_ms);
+        self.update_evacuated_domains(now_ms);
         self.become_ready();
         self.actions.push(Action::ConfigInForce { version, source });
         true
@@ -90,12 +90,12 @@
         self.lapsed = lapsed;
         // At the same index, the platform's client may have dropped an expired record that will not be written again.
         if index >= self.vms_index {
-            self.follow_vms(index, vms, now_ms);
+            self.replace_vms(index, vms, now_ms);
         }
     }
 
     /// Replaces the list of VMs and updates all that depends on it.
-    pub(super) fn follow_vms(
+    pub(super) fn replace_vms(
         &mut self,
         index: store::Position,
         vms: Vec<servers::Vm>,
@@ -120,7 +120,7 @@
         let router_removed =
             earlier.values().filter(removed).any(|vm| vm.service == ROUTER_SERVICE);
         for vm in earlier.values().filter(removed) {
-            self.eras.note_removed(&vm.vm, vm.life, previous_index, now_ms);
+            self.eras.record_removal(&vm.vm, vm.life, previous_index, now_ms);
         }
         if self.listed_index == store::Position::START && self.vms.contains_key(&self.settings.vm) {
             self.listed_index = index;
--- a/core/src/node/confirmations.rs
+++ b/core/src/node/confirmations.rs
@@ -98,7 +98,7 @@
             recovered.is_some_and(|recovered| recovered != message::Recovered::Nothing)
         });
         let is_final = replies_final && answered && silent > 0;
-        let silent = Some(silent).filter(|silent| *silent <= self.silent_max());
+        let silent = Some(silent).filter(|silent| *silent <= self.unavailable_max());
         (is_final || silent.is_some()).then_some(ledger_writer::Verdict { silent, is_final })
     }
 
@@ -178,7 +178,7 @@
     }
 
     /// Handles a request of a router that waits for this one to recover its data.
-    pub(super) fn take_recovery_ask(
+    pub(super) fn handle_recovery_request(
         &mut self,
         from: ids::Incarnation,
         era: u64,
@@ -200,7 +200,7 @@
     }
 
     /// Handles another router's reply to a recovery request.
-    pub(super) fn take_recovery_reply(
+    pub(super) fn handle_recovery_reply(
         &mut self,
         from: ids::Incarnation,
         era: u64,
--- a/core/src/node/era_record.rs
+++ b/core/src/node/era_record.rs
@@ -97,7 +97,7 @@
     }
 
     /// Handles the store's reply to a call for the record.
-    pub(super) fn era_record_reply(&mut self, reply: store::Reply, now_ms: u64) {
+    pub(super) fn handle_era_record_reply(&mut self, reply: store::Reply, now_ms: u64) {
         let written = self.era_record.writing.take();
         self.era_record.in_flight = false;
         let era = self.store_era();
--- a/core/src/node/eras.rs
+++ b/core/src/node/eras.rs
@@ -84,12 +84,12 @@
     }
 
     /// Stores the revision of a server's record.
-    pub(super) fn note_record_revision(&mut self, vm: &str, revision: u64) {
+    pub(super) fn set_record_revision(&mut self, vm: &str, revision: u64) {
         self.revisions.insert(vm.to_owned(), revision);
     }
 
     /// Records the removal of a server's record; `listed` is the position of a list that contained it.
-    pub(super) fn note_removed(
+    pub(super) fn record_removal(
         &mut self,
         vm: &str,
         life: ids::ServerLife,
@@ -193,7 +193,7 @@
 
     /// Handles a peer's digest with a later era than the store's last answer: schedules a call to the store and keeps
     /// all copies until it answers. Servers that are leaving according to the digest get no new requests.
-    pub(super) fn hear_unconfirmed_era(
+    pub(super) fn handle_unconfirmed_era(
         &mut self,
         from: ids::Incarnation,
         digest: &message::Digest,
@@ -267,20 +267,20 @@
     fn release_held_back(&mut self, now_ms: u64) {
         let eras = &mut self.eras;
         if eras.evacuated.take_if(|(_, until_ms)| now_ms >= *until_ms).is_some() {
-            self.follow_evacuations(now_ms);
+            self.update_evacuated_domains(now_ms);
         }
         let eras = &mut self.eras;
         let held_back = eras.held_back_until_ms.len();
         eras.held_back_until_ms.retain(|_, until_ms| now_ms < *until_ms);
         if eras.held_back_until_ms.len() < held_back {
             let vms = self.vms.values().cloned().collect();
-            self.follow_vms(self.vms_index, vms, now_ms);
+            self.replace_vms(self.vms_index, vms, now_ms);
         }
     }
 
     /// Retains the evacuations of the lost history before `update` of a later era replaces them, so that the operator
     /// has time to write them again.
-    pub(super) fn keep_evacuations(
+    pub(super) fn retain_evacuations(
         &mut self,
         position: store::Position,
         update: &evacuation::News,
--- a/core/src/node/evacuate.rs
+++ b/core/src/node/evacuate.rs
@@ -11,33 +11,33 @@
     }
 
     /// Applies the evacuations in an answer of the store.
-    pub(super) fn take_evacuations(
+    pub(super) fn apply_evacuations(
         &mut self,
         position: store::Position,
         update: evacuation::News,
         now_ms: u64,
     ) {
-        self.keep_evacuations(position, &update, now_ms);
+        self.retain_evacuations(position, &update, now_ms);
         self.evacuations.take(position, update);
-        self.follow_evacuations(now_ms);
+        self.update_evacuated_domains(now_ms);
     }
 
     /// Merges the evacuations reported by a peer; returns whether the set of evacuated failure domains changed.
-    pub(super) fn hear_evacuations(
+    pub(super) fn merge_evacuations(
         &mut self,
         reported: &evacuation::Evacuations,
         now_ms: u64,
     ) -> bool {
         if reported.position > self.evacuations.position {
             let all = evacuation::News::All(reported.domains.clone());
-            self.keep_evacuations(reported.position, &all, now_ms);
+            self.retain_evacuations(reported.position, &all, now_ms);
         }
         self.evacuations.take_over(reported);
-        self.follow_evacuations(now_ms)
+        self.update_evacuated_domains(now_ms)
     }
 
     /// Updates the servers' table and reports changes; returns whether the set of evacuated failure domains changed.
-    pub(super) fn follow_evacuations(&mut self, now_ms: u64) -> bool {
+    pub(super) fn update_evacuated_domains(&mut self, now_ms: u64) -> bool {
         let published = self.config.iter().flat_map(|config| &config.document.evacuated);
         let evacuated: collections::BTreeSet<String> = self
             .evacuations
@@ -65,7 +65,7 @@
     }
 
     /// Updates the live routers in the servers' table. The requests that cold servers can run are divided among them.
-    pub(super) fn follow_fleet(&mut self, now_ms: u64) {
+    pub(super) fn update_fleet(&mut self, now_ms: u64) {
         let own = self.settings.incarnation;
         let fleet = servers::Fleet {
             own,
--- a/core/src/node/holders.rs
+++ b/core/src/node/holders.rs
@@ -64,13 +64,13 @@
 
 impl Node {
     /// Whether this router requests tokens of a budget from a holder instead of drawing them from the ledger.
-    pub(super) fn asks_holders(&self, budget: ids::BudgetSlot, now_ms: u64) -> bool {
+    pub(super) fn uses_holders(&self, budget: ids::BudgetSlot, now_ms: u64) -> bool {
         let direct = self.asks.get(&budget).is_some_and(|ask| now_ms < ask.direct_until_ms);
         !self.grants.account(budget).holder && !direct
     }
 
     /// Updates for which budgets this router is a holder, and which of them it draws from the ledger.
-    pub(super) fn note_holders(&mut self, now_ms: u64) {
+    pub(super) fn update_holders(&mut self, now_ms: u64) {
         let routers = self.members.live_count();
         let membership_settled = self.membership_settled(now_ms);
         let alive = self.alive();
@@ -88,14 +88,14 @@
     }
 
     /// Continues the search for a waiting request's tokens: asks a holder, or refuses the request after its wait.
-    pub(super) fn search_holders(&mut self, slot: ids::RequestSlot, now_ms: u64) {
+    pub(super) fn continue_holder_search(&mut self, slot: ids::RequestSlot, now_ms: u64) {
         let Some(request) = self.requests.get(slot) else { return };
         let budget = request.budget;
         let waited_ms = now_ms.saturating_sub(request.stage_since_ms);
         if waited_ms >= self.settings.budget_wait_ms || now_ms >= request.wanted.deadline_ms {
             self.refuse(slot, Reason::BudgetUnreachable, now_ms);
         } else if !self.holders.sent_requests.contains_key(&budget) {
-            self.ask_holder(budget, now_ms);
+            self.request_from_holder(budget, now_ms);
         }
     }
 
@@ -155,7 +155,7 @@
     }
 
     /// Asks the first holder that is not skipped, unless a request is under way.
-    pub(super) fn ask_holder(&mut self, budget: ids::BudgetSlot, now_ms: u64) {
+    pub(super) fn request_from_holder(&mut self, budget: ids::BudgetSlot, now_ms: u64) {
         if !self.holders.sent_requests.contains_key(&budget) {
             self.ask_another_holder(Vec::new(), false, budget, now_ms);
         }
@@ -190,7 +190,13 @@
     }
 
     /// Handles a holder's reply that it has no tokens to transfer; `certain` if the budget is exhausted.
-    pub(super) fn holder_has_none(&mut self, name: &str, number: u64, certain: bool, now_ms: u64) {
+    pub(super) fn handle_transfer_unavailable(
+        &mut self,
+        name: &str,
+        number: u64,
+        certain: bool,
+        now_ms: u64,
+    ) {
         let Some(budget) = self.grants.find(name) else { return };
         if self.holders.sent_requests.get(&budget).is_none_or(|pending| pending.number != number) {
             return;
@@ -203,7 +209,7 @@
     }
 
     /// Handles a holder's reply that it received the request and waits for the store.
-    pub(super) fn holder_waits(&mut self, name: &str, number: u64) {
+    pub(super) fn handle_transfer_deferred(&mut self, name: &str, number: u64) {
         let Some(budget) = self.grants.find(name) else { return };
         if let Some(pending) =
             self.holders.sent_requests.get_mut(&budget).filter(|pending| pending.number == number)
@@ -213,7 +219,7 @@
     }
 
     /// Ends a request that a holder answered with tokens. If requests still wait for this budget, another one follows.
-    pub(super) fn holder_gave(&mut self, budget: ids::BudgetSlot, number: u64) {
+    pub(super) fn complete_holder_request(&mut self, budget: ids::BudgetSlot, number: u64) {
         if self.holders.sent_requests.get(&budget).is_some_and(|pending| pending.number == number) {
             self.holders.sent_requests.remove(&budget);
         }
--- a/core/src/node/ledger_copies.rs
+++ b/core/src/node/ledger_copies.rs
@@ -11,7 +11,7 @@
 impl Node {
     /// Unlocks draws that enough other routers have stored a copy of, and sends copies again that were not
     /// acknowledged.
-    pub(super) fn tick_copies(&mut self, now_ms: u64) {
+    pub(super) fn tick_ledger_copies(&mut self, now_ms: u64) {
         if !self.ledgers.iter().any(ledger_writer::Writer::has_uncopied) {
             return;
         }
@@ -29,7 +29,7 @@
 
     /// The number of routers that may be unavailable at once while every draw has a copy at another router, or is
     /// small.
-    pub(super) fn silent_max(&self) -> u64 {
+    pub(super) fn unavailable_max(&self) -> u64 {
         LEDGER_COPIES.min(self.members.other_addresses()) as u64
     }
 
@@ -61,7 +61,7 @@
 
     /// Stores a copy of a ledger shard that another router wrote. A copy of an earlier era is not acknowledged: this
     /// router may already have reported to others that it has recovered all its data.
-    pub(super) fn take_ledger_copy(
+    pub(super) fn handle_ledger_copy(
         &mut self,
         from: ids::Incarnation,
         shard: u32,
--- a/core/src/node/limits.rs
+++ b/core/src/node/limits.rs
@@ -103,7 +103,7 @@
     }
 
     /// Merges the limits reported by a peer.
-    pub(super) fn hear_limits(&mut self, updates: &[servers::LimitNews], now_ms: u64) {
+    pub(super) fn merge_limits(&mut self, updates: &[servers::LimitNews], now_ms: u64) {
         for update in updates {
             let slot = self.servers.find_life(&update.vm, update.life);
             if let (Some(slot), Some(report)) = (slot, update.report(now_ms)) {
@@ -154,7 +154,7 @@
     }
 
     /// The limit updates for the next gossip datagram.
-    pub(super) fn limit_news(&mut self, now_ms: u64) -> Vec<servers::LimitNews> {
+    pub(super) fn take_limit_updates(&mut self, now_ms: u64) -> Vec<servers::LimitNews> {
         if self.servers.limits().is_empty() {
             return Vec::new();
         }
@@ -191,7 +191,7 @@
         let limited = self.servers.limited_services();
         let services: Vec<String> = limited.into_keys().map(str::to_owned).collect();
         for service in services {
-            self.ask_for_permits(&service, now_ms);
+            self.request_permits(&service, now_ms);
             self.shed_limited(&service, now_ms);
         }
         let due = now_ms >= self.limits.pushed_ms + PUSH_INTERVAL_MS;
@@ -202,7 +202,7 @@
     }
 
     /// Requests as many permits as requests of a service wait.
-    pub(super) fn ask_for_permits(&mut self, service: &str, now_ms: u64) {
+    pub(super) fn request_permits(&mut self, service: &str, now_ms: u64) {
         let waiting = self.queue(service).count() as u64;
         if waiting == 0 {
             return;
@@ -229,7 +229,7 @@
 
     /// Requests a trial of each limited server of a service that has not stated its limit for long. To be called when a
     /// request is about to get a server: where this router is the pacer, that request is the trial.
-    pub(super) fn ask_for_trials(&mut self, service: &str, now_ms: u64) {
+    pub(super) fn request_trials(&mut self, service: &str, now_ms: u64) {
         for slot in self.limited_slots(service, now_ms) {
             let Some(limited) = self.servers.limits().limited(slot) else { continue };
             let every_ms =
@@ -335,7 +335,7 @@
     }
 
     /// Handles a peer's request for permits.
-    pub(super) fn take_permit_ask(
+    pub(super) fn handle_permit_request(
         &mut self,
         from: ids::Incarnation,
         number: u64,
@@ -343,7 +343,7 @@
         wanted: servers::PermitsWanted,
         now_ms: u64,
     ) {
-        self.hear_limits(std::slice::from_ref(&known), now_ms);
+        self.merge_limits(std::slice::from_ref(&known), now_ms);
         let servers::LimitNews { vm, life, .. } = known;
         let granted = match self.servers.find_life(&vm, life) {
             Some(slot) => self.grant_permits(slot, wanted, now_ms),
@@ -354,7 +354,7 @@
     }
 
     /// Handles a pacer's reply to a request for permits.
-    pub(super) fn take_permits(
+    pub(super) fn handle_permit_reply(
         &mut self,
         number: u64,
         vm: &str,
@@ -369,7 +369,7 @@
         let Some(server) = self.servers.get(slot) else { return };
         let service = server.vm.service.clone();
         if granted.permits == 0 {
-            self.ask_for_permits(&service, now_ms);
+            self.request_permits(&service, now_ms);
         }
         self.drain_queue(&service, now_ms);
         self.shed_limited(&service, now_ms);
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -24,7 +24,7 @@
                 self.append(entry, waiter, log_writer::Urgency::Waited, now_ms);
             }
             message::Message::ClaimReply { claim, verdict } => {
-                self.claim_decided(&claim, verdict, now_ms);
+                self.handle_claim_verdict(&claim, verdict, now_ms);
             }
             message::Message::Settle(settlement) => self.take_settlement(from, settlement, now_ms),
             message::Message::SettleStored(attempt) => self.settlement_safe(attempt),
@@ -40,9 +40,11 @@
                 self.outbox.transfers.remove(&number);
             }
             message::Message::TransferDeclined { number } => self.take_back(number),
-            message::Message::TransferWait { number, budget } => self.holder_waits(&budget, number),
+            message::Message::TransferWait { number, budget } => {
+                self.handle_transfer_deferred(&budget, number)
+            }
             message::Message::TransferNone { number, budget, certain } => {
-                self.holder_has_none(&budget, number, certain, now_ms);
+                self.handle_transfer_unavailable(&budget, number, certain, now_ms);
                 self.note_answer(from, &budget, now_ms);
             }
             message::Message::ConfigAsk => self.send_config(from, now_ms),
@@ -54,27 +56,27 @@
             message::Message::MembersAsk => self.send_members(from),
             message::Message::Members(records) => self.members.learn_all(records, now_ms),
             message::Message::PermitAsk { number, known, wanted } => {
-                self.take_permit_ask(from, number, known, wanted, now_ms);
+                self.handle_permit_request(from, number, known, wanted, now_ms);
             }
             message::Message::Permits { number, vm, life, trial, granted } => {
-                self.take_permits(number, &vm, life, trial, granted, now_ms);
+                self.handle_permit_reply(number, &vm, life, trial, granted, now_ms);
             }
             message::Message::LedgerCopy { shard, position, value } => {
-                self.take_ledger_copy(from, shard, position, &value);
+                self.handle_ledger_copy(from, shard, position, &value);
             }
             message::Message::LedgerCopyStored { shard, write } => {
                 if let Some(ledger) = self.ledgers.get_mut(shard as usize) {
                     ledger.copied(from, write);
                 }
-                self.tick_copies(now_ms);
+                self.tick_ledger_copies(now_ms);
                 self.tick_waiting_budget(now_ms);
                 self.answer_questions(now_ms);
             }
             message::Message::RecoveryAsk { era, shards, routers } => {
-                self.take_recovery_ask(from, era, &shards, routers);
+                self.handle_recovery_request(from, era, &shards, routers);
             }
             message::Message::RecoveryReply { era, shards, addresses } => {
-                self.take_recovery_reply(from, era, &shards, addresses);
+                self.handle_recovery_reply(from, era, &shards, addresses);
             }
             message::Message::LeftBehind { shard } => {
                 if let Some(ledger) = self.ledgers.get_mut(shard as usize) {
@@ -99,7 +101,7 @@
     fn take_gossip(&mut self, gossip: &message::Gossip, now_ms: u64) {
         self.members.heard(gossip, now_ms);
         let differs = self.hear_quarantine(&gossip.quarantine, now_ms);
-        self.hear_limits(&gossip.limits, now_ms);
+        self.merge_limits(&gossip.limits, now_ms);
         for leaving in &gossip.leaving {
             self.hear_leaving_of(gossip.from.id, leaving);
         }
@@ -199,7 +201,7 @@
             news,
             leaving,
             quarantine: self.quarantine.table.news(answers, now_ms),
-            limits: self.limit_news(now_ms),
+            limits: self.take_limit_updates(now_ms),
         };
         self.counters.gossip_sent += 1;
         self.actions.push(Action::Gossip { address, gossip });
@@ -271,7 +273,7 @@
                 self.grants.account_mut(slot).received_tokens += tokens;
                 self.counters.transfers_received += 1;
                 self.send(from, message::Message::TransferTaken { number });
-                self.holder_gave(slot, answers);
+                self.complete_holder_request(slot, answers);
                 self.note_answer(from, budget, now_ms);
             }
             (outbox::Earlier::Declined, _) | (outbox::Earlier::New, None) => {
--- a/core/src/node/platform.rs
+++ b/core/src/node/platform.rs
@@ -56,7 +56,7 @@
             Purpose::Ledger(shard) => self.ledger_reply(shard, call, reply, now_ms),
             Purpose::Log(shard) => self.log_reply(shard, call, reply, now_ms),
             Purpose::Quarantine => self.record_reply(reply, now_ms),
-            Purpose::EraRecord => self.era_record_reply(reply, now_ms),
+            Purpose::EraRecord => self.handle_era_record_reply(reply, now_ms),
         }
         self.tick_platform(now_ms);
     }
@@ -190,7 +190,7 @@
             let request = store::Request::Write { key, expected_index, value, sets_era_marker };
             self.push_store(call, request);
         }
-        self.tick_copies(now_ms);
+        self.tick_ledger_copies(now_ms);
         for event in events {
             self.ledger_event(shard, event, now_ms);
         }
--- a/core/src/node/queue.rs
+++ b/core/src/node/queue.rs
@@ -74,7 +74,7 @@
                 Ok(choice) => {
                     self.waiting_servers.remove(&place);
                     self.drained.entry(service.to_owned()).or_default().dequeued += 1;
-                    self.placed(place.slot, choice, now_ms);
+                    self.handle_server_choice(place.slot, choice, now_ms);
                 }
                 Err(lack) if may_wait(lack) => return,
                 Err(lack) => self.refuse(place.slot, lack.into(), now_ms),
@@ -119,7 +119,7 @@
             return;
         }
         // A permit may be had at once.
-        self.ask_for_permits(&service, now_ms);
+        self.request_permits(&service, now_ms);
         self.drain_queue(&service, now_ms);
         self.shed_limited(&service, now_ms);
     }
--- a/core/src/node/relay.rs
+++ b/core/src/node/relay.rs
@@ -118,7 +118,7 @@
         let Some(watching) = &mut self.watching else { return };
         watching.heard_ms = Some(now_ms);
         if !self.accepts_era(digest.era.max(digest.servers.position.era)) {
-            self.hear_unconfirmed_era(from, digest, now_ms);
+            self.handle_unconfirmed_era(from, digest, now_ms);
         }
         self.hear_servers(from, digest, now_ms);
         self.hear_configuration(from, digest, now_ms);
@@ -159,7 +159,7 @@
         now_ms: u64,
     ) {
         if self.accepts_era(digest.evacuations.position.era)
-            && self.hear_evacuations(&digest.evacuations, now_ms)
+            && self.merge_evacuations(&digest.evacuations, now_ms)
         {
             self.hear_news(watch::Topic::Configuration, now_ms);
         }
@@ -280,12 +280,12 @@
         self.relay.asked_config_ms = None;
         let accepted = self.accepts_era(seen.position.era.max(evacuations.position.era));
         if accepted {
-            self.hear_evacuations(evacuations, now_ms);
+            self.merge_evacuations(evacuations, now_ms);
         }
         match postcard::from_bytes::<config::Published>(&value) {
             Ok(published) => {
                 let version = published.version;
-                self.adopt_config(published, ConfigSource::Peer(from), now_ms);
+                self.apply_config(published, ConfigSource::Peer(from), now_ms);
                 if version == self.config_version() {
                     self.relay.encoded = Some((version, value));
                     self.hear_news(watch::Topic::Configuration, now_ms);
@@ -313,7 +313,7 @@
             self.prepare_era_change(&all, now_ms);
         }
         self.relay.restart_changes(seen.position);
-        self.follow_vms(seen.position, vms, now_ms);
+        self.replace_vms(seen.position, vms, now_ms);
         self.hear_news(watch::Topic::Servers, now_ms);
         self.confirm(watch::Topic::Servers, seen, now_ms);
     }
--- a/core/src/node/settle.rs
+++ b/core/src/node/settle.rs
@@ -113,7 +113,7 @@
     pub(super) fn log_done(&mut self, done: log_writer::Done, now_ms: u64) {
         match (done.waiter, done.entry, done.verdict) {
             (log_writer::Waiter::Local(_), log_index::Entry::Claim(claim), Some(verdict)) => {
-                self.claim_decided(&claim, verdict, now_ms);
+                self.handle_claim_verdict(&claim, verdict, now_ms);
             }
             (log_writer::Waiter::Peer(peer), log_index::Entry::Claim(claim), Some(verdict)) => {
                 self.send(peer, message::Message::ClaimReply { claim, verdict });
@@ -171,7 +171,7 @@
     }
 
     fn end_not_run(&mut self, slot: ids::RequestSlot, now_ms: u64) {
-        let Some(request) = self.forget_request(slot) else { return };
+        let Some(request) = self.remove_request(slot) else { return };
         if request.wanted.unrepeatable {
             self.release_claim(slot, request.wanted.key, request.attempt, now_ms);
         }
@@ -191,7 +191,7 @@
         if self.logs.is_empty() {
             // No log, no billing by request: the ledger's own count is all there is.
             self.counters.settled += 1;
-            self.forget_request(slot);
+            self.remove_request(slot);
             self.answer(slot, Answer::Closed { safe: true });
             return;
         }
@@ -274,7 +274,7 @@
         if !safe {
             self.counters.closed_unsafe += 1;
         }
-        self.forget_request(slot);
+        self.remove_request(slot);
         self.answer(slot, Answer::Closed { safe });
     }
 }
--- a/core/src/node/tokens.rs
+++ b/core/src/node/tokens.rs
@@ -39,8 +39,8 @@
             self.refuse(slot, reason, now_ms);
             return;
         }
-        if self.asks_holders(budget, now_ms) {
-            self.ask_holder(budget, now_ms);
+        if self.uses_holders(budget, now_ms) {
+            self.request_from_holder(budget, now_ms);
             return;
         }
         let account = self.grants.account(budget);
@@ -74,8 +74,8 @@
     fn search_tokens(&mut self, slot: ids::RequestSlot, now_ms: u64) {
         let Some(request) = self.requests.get(slot) else { return };
         let (budget, since_ms) = (request.budget, request.stage_since_ms);
-        if self.asks_holders(budget, now_ms) {
-            self.search_holders(slot, now_ms);
+        if self.uses_holders(budget, now_ms) {
+            self.continue_holder_search(slot, now_ms);
             return;
         }
         let bound = request.wanted.bound_tokens;
--- a/core/src/node/watching.rs
+++ b/core/src/node/watching.rs
@@ -154,7 +154,7 @@
         match news {
             watch::News::Configuration(news) => {
                 // Before the configuration: a router that starts is ready with it.
-                self.take_evacuations(position, news.evacuations, now_ms);
+                self.apply_evacuations(position, news.evacuations, now_ms);
                 if let Some(published) = news.published {
                     self.offer_config(*published, now_ms);
                 }
@@ -181,9 +181,9 @@
                 }
                 self.relay.restart_changes(position);
                 for (vm, revision) in &all.revisions {
-                    self.eras.note_record_revision(vm, *revision);
+                    self.eras.set_record_revision(vm, *revision);
                 }
-                self.follow_vms(position, all.listed, now_ms);
+                self.replace_vms(position, all.listed, now_ms);
             }
         }
     }
@@ -208,7 +208,7 @@
             match &change.record {
                 watch::ServerRecord::Listed(vm) => {
                     self.forget_lapsed_of(&change.vm);
-                    self.eras.note_record_revision(&change.vm, change.position.revision);
+                    self.eras.set_record_revision(&change.vm, change.position.revision);
                     vms.insert(change.vm.clone(), vm.clone().unless_over(removed.as_ref()));
                 }
                 watch::ServerRecord::Gone | watch::ServerRecord::Unreadable => {
@@ -222,7 +222,7 @@
             }
             self.relay.note_change(change, now_ms);
         }
-        self.follow_vms(position, vms.into_values().collect(), now_ms);
+        self.replace_vms(position, vms.into_values().collect(), now_ms);
     }
 
     /// Forgets records that lapsed and did not come back in time.
@@ -236,7 +236,7 @@
         let kept = &watching.lapsed_until_ms;
         self.lapsed.retain(|vm| kept.contains_key(&vm.vm));
         let vms = self.vms.values().cloned().collect();
-        self.follow_vms(self.vms_index, vms, now_ms);
+        self.replace_vms(self.vms_index, vms, now_ms);
     }
 
     /// Keeps records that are missing from a list for [`LAPSED_KEPT_MS`] after the store became available again, which
