--- a/core/src/node.rs
+++ b/core/src/node.rs
@@ -75,13 +75,13 @@
         sent_ms: u64,
     },
     /// Settled; its last chunk waits until the settlement is durable or handed over.
-    Ending,
+    WaitingHandover,
 }
 
 /// An admitted request.
 #[derive(Debug)]
 struct Request {
-    wanted: Wanted,
+    admission: Wanted,
     budget: ids::BudgetSlot,
     attempt: ids::AttemptId,
     stage: Stage,
@@ -96,7 +96,7 @@
 
 /// The state of the search for one budget's tokens, in the store and at peers.
 #[derive(Debug, Default)]
-struct Ask {
+struct TokenSearch {
     /// Peers that have not answered the last transfer request.
     unanswered: collections::BTreeSet<ids::Incarnation>,
     /// When peers were last asked.
@@ -106,9 +106,9 @@
     refused_tokens: u64,
     refused_reason: Option<Reason>,
     /// When the last sync of the budget's ledger shard ended.
-    followed_ms: u64,
+    synced_ms: u64,
     /// No holder answered: until then, tokens are drawn from the ledger.
-    direct_until_ms: u64,
+    direct_draw_until_ms: u64,
 }
 
 /// A router's control state.
@@ -122,11 +122,11 @@
     vms: collections::HashMap<String, servers::Vm>,
     vms_index: store::Position,
     /// When a list of VMs was last received from the platform.
-    vms_heard_ms: u64,
+    vms_received_ms: u64,
     /// The position of the first list that contained this router's own VM; [`store::Position::START`] before that.
     listed_index: store::Position,
-    leavings: leavings::Leavings,
-    leavings_told_ms: u64,
+    leaving_servers: leavings::Leavings,
+    leaving_servers_pushed_ms: u64,
     grants: grants::Table,
     servers: servers::Table,
     members: members::Table,
@@ -139,11 +139,11 @@
     by_attempt: collections::HashMap<ids::AttemptId, ids::RequestSlot>,
     waiting_servers: collections::BTreeSet<queue::Place>,
     /// How fast the queue of each service drains.
-    drained: collections::HashMap<String, queue::Drain>,
-    asks: collections::HashMap<ids::BudgetSlot, Ask>,
+    queue_drains: collections::HashMap<String, queue::Drain>,
+    token_searches: collections::HashMap<ids::BudgetSlot, TokenSearch>,
     retries: collections::HashMap<String, retry::Budget>,
     /// The most routers that were live at once since this process started: routers that are cut off still count.
-    most_routers: u64,
+    max_live_routers: u64,
     outbox: outbox::Outbox,
     holders: holders::Holders,
     outage: outage::Outage,
@@ -166,8 +166,8 @@
     started_ms: u64,
     calls: collections::HashMap<ids::CallId, platform::StoreCall>,
     next_call: u64,
-    reads: limiter::Limiter,
-    writes: limiter::Limiter,
+    read_limiter: limiter::Limiter,
+    write_limiter: limiter::Limiter,
     measured_ms: u64,
     counters: Counters,
 }
@@ -185,8 +185,8 @@
         };
         let members = members::Table::new(own, settings.seeds.clone());
         let watching = settings.watch.map(watching::Watching::new);
-        let reads = limiter::Limiter::new(settings.platform_reads_per_s, 50, now_ms);
-        let writes = limiter::Limiter::new(settings.platform_writes_per_s, 5, now_ms);
+        let read_limiter = limiter::Limiter::new(settings.platform_reads_per_s, 50, now_ms);
+        let write_limiter = limiter::Limiter::new(settings.platform_writes_per_s, 5, now_ms);
         Self {
             settings,
             rng: rngs::StdRng::seed_from_u64(seed),
@@ -195,10 +195,10 @@
             config: None,
             vms: Default::default(),
             vms_index: store::Position::START,
-            vms_heard_ms: 0,
+            vms_received_ms: 0,
             listed_index: store::Position::START,
-            leavings: Default::default(),
-            leavings_told_ms: 0,
+            leaving_servers: Default::default(),
+            leaving_servers_pushed_ms: 0,
             grants: grants::Table::default(),
             servers: servers::Table::default(),
             members,
@@ -209,10 +209,10 @@
             by_key: Default::default(),
             by_attempt: Default::default(),
             waiting_servers: Default::default(),
-            drained: Default::default(),
-            asks: Default::default(),
+            queue_drains: Default::default(),
+            token_searches: Default::default(),
             retries: Default::default(),
-            most_routers: 1,
+            max_live_routers: 1,
             outbox: outbox::Outbox::default(),
             holders: Default::default(),
             outage: Default::default(),
@@ -231,8 +231,8 @@
             started_ms: now_ms,
             calls: Default::default(),
             next_call: 0,
-            reads,
-            writes,
+            read_limiter,
+            write_limiter,
             measured_ms: now_ms,
             counters: Counters::default(),
         }
@@ -286,7 +286,7 @@
 
     /// The servers that are leaving.
     pub fn leavings(&self) -> &leavings::Leavings {
-        &self.leavings
+        &self.leaving_servers
     }
 
     /// The routers in this router's view of the membership.
@@ -374,14 +374,14 @@
         }
         self.measured_ms = now_ms;
         let routers = self.members.live_count();
-        self.most_routers = self.most_routers.max(routers);
+        self.max_live_routers = self.max_live_routers.max(routers);
         self.grants.measure_rates(now_ms);
         self.update_holders(now_ms);
         self.update_fleet(now_ms);
         let share = |rate_per_s: u64| (rate_per_s * PLATFORM_SHARE_PERCENT / 100 / routers).max(1);
-        self.reads.set_rate(share(self.settings.platform_reads_per_s));
-        self.writes.set_rate(share(self.settings.platform_writes_per_s));
-        for drain in self.drained.values_mut() {
+        self.read_limiter.set_rate(share(self.settings.platform_reads_per_s));
+        self.write_limiter.set_rate(share(self.settings.platform_writes_per_s));
+        for drain in self.queue_drains.values_mut() {
             drain.measure(now_ms);
         }
     }
@@ -390,8 +390,8 @@
     fn remove_request(&mut self, slot: ids::RequestSlot) -> Option<Request> {
         let request = self.requests.remove(slot)?;
         self.by_attempt.remove(&request.attempt);
-        if self.by_key.get(&request.wanted.key) == Some(&slot) {
-            self.by_key.remove(&request.wanted.key);
+        if self.by_key.get(&request.admission.key) == Some(&slot) {
+            self.by_key.remove(&request.admission.key);
         }
         Some(request)
     }
--- a/core/src/node/admit.rs
+++ b/core/src/node/admit.rs
@@ -17,10 +17,10 @@
 
 impl Node {
     /// Admits or refuses a request. The answer is an [`Action::Answer`], often queued before this returns.
-    pub fn admit(&mut self, wanted: Wanted, now_ms: u64) -> ids::RequestSlot {
-        let budget = self.grants.find(&wanted.budget);
+    pub fn admit(&mut self, admission: Wanted, now_ms: u64) -> ids::RequestSlot {
+        let budget = self.grants.find(&admission.budget);
         let attempt = ids::AttemptId(self.rng.random());
-        let refusal_reason = self.admission_refusal(&wanted, budget, now_ms);
+        let refusal_reason = self.admission_refusal(&admission, budget, now_ms);
         let request = Request {
             budget: budget.unwrap_or_default(),
             attempt,
@@ -29,9 +29,9 @@
             failed_servers: Vec::new(),
             attempts: 0,
             unread_tokens: 0,
-            wanted,
+            admission,
         };
-        let key = request.wanted.key;
+        let key = request.admission.key;
         let slot = self.requests.insert(request);
         if let Some(reason) = refusal_reason {
             self.refuse(slot, reason, now_ms);
@@ -57,7 +57,7 @@
                 continue;
             };
             let waited_ms = now_ms.saturating_sub(request.stage_since_ms);
-            if waited_ms >= self.settings.claim_wait_ms || now_ms >= request.wanted.deadline_ms {
+            if waited_ms >= self.settings.claim_wait_ms || now_ms >= request.admission.deadline_ms {
                 expired.push((slot, other_attempt_seen_ms.is_some()));
             } else if other_attempt_seen_ms
                 .is_some_and(|seen_ms| now_ms >= seen_ms + CLAIM_CHECK_INTERVAL_MS)
@@ -103,7 +103,7 @@
         let retry_after_ms = self.retry_after_ms(slot, reason, now_ms);
         *self.counters.refused.entry(reason).or_default() += 1;
         if let Some(request) = self.requests.get(slot).filter(|_| reason == Reason::Limited) {
-            let service = request.wanted.service.clone();
+            let service = request.admission.service.clone();
             *self.counters.refused_for_limits.entry(service).or_default() += 1;
         }
         self.end_unsent(slot, refusal(reason, retry_after_ms), now_ms);
@@ -122,7 +122,7 @@
     /// The reason to refuse a request before any tokens are reserved for it, if there is one.
     fn admission_refusal(
         &self,
-        wanted: &Wanted,
+        admission: &Wanted,
         budget: Option<ids::BudgetSlot>,
         now_ms: u64,
     ) -> Option<Reason> {
@@ -132,25 +132,25 @@
             Lifecycle::Stopping | Lifecycle::Stopped => return Some(Reason::Stopping),
             Lifecycle::Ready => {}
         }
-        if let Some((reason, _)) = self.kept_back(wanted.fingerprint, now_ms) {
+        if let Some((reason, _)) = self.kept_back(admission.fingerprint, now_ms) {
             return Some(reason);
         }
-        let budget_missing = budget.is_none() && wanted.bound_tokens > 0;
-        if budget_missing || self.service(&wanted.service).is_none() {
+        let budget_missing = budget.is_none() && admission.bound_tokens > 0;
+        if budget_missing || self.service(&admission.service).is_none() {
             return Some(Reason::Unconfigured);
         }
-        if wanted.deadline_ms <= now_ms {
+        if admission.deadline_ms <= now_ms {
             return Some(Reason::DeadlineTooClose);
         }
         // An unrepeatable request may wait for the outcome of another request with its id.
-        let running = self.by_key.contains_key(&wanted.key) && !wanted.unrepeatable;
+        let running = self.by_key.contains_key(&admission.key) && !admission.unrepeatable;
         running.then_some(Reason::InProgress)
     }
 
     /// Reserves the tokens of a request and looks for a server; returns false if too few tokens are free.
     pub(super) fn try_reserve(&mut self, slot: ids::RequestSlot, now_ms: u64) -> bool {
         let Some(request) = self.requests.get_mut(slot) else { return true };
-        let Some(reservation) = self.grants.reserve(request.budget, request.wanted.bound_tokens)
+        let Some(reservation) = self.grants.reserve(request.budget, request.admission.bound_tokens)
         else {
             return false;
         };
@@ -163,7 +163,7 @@
     /// Chooses a server for a request, or queues the request until there is one.
     fn choose_server(&mut self, slot: ids::RequestSlot, now_ms: u64) {
         if !self.servers.limits().is_empty() {
-            let service = self.requests.get(slot).map(|request| request.wanted.service.clone());
+            let service = self.requests.get(slot).map(|request| request.admission.service.clone());
             service.iter().for_each(|service| self.request_trials(service, now_ms));
         }
         let Some(request) = self.requests.get(slot) else { return };
@@ -183,7 +183,7 @@
         let servers::Choice { slot: server, unread_tokens } = choice;
         let Some(request) = self.requests.get_mut(slot) else { return };
         request.unread_tokens = unread_tokens;
-        let stage = std::mem::replace(&mut request.stage, Stage::Ending);
+        let stage = std::mem::replace(&mut request.stage, Stage::WaitingHandover);
         let Stage::WaitingServer { reservation } = stage else {
             request.stage = stage;
             return;
@@ -195,7 +195,7 @@
             other_attempt_seen_ms: None,
         };
         request.stage_since_ms = now_ms;
-        if request.wanted.unrepeatable && !self.logs.is_empty() {
+        if request.admission.unrepeatable && !self.logs.is_empty() {
             self.send_claim(slot, now_ms);
         } else {
             self.dispatch(slot, now_ms);
@@ -231,14 +231,14 @@
 
     fn build_claim(&self, slot: ids::RequestSlot) -> Option<log_index::Claim> {
         let request = self.requests.get(slot)?;
-        let (key, body_hash) = (request.wanted.key, request.wanted.body_hash);
+        let (key, body_hash) = (request.admission.key, request.admission.body_hash);
         Some(log_index::Claim { key, attempt: request.attempt, body_hash })
     }
 
     /// Dispatches a request whose claim, if it needs one, is recorded.
     fn dispatch(&mut self, slot: ids::RequestSlot, now_ms: u64) {
         let Some(request) = self.requests.get(slot) else { return };
-        if let Some((reason, _)) = self.kept_back(request.wanted.fingerprint, now_ms) {
+        if let Some((reason, _)) = self.kept_back(request.admission.fingerprint, now_ms) {
             // While it waited, a server crashed while running the same request for another router.
             self.refuse(slot, reason, now_ms);
             return;
@@ -248,7 +248,7 @@
             return;
         }
         let Some(request) = self.requests.get_mut(slot) else { return };
-        let stage = std::mem::replace(&mut request.stage, Stage::Ending);
+        let stage = std::mem::replace(&mut request.stage, Stage::WaitingHandover);
         let Stage::WaitingClaim { reservation, server, .. } = stage else {
             request.stage = stage;
             return;
@@ -291,7 +291,7 @@
     /// Ends a request that was not sent to any server, and releases its tokens, its place at a server and its claim.
     fn end_unsent(&mut self, slot: ids::RequestSlot, answer: Answer, now_ms: u64) {
         let Some(request) = self.remove_request(slot) else { return };
-        let key = request.wanted.key;
+        let key = request.admission.key;
         match request.stage {
             Stage::WaitingServer { reservation } => {
                 self.waiting_servers.retain(|place| place.slot != slot);
@@ -305,7 +305,7 @@
                     self.release_claim(slot, key, request.attempt, now_ms);
                 }
             }
-            Stage::WaitingBudget | Stage::Running { .. } | Stage::Ending => {}
+            Stage::WaitingBudget | Stage::Running { .. } | Stage::WaitingHandover => {}
         }
         self.counters.not_run += 1;
         self.answer(slot, answer);
@@ -339,18 +339,19 @@
             Reason::BudgetUnreachable => self.outage.refuse(now_ms),
             Reason::BudgetExhausted => RETRY_AFTER_EXHAUSTED_MS,
             Reason::Overloaded => {
-                let service = self.requests.get(slot).map(|request| &request.wanted.service);
+                let service = self.requests.get(slot).map(|request| &request.admission.service);
                 service.map_or(RETRY_AFTER_SHORT_MS, |service| self.drain_time_ms(service))
             }
             Reason::Limited => {
-                let service = self.requests.get(slot).map(|request| request.wanted.service.clone());
+                let service =
+                    self.requests.get(slot).map(|request| request.admission.service.clone());
                 service
                     .map_or(RETRY_AFTER_SHORT_MS, |name| self.limited_retry_after_ms(&name, now_ms))
             }
             Reason::Backoff => self.backoff_retry_after_ms(slot, now_ms),
             Reason::Quarantined | Reason::Suspended => {
                 let fingerprint =
-                    self.requests.get(slot).and_then(|request| request.wanted.fingerprint);
+                    self.requests.get(slot).and_then(|request| request.admission.fingerprint);
                 let kept_back = self.kept_back(fingerprint, now_ms);
                 kept_back.map_or(RETRY_AFTER_SHORT_MS, |(_, left_ms)| left_ms)
             }
@@ -372,10 +373,10 @@
 /// The criteria for servers that may run a request.
 pub(super) fn servers_for(request: &Request) -> servers::Wanted<'_> {
     servers::Wanted {
-        service: &request.wanted.service,
-        classes: &request.wanted.classes,
-        prefix_hash: request.wanted.prefix_hash,
-        parts: &request.wanted.parts,
+        service: &request.admission.service,
+        classes: &request.admission.classes,
+        prefix_hash: request.admission.prefix_hash,
+        parts: &request.admission.parts,
         not: &request.failed_servers,
     }
 }
--- a/core/src/node/config_and_vms.rs
+++ b/core/src/node/config_and_vms.rs
@@ -86,7 +86,7 @@
         lapsed: Vec<servers::Vm>,
         now_ms: u64,
     ) {
-        self.vms_heard_ms = now_ms;
+        self.vms_received_ms = now_ms;
         self.lapsed = lapsed;
         // At the same index, the platform's client may have dropped an expired record that will not be written again.
         if index >= self.vms_index {
@@ -137,7 +137,7 @@
     /// The backend servers: the listed ones, and those whose records expired but may be listed again soon. A server
     /// that is leaving counts as leaving whatever the state in its record.
     fn backends(&self, vms: &[servers::Vm]) -> Vec<servers::Vm> {
-        let stays = |vm: &&servers::Vm| !self.leavings.holds(&vm.vm, vm.life);
+        let stays = |vm: &&servers::Vm| !self.leaving_servers.holds(&vm.vm, vm.life);
         let lapsed = self.lapsed.iter().filter(stays);
         let mut backends: Vec<servers::Vm> = vms
             .iter()
@@ -146,7 +146,7 @@
             .cloned()
             .collect();
         // Where servers record when they started, a record without a start time comes from another writer.
-        for vm in backends.iter_mut().filter(|vm| self.leavings.holds(&vm.vm, vm.life)) {
+        for vm in backends.iter_mut().filter(|vm| self.leaving_servers.holds(&vm.vm, vm.life)) {
             vm.state = servers::VmState::Leaving;
         }
         if backends.iter().any(|vm| vm.life != ids::ServerLife::UNKNOWN) {
@@ -170,7 +170,7 @@
         let vms = self.vms.values().chain(&self.lapsed);
         let lives: collections::HashMap<&str, ids::ServerLife> =
             vms.map(|vm| (vm.vm.as_str(), vm.life)).collect();
-        for (vm, life) in self.leavings.forget(&lives, now_ms) {
+        for (vm, life) in self.leaving_servers.forget(&lives, now_ms) {
             self.actions.push(Action::Notice(Notice::ServerLeavingEnded { vm, life }));
         }
     }
--- a/core/src/node/dump.rs
+++ b/core/src/node/dump.rs
@@ -17,7 +17,7 @@
             "vms_index": self.vms_index.revision,
             "store_era": self.store_era(),
             "store_era_age_ms": self.era_age_ms(now_ms),
-            "leaving_vms": self.leavings.iter().map(|(vm, _)| vm).collect::<Vec<_>>(),
+            "leaving_vms": self.leaving_servers.iter().map(|(vm, _)| vm).collect::<Vec<_>>(),
             "leaving_servers": self.dump_leaving_servers(),
             "backing_off_servers": self.dump_backing_off_servers(now_ms),
             "counters": self.counters,
@@ -92,7 +92,7 @@
     }
 
     fn dump_leaving_servers(&self) -> serde_json::Value {
-        let leavings = self.leavings.iter().map(|(vm, leaving)| {
+        let leavings = self.leaving_servers.iter().map(|(vm, leaving)| {
             let figures = json!({ "life": leaving.life.0, "source": leaving.source });
             (vm.to_owned(), figures)
         });
@@ -134,15 +134,15 @@
                 Stage::WaitingServer { .. } => "waiting_server",
                 Stage::WaitingClaim { .. } => "waiting_claim",
                 Stage::Running { .. } => "running",
-                Stage::Ending => "ending",
+                Stage::WaitingHandover => "ending",
             };
             json!({
-                "key": request.wanted.key.to_string(),
-                "budget": request.wanted.budget,
-                "service": request.wanted.service,
+                "key": request.admission.key.to_string(),
+                "budget": request.admission.budget,
+                "service": request.admission.service,
                 "stage": stage,
                 "stage_age_ms": now_ms.saturating_sub(request.stage_since_ms),
-                "bound_tokens": request.wanted.bound_tokens,
+                "bound_tokens": request.admission.bound_tokens,
             })
         });
         requests.collect::<Vec<_>>().into()
--- a/core/src/node/evacuate.rs
+++ b/core/src/node/evacuate.rs
@@ -70,7 +70,7 @@
         let fleet = servers::Fleet {
             own,
             members: self.members.live().map(|record| record.id).chain([own]).collect(),
-            routers: self.most_routers,
+            routers: self.max_live_routers,
             settled: now_ms >= self.started_ms + super::watching::SETTLE_MS,
         };
         self.servers.set_fleet(fleet);
--- a/core/src/node/holders.rs
+++ b/core/src/node/holders.rs
@@ -54,7 +54,7 @@
     /// The unanswered requests of this router.
     sent_requests: std::collections::HashMap<ids::BudgetSlot, PendingTransfer>,
     /// The requests of other routers that wait here.
-    pub(super) questions: Vec<questions::Question>,
+    pub(super) received_requests: Vec<questions::Question>,
     /// Holders that did not answer, and until when they are skipped.
     skipped_until_ms: std::collections::HashMap<ids::Incarnation, u64>,
     last_number: u64,
@@ -65,7 +65,10 @@
 impl Node {
     /// Whether this router requests tokens of a budget from a holder instead of drawing them from the ledger.
     pub(super) fn uses_holders(&self, budget: ids::BudgetSlot, now_ms: u64) -> bool {
-        let direct = self.asks.get(&budget).is_some_and(|ask| now_ms < ask.direct_until_ms);
+        let direct = self
+            .token_searches
+            .get(&budget)
+            .is_some_and(|search| now_ms < search.direct_draw_until_ms);
         !self.grants.account(budget).holder && !direct
     }
 
@@ -81,8 +84,12 @@
                 && ranked.iter().take(account.settings.holders as usize).any(|id| *id == own)
         };
         let draws = |budget| {
-            let direct = self.asks.get(&budget).is_some_and(|ask| now_ms < ask.direct_until_ms);
-            direct || self.holders.questions.iter().any(|question| question.budget == budget)
+            let direct = self
+                .token_searches
+                .get(&budget)
+                .is_some_and(|search| now_ms < search.direct_draw_until_ms);
+            direct
+                || self.holders.received_requests.iter().any(|question| question.budget == budget)
         };
         self.grants.note_holders(routers, is_holder, draws);
     }
@@ -92,7 +99,7 @@
         let Some(request) = self.requests.get(slot) else { return };
         let budget = request.budget;
         let waited_ms = now_ms.saturating_sub(request.stage_since_ms);
-        if waited_ms >= self.settings.budget_wait_ms || now_ms >= request.wanted.deadline_ms {
+        if waited_ms >= self.settings.budget_wait_ms || now_ms >= request.admission.deadline_ms {
             self.refuse(slot, Reason::BudgetUnreachable, now_ms);
         } else if !self.holders.sent_requests.contains_key(&budget) {
             self.request_from_holder(budget, now_ms);
@@ -242,7 +249,8 @@
 
     /// Draws a budget from the ledger without a holder, for a while.
     fn draw_directly(&mut self, budget: ids::BudgetSlot, now_ms: u64) {
-        self.asks.entry(budget).or_default().direct_until_ms = now_ms + DIRECT_DRAW_MS;
+        self.token_searches.entry(budget).or_default().direct_draw_until_ms =
+            now_ms + DIRECT_DRAW_MS;
         self.grants.account_mut(budget).draws = true;
         self.sum_shortages();
         self.poke_ledger_of(budget);
@@ -272,7 +280,7 @@
     /// The token bounds of the requests that wait for a budget: the smallest one, and the sum.
     fn waiting_tokens(&self, budget: ids::BudgetSlot) -> (u64, u64) {
         let bounds =
-            || self.requests_waiting_for(budget).map(|request| request.wanted.bound_tokens);
+            || self.requests_waiting_for(budget).map(|request| request.admission.bound_tokens);
         (bounds().min().unwrap_or(0), bounds().sum())
     }
 
--- a/core/src/node/limits.rs
+++ b/core/src/node/limits.rs
@@ -311,7 +311,7 @@
         if !membership_settled || !is_pacer || !live {
             return servers::PermitsGranted::none(NOT_PACER_RETRY_MS);
         }
-        let (routers, most_routers) = (self.members.live_count(), self.most_routers.max(1));
+        let (routers, max_live_routers) = (self.members.live_count(), self.max_live_routers.max(1));
         let Some(limited) = self.servers.limits_mut().limited_mut(slot) else {
             // The requesting router missed the end of the limit: a trial will detect it.
             let trial = servers::PermitsGranted { permits: 1, in_ms: 0 };
@@ -330,7 +330,7 @@
         }
         // Routers that are cut off from this one use a share of the server's rate as well.
         let share_milli_per_s =
-            limit_milli_per_s.saturating_mul(routers.min(most_routers)) / most_routers;
+            limit_milli_per_s.saturating_mul(routers.min(max_live_routers)) / max_live_routers;
         limited.pacer.grant(share_milli_per_s, wanted, now_ms)
     }
 
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -128,7 +128,7 @@
         if gossip.digest.config_version > self.config_version() {
             self.send(gossip.from.id, message::Message::ConfigAsk);
         }
-        let silent_ms = now_ms.saturating_sub(self.vms_heard_ms);
+        let silent_ms = now_ms.saturating_sub(self.vms_received_ms);
         let told = gossip.digest.servers.position;
         let newer = told > self.vms_index && self.accepts_era(told.era);
         if newer && silent_ms >= PLATFORM_SILENT_MS {
@@ -192,7 +192,7 @@
         news: Vec<members::Record>,
         now_ms: u64,
     ) {
-        let leaving = self.leavings.take_news();
+        let leaving = self.leaving_servers.take_news();
         let answers = std::mem::take(&mut self.quarantine.answers);
         let gossip = message::Gossip {
             from: self.members.own().clone(),
@@ -294,7 +294,7 @@
 
     fn note_answer(&mut self, from: ids::Incarnation, budget: &str, now_ms: u64) {
         if let Some(slot) = self.grants.find(budget) {
-            self.asks.entry(slot).or_default().answered(from);
+            self.token_searches.entry(slot).or_default().answered(from);
         }
         self.tick_waiting_budget(now_ms);
     }
--- a/core/src/node/platform.rs
+++ b/core/src/node/platform.rs
@@ -103,7 +103,7 @@
             }
         }
         for shard in 0..self.ledgers.len() {
-            if self.ledger_due(shard, now_ms) && self.reads.try_take(now_ms) {
+            if self.ledger_due(shard, now_ms) && self.read_limiter.try_take(now_ms) {
                 self.start_ledger_round(shard, now_ms);
             }
         }
@@ -116,7 +116,7 @@
         let context = self.ledger_context(&description, &gone, now_ms);
         let request = self.ledgers[shard].start(call, &mut self.grants, &context);
         if request.is_write() {
-            self.writes.try_take(now_ms);
+            self.write_limiter.try_take(now_ms);
         }
         self.push_store(call, request);
     }
@@ -139,8 +139,11 @@
     }
 
     fn may_call_log(&mut self, shard: usize, now_ms: u64) -> bool {
-        let limiter =
-            if self.logs[shard].reads_next() { &mut self.reads } else { &mut self.writes };
+        let limiter = if self.logs[shard].reads_next() {
+            &mut self.read_limiter
+        } else {
+            &mut self.write_limiter
+        };
         limiter.try_take(now_ms)
     }
 
@@ -185,7 +188,7 @@
             let call = self.call(Purpose::Ledger(shard));
             self.ledgers[shard].writing(call);
             // A write that follows its read is paid for without waiting: the read was the limit.
-            self.writes.try_take(now_ms);
+            self.write_limiter.try_take(now_ms);
             let key = ledger::key(shard as u32);
             let request = store::Request::Write { key, expected_index, value, sets_era_marker };
             self.push_store(call, request);
@@ -245,7 +248,7 @@
     fn note_followed(&mut self, shard: usize, now_ms: u64) {
         let budgets = self.grants.in_shard(shard as u32).to_vec();
         for budget in budgets {
-            self.asks.entry(budget).or_default().followed_ms = now_ms;
+            self.token_searches.entry(budget).or_default().synced_ms = now_ms;
         }
     }
 
--- a/core/src/node/quarantine.rs
+++ b/core/src/node/quarantine.rs
@@ -64,7 +64,7 @@
     /// Notes a run that broke off.
     pub fn run_broken(&mut self, run: &BrokenRun, now_ms: u64) {
         if let Some(request) = self.requests.get_mut(run.slot) {
-            request.wanted.fingerprint = Some(run.request);
+            request.admission.fingerprint = Some(run.request);
         }
         let BrokenRun { server, address, request, .. } = run;
         if self.quarantine.runs.broke(server, address, *request, now_ms) {
@@ -155,7 +155,7 @@
 
     /// Whether a life of a server said that it leaves.
     fn leaves(&self, server: &quarantine::LifeOf) -> bool {
-        self.leavings.holds(&server.vm, server.life)
+        self.leaving_servers.holds(&server.vm, server.life)
     }
 
     fn is_over(&self, server: &quarantine::LifeOf, address: &str) -> bool {
@@ -206,7 +206,7 @@
             self.quarantine.keeper.want_write();
         }
         // Routers that this one does not reach may have put it into quarantine already.
-        if self.members.live_count() < self.most_routers {
+        if self.members.live_count() < self.max_live_routers {
             self.quarantine.keeper.want_read();
         }
         self.note_change(request, change, QuarantineSource::Seen, at_ms);
@@ -260,7 +260,7 @@
             self.quarantine.told_ms = now_ms;
             self.push_to_some(now_ms);
         }
-        if self.quarantine.keeper.due(now_ms) && self.reads.try_take(now_ms) {
+        if self.quarantine.keeper.due(now_ms) && self.read_limiter.try_take(now_ms) {
             self.call_for_record(now_ms);
         }
     }
@@ -271,7 +271,7 @@
         let request = match self.quarantine.keeper.start() {
             None => store::Request::Read { key },
             Some(expected_index) => {
-                self.writes.try_take(now_ms);
+                self.write_limiter.try_take(now_ms);
                 let reports = self.quarantine.table.reports_of_quarantined(now_ms);
                 let record = quarantine::Record::new(reports, self.unix_ms(now_ms));
                 let (value, sets_era_marker) = (record.encode(), false);
--- a/core/src/node/questions.rs
+++ b/core/src/node/questions.rs
@@ -46,8 +46,8 @@
             return;
         };
         let known = |it: &Question| it.asker == id && it.number == number;
-        if !self.holders.questions.iter().any(known) {
-            self.holders.questions.push(Question {
+        if !self.holders.received_requests.iter().any(known) {
+            self.holders.received_requests.push(Question {
                 asker: id,
                 number,
                 budget: slot,
@@ -57,30 +57,33 @@
             });
         }
         self.answer_questions(now_ms);
-        if self.holders.questions.iter().any(known) {
+        if self.holders.received_requests.iter().any(known) {
             self.send(id, message::Message::TransferWait { number, budget });
         }
     }
 
     /// What the questions that wait here lack.
     pub(super) fn asked_tokens(&self) -> impl Iterator<Item = (ids::BudgetSlot, u64)> {
-        self.holders.questions.iter().map(|question| (question.budget, question.needed_tokens))
+        self.holders
+            .received_requests
+            .iter()
+            .map(|question| (question.budget, question.needed_tokens))
     }
 
     /// Answers the questions that can be answered.
     pub(super) fn answer_questions(&mut self, now_ms: u64) {
-        if self.holders.questions.is_empty() {
+        if self.holders.received_requests.is_empty() {
             return;
         }
-        for question in std::mem::take(&mut self.holders.questions) {
+        for question in std::mem::take(&mut self.holders.received_requests) {
             self.answer_question(question, now_ms);
         }
-        if self.holders.questions.is_empty() {
+        if self.holders.received_requests.is_empty() {
             return;
         }
         self.sum_shortages();
         let budgets: Vec<ids::BudgetSlot> =
-            self.holders.questions.iter().map(|question| question.budget).collect();
+            self.holders.received_requests.iter().map(|question| question.budget).collect();
         for budget in budgets {
             self.grants.account_mut(budget).draws = true;
             self.poke_ledger_of(budget);
@@ -111,7 +114,7 @@
             self.send(question.asker, message::Message::TransferNone { number, budget, certain });
             return;
         }
-        self.holders.questions.push(question);
+        self.holders.received_requests.push(question);
     }
 
     /// Whether the ledger surely has too little left: it was read since `since_ms` or shortly before, and had
@@ -123,14 +126,14 @@
         since_ms: u64,
         now_ms: u64,
     ) -> bool {
-        let followed_ms = self.asks.get(&budget).map_or(0, |ask| ask.followed_ms);
-        if followed_ms == 0 {
+        let synced_ms = self.token_searches.get(&budget).map_or(0, |ask| ask.synced_ms);
+        if synced_ms == 0 {
             return false;
         }
         let account = self.grants.account(budget);
         let left_tokens = account.remaining_tokens.unwrap_or(u64::MAX);
         let less = left_tokens.saturating_add(account.free_or_locked_tokens()) < needed_tokens;
-        less && (followed_ms >= since_ms || now_ms < followed_ms + LEFT_KNOWN_MS)
+        less && (synced_ms >= since_ms || now_ms < synced_ms + LEFT_KNOWN_MS)
     }
 
     /// Takes tokens out of this router's account and sends them to a peer.
--- a/core/src/node/queue.rs
+++ b/core/src/node/queue.rs
@@ -45,7 +45,7 @@
             let Some(request) = self.requests.get(place.slot) else { continue };
             let age_ms = now_ms.saturating_sub(place.since_ms);
             let most_ms = self.service(&place.service).map_or(0, |service| service.queue_age_ms);
-            if request.wanted.deadline_ms <= now_ms {
+            if request.admission.deadline_ms <= now_ms {
                 self.refuse(place.slot, Reason::DeadlineTooClose, now_ms);
             } else if age_ms >= most_ms {
                 let reason = match self.servers.all_limited(&place.service, now_ms) {
@@ -73,7 +73,7 @@
             match admit::choose(&mut self.servers, request, now_ms, &mut self.rng) {
                 Ok(choice) => {
                     self.waiting_servers.remove(&place);
-                    self.drained.entry(service.to_owned()).or_default().dequeued += 1;
+                    self.queue_drains.entry(service.to_owned()).or_default().dequeued += 1;
                     self.handle_server_choice(place.slot, choice, now_ms);
                 }
                 Err(lack) if may_wait(lack) => return,
@@ -93,18 +93,18 @@
     /// When a request that waits for a server stops waiting.
     fn waits_until_ms(&self, place: &Place) -> u64 {
         let most_ms = self.service(&place.service).map_or(0, |service| service.queue_age_ms);
-        let deadline_ms = self.requests.get(place.slot).map_or(0, |it| it.wanted.deadline_ms);
+        let deadline_ms = self.requests.get(place.slot).map_or(0, |it| it.admission.deadline_ms);
         (place.since_ms + most_ms).min(deadline_ms)
     }
 
     /// Lets a request wait that lacks a server, if that may help; refuses it otherwise.
     pub(super) fn enqueue(&mut self, slot: ids::RequestSlot, lack: servers::Lack, now_ms: u64) {
         let Some(request) = self.requests.get(slot) else { return };
-        let service = request.wanted.service.clone();
+        let service = request.admission.service.clone();
         let most = self.service(&service).map_or(0, |service| service.queue_length);
         let place = Place {
             service: service.clone(),
-            priority: cmp::Reverse(request.wanted.priority),
+            priority: cmp::Reverse(request.admission.priority),
             since_ms: now_ms,
             slot,
         };
@@ -155,7 +155,7 @@
     }
 
     fn next_in_queue(&self, service: &str) -> Option<Place> {
-        let dequeued = self.drained.get(service).map_or(0, |drain| drain.dequeued);
+        let dequeued = self.queue_drains.get(service).map_or(0, |drain| drain.dequeued);
         if dequeued % LOWEST_EVERY == LOWEST_EVERY - 1 {
             return self.longest_waiting_of_lowest(service).cloned();
         }
@@ -165,7 +165,7 @@
     /// How long the queue of a service takes to drain, at the rate measured lately.
     pub(super) fn drain_time_ms(&self, service: &str) -> u64 {
         let waiting = self.queue(service).count();
-        let per_s = self.drained.get(service).map_or(0, |drain| drain.per_s).max(1);
+        let per_s = self.queue_drains.get(service).map_or(0, |drain| drain.per_s).max(1);
         (waiting as u64 * 1_000 / per_s).clamp(admit::RETRY_AFTER_SHORT_MS, RETRY_AFTER_MAX_MS)
     }
 }
--- a/core/src/node/retries.rs
+++ b/core/src/node/retries.rs
@@ -20,13 +20,13 @@
         let (server, sent_ms) = (*server, *sent_ms);
         let tokens = std::mem::take(&mut request.unread_tokens);
         self.servers.has_read(server, tokens);
-        let service = request.wanted.service.clone();
+        let service = request.admission.service.clone();
         request.failed_servers.push(server);
         request.attempts += u32::from(tried == Tried::MayHaveRun);
         let sends = request.failed_servers.len();
-        let most = request.wanted.attempts_max;
+        let most = request.admission.attempts_max;
         let attempts = request.attempts;
-        let fingerprint = request.wanted.fingerprint;
+        let fingerprint = request.admission.fingerprint;
         match tried {
             Tried::TurnedAway => self.server_turned_away(server, sent_ms, now_ms),
             Tried::NotSent | Tried::MayHaveRun => self.server_failed(server, now_ms),
@@ -38,7 +38,7 @@
         }
         // What no server has seen is no retry: a crashed server does not use up those of its service.
         let arrived = tried != Tried::NotSent;
-        let routers = self.most_routers;
+        let routers = self.max_live_routers;
         if arrived && !self.retries.entry(service).or_default().try_spend(routers) {
             self.end_retries(slot, Reason::RetriesExhausted, now_ms);
             return;
--- a/core/src/node/said.rs
+++ b/core/src/node/said.rs
@@ -60,7 +60,7 @@
         from: Option<ids::Incarnation>,
     ) {
         self.servers.leaving(vm, life);
-        if !self.leavings.note(vm, life, source) {
+        if !self.leaving_servers.note(vm, life, source) {
             return;
         }
         let slot = self.servers.find_life(vm, life);
@@ -90,8 +90,10 @@
             let notice = Notice::ServerBackoffEnded { vm, service };
             self.actions.push(Action::Notice(notice));
         }
-        if self.leavings.has_news() && now_ms >= self.leavings_told_ms + TELL_EVERY_MS {
-            self.leavings_told_ms = now_ms;
+        if self.leaving_servers.has_news()
+            && now_ms >= self.leaving_servers_pushed_ms + TELL_EVERY_MS
+        {
+            self.leaving_servers_pushed_ms = now_ms;
             self.push_to_some(now_ms);
         }
     }
--- a/core/src/node/settle.rs
+++ b/core/src/node/settle.rs
@@ -12,7 +12,7 @@
     /// Ends a dispatched request. `Answer::Closed` follows when its end is safe.
     pub fn finish(&mut self, slot: ids::RequestSlot, ending: Ending, now_ms: u64) {
         let Some(request) = self.requests.get_mut(slot) else { return };
-        let stage = std::mem::replace(&mut request.stage, Stage::Ending);
+        let stage = std::mem::replace(&mut request.stage, Stage::WaitingHandover);
         let Stage::Running { reservation, server, sent_ms } = stage else {
             request.stage = stage;
             return;
@@ -20,7 +20,7 @@
         request.stage_since_ms = now_ms;
         let unread_tokens = std::mem::take(&mut request.unread_tokens);
         let bound_tokens = reservation.bound_tokens();
-        let service = request.wanted.service.clone();
+        let service = request.admission.service.clone();
         let not_run = matches!(ending, Ending::NotRun);
         let cancelled = matches!(ending, Ending::Cancelled { .. });
         let (consumed_tokens, outcome, healthy) = match ending {
@@ -43,7 +43,7 @@
             self.servers.answered(server, sent_ms);
         }
         if !cancelled {
-            self.drained.entry(service.clone()).or_default().ended += 1;
+            self.queue_drains.entry(service.clone()).or_default().ended += 1;
         }
         if !cancelled && healthy {
             self.server_served(&service, server, now_ms.saturating_sub(sent_ms), now_ms);
@@ -130,7 +130,7 @@
 
     fn server_served(&mut self, service: &str, server: ids::ServerSlot, took_ms: u64, now_ms: u64) {
         self.servers.succeeded(server, took_ms, now_ms);
-        let routers = self.most_routers;
+        let routers = self.max_live_routers;
         self.retries.entry(service.to_owned()).or_default().earn(routers);
     }
 
@@ -165,15 +165,15 @@
 
     fn note_overrun(&mut self, slot: ids::RequestSlot, tokens: u64) {
         let Some(request) = self.requests.get(slot).filter(|_| tokens > 0) else { return };
-        let budget = request.wanted.budget.clone();
+        let budget = request.admission.budget.clone();
         self.counters.overrun_tokens += tokens;
         self.actions.push(super::Action::Notice(Notice::Overrun { budget, tokens }));
     }
 
     fn end_not_run(&mut self, slot: ids::RequestSlot, now_ms: u64) {
         let Some(request) = self.remove_request(slot) else { return };
-        if request.wanted.unrepeatable {
-            self.release_claim(slot, request.wanted.key, request.attempt, now_ms);
+        if request.admission.unrepeatable {
+            self.release_claim(slot, request.admission.key, request.attempt, now_ms);
         }
         self.counters.not_run += 1;
         self.answer(slot, Answer::Closed { safe: true });
@@ -195,17 +195,17 @@
             self.answer(slot, Answer::Closed { safe: true });
             return;
         }
-        let shard = request.wanted.key.shard(self.logs.len() as u32) as usize;
+        let shard = request.admission.key.shard(self.logs.len() as u32) as usize;
         let Some(number) = self.settled_in_shard.get_mut(shard) else { return };
         *number += 1;
         let settlement = log_index::Settlement {
-            key: request.wanted.key,
+            key: request.admission.key,
             attempt,
             origin: self.settings.incarnation,
             number: *number,
-            keyed: request.wanted.keyed,
-            body_hash: request.wanted.body_hash,
-            budget: request.wanted.budget.clone(),
+            keyed: request.admission.keyed,
+            body_hash: request.admission.body_hash,
+            budget: request.admission.budget.clone(),
             region: self.settings.region.clone(),
             consumed_tokens,
             outcome,
--- a/core/src/node/tokens.rs
+++ b/core/src/node/tokens.rs
@@ -1,6 +1,6 @@
 //! Where the tokens of a waiting request come from: the store first, then peers.
 
-use super::{Ask, Node, Reason, Stage};
+use super::{Node, Reason, Stage, TokenSearch};
 use crate::{ids, ledger, message};
 use rand::seq::IndexedRandom;
 
@@ -32,8 +32,8 @@
     pub(super) fn want_tokens(&mut self, slot: ids::RequestSlot, now_ms: u64) {
         self.sum_shortages();
         let Some(request) = self.requests.get(slot) else { return };
-        let (budget, bound) = (request.budget, request.wanted.bound_tokens);
-        let ask = self.asks.entry(budget).or_default();
+        let (budget, bound) = (request.budget, request.admission.bound_tokens);
+        let ask = self.token_searches.entry(budget).or_default();
         if now_ms < ask.refused_until_ms && bound >= ask.refused_tokens {
             let reason = ask.refused_reason.unwrap_or(Reason::BudgetExhausted);
             self.refuse(slot, reason, now_ms);
@@ -78,11 +78,11 @@
             self.continue_holder_search(slot, now_ms);
             return;
         }
-        let bound = request.wanted.bound_tokens;
-        let deadline_ms = request.wanted.deadline_ms;
+        let bound = request.admission.bound_tokens;
+        let deadline_ms = request.admission.deadline_ms;
         let waited_ms = now_ms.saturating_sub(since_ms);
-        let ask = self.asks.entry(budget).or_default();
-        let read = ask.followed_ms >= since_ms && ask.followed_ms > 0;
+        let ask = self.token_searches.entry(budget).or_default();
+        let read = ask.synced_ms >= since_ms && ask.synced_ms > 0;
         let account = self.grants.account(budget);
         let left_tokens = account.remaining_tokens.unwrap_or(0);
         let enough = left_tokens.saturating_add(account.free_or_locked_tokens()) >= bound;
@@ -121,7 +121,7 @@
         reason: Reason,
         now_ms: u64,
     ) {
-        let ask = self.asks.entry(budget).or_default();
+        let ask = self.token_searches.entry(budget).or_default();
         ask.refused_until_ms = now_ms + EXHAUSTED_FOR_MS;
         ask.refused_tokens = tokens;
         ask.refused_reason = Some(reason);
@@ -134,7 +134,7 @@
         let live: Vec<ids::Incarnation> = self.members.live().map(|record| record.id).collect();
         let asked: Vec<ids::Incarnation> =
             live.sample(&mut self.rng, PEERS_ASKED).copied().collect();
-        let ask = self.asks.entry(budget).or_default();
+        let ask = self.token_searches.entry(budget).or_default();
         ask.asked_ms = now_ms.max(1);
         ask.unanswered = asked.iter().copied().collect();
         let asker = self.members.own().clone();
@@ -153,13 +153,13 @@
     /// Notes what waiting requests lack, for the draws and the transfers.
     pub(super) fn sum_shortages(&mut self) {
         let waiting = self.requests.values().filter(|it| matches!(it.stage, Stage::WaitingBudget));
-        let lacking = waiting.map(|request| (request.budget, request.wanted.bound_tokens));
+        let lacking = waiting.map(|request| (request.budget, request.admission.bound_tokens));
         let asked: Vec<(ids::BudgetSlot, u64)> = self.asked_tokens().collect();
         self.grants.note_shortages(lacking, asked.into_iter());
     }
 }
 
-impl Ask {
+impl TokenSearch {
     /// Notes that a peer answered, with tokens or without.
     pub(super) fn answered(&mut self, peer: ids::Incarnation) {
         self.unanswered.remove(&peer);
