--- a/core/src/node.rs
+++ b/core/src/node.rs
@@ -265,7 +265,7 @@
 
     /// The staleness of this router's copy of each topic, in milliseconds: the time since it was last known to be
     /// current. Empty where the shell follows the store, `None` for a copy that was never current.
-    pub fn news_ages_ms(&self, now_ms: u64) -> Vec<(watch::Topic, Option<u64>)> {
+    pub fn staleness_ms(&self, now_ms: u64) -> Vec<(watch::Topic, Option<u64>)> {
         self.watching.iter().flat_map(|watching| watching.ages_ms(now_ms)).collect()
     }
 
@@ -285,7 +285,7 @@
     }
 
     /// The servers that are leaving.
-    pub fn leavings(&self) -> &leavings::Leavings {
+    pub fn leaving_servers(&self) -> &leavings::Leavings {
         &self.leaving_servers
     }
 
@@ -328,7 +328,7 @@
     }
 
     /// Handles the start of the answer to a dispatched request: the server has processed the prompt.
-    pub fn answering(&mut self, slot: ids::RequestSlot) {
+    pub fn answer_started(&mut self, slot: ids::RequestSlot) {
         let Some(request) = self.requests.get_mut(slot) else { return };
         let Stage::Running { server, sent_ms, .. } = &request.stage else { return };
         let tokens = std::mem::take(&mut request.unread_tokens);
--- a/core/src/node/eras.rs
+++ b/core/src/node/eras.rs
@@ -120,7 +120,7 @@
 
     /// Processes the era of an answer of the store. A lower era than the current one belongs to a late answer and is
     /// ignored.
-    pub fn hear_store_era(&mut self, era: u64, now_ms: u64) {
+    pub fn handle_store_era(&mut self, era: u64, now_ms: u64) {
         let previous = self.eras.current;
         if previous.is_some_and(|current| era <= current) {
             return;
--- a/core/src/node/platform.rs
+++ b/core/src/node/platform.rs
@@ -64,7 +64,7 @@
     /// Processes the era of a reply, and discards the content of a reply from an earlier era.
     fn check_reply_era(&mut self, reply: store::Reply, now_ms: u64) -> store::Reply {
         let Some(era) = reply.era() else { return reply };
-        self.hear_store_era(era, now_ms);
+        self.handle_store_era(era, now_ms);
         match era == self.store_era() {
             true => reply,
             false => store::Reply::Unknown,
--- a/core/src/node/watching.rs
+++ b/core/src/node/watching.rs
@@ -109,7 +109,7 @@
         };
         if let watch::Outcome::Answered { position, .. } = &outcome {
             let era = position.era;
-            self.hear_store_era(era, now_ms);
+            self.handle_store_era(era, now_ms);
             self.check_unconfirmed_era(era, flight.sent_ms(), now_ms);
             if self.reject_earlier_era(topic, era) {
                 let Some(watching) = &mut self.watching else { return };
--- a/core/tests/said_schedules.rs
+++ b/core/tests/said_schedules.rs
@@ -363,7 +363,7 @@
     /// Whether a router knows all servers that leave by their answers.
     fn knows(&self, node: &node::Node, leaving: &[Life]) -> bool {
         let known = |(vm, life): &Life| {
-            let source = node.leavings().iter().find(|(known, _)| known == vm);
+            let source = node.leaving_servers().iter().find(|(known, _)| known == vm);
             source.is_some_and(|(_, it)| it.life == *life && it.source == leavings::Source::Answer)
         };
         leaving.iter().all(known)
@@ -563,11 +563,11 @@
             node.report_said(&vm, ids::ServerLife(1), &said, age, now_ms);
         }
         scenario.traffic.fleet.run_until("all know", CONTACT_MS, |fleet| {
-            fleet.routers.iter().all(|it| it.node.leavings().iter().count() == leaving)
+            fleet.routers.iter().all(|it| it.node.leaving_servers().iter().count() == leaving)
         });
         scenario.traffic.fleet.restart(routers - 1);
         scenario.traffic.fleet.run_until("the new one knows", 2 * CONTACT_MS + 4_000, |fleet| {
-            fleet.routers[routers - 1].node.leavings().iter().count() == leaving
+            fleet.routers[routers - 1].node.leaving_servers().iter().count() == leaving
         });
     }
 }
@@ -581,7 +581,7 @@
     };
     let before = sent(&fleet);
     fleet.run_ms(10_000);
-    assert_eq!(fleet.routers[0].node.leavings().iter().count(), 0);
+    assert_eq!(fleet.routers[0].node.leaving_servers().iter().count(), 0);
     // A probe and its answer each half second, and news of the store's age.
     assert!(sent(&fleet) - before <= 7 * 10 * 12, "{}", sent(&fleet) - before);
 }
--- a/core/tests/watch_fleet/store.rs
+++ b/core/tests/watch_fleet/store.rs
@@ -115,7 +115,7 @@
         for PendingOutcome { era, call, outcome, .. } in arrived {
             let node = &mut self.routers[place].node;
             if let Some(era) = era {
-                node.hear_store_era(era, now_ms);
+                node.handle_store_era(era, now_ms);
             }
             node.watched(call, outcome, now_ms);
             self.carry_out(place);
--- a/core/tests/world/mod.rs
+++ b/core/tests/world/mod.rs
@@ -269,7 +269,7 @@
                 if (self.now_ms / TICK_MS + place as u64).is_multiple_of(5)
                     && self.reaches_store(place)
                 {
-                    self.routers[place].node.hear_store_era(self.era, self.now_ms);
+                    self.routers[place].node.handle_store_era(self.era, self.now_ms);
                 }
                 self.routers[place].node.tick(self.now_ms);
                 self.carry_out(place);
--- a/src/control.rs
+++ b/src/control.rs
@@ -161,7 +161,7 @@
         }
         let now_ms = self.now_ms();
         if let Some(era) = era {
-            self.node.hear_store_era(era, now_ms);
+            self.node.handle_store_era(era, now_ms);
         }
         let due = self
             .era_unreadable_logged_ms
--- a/src/control/handlers.rs
+++ b/src/control/handlers.rs
@@ -157,7 +157,7 @@
     type Result = ();
 
     fn handle(&mut self, answering: messages::Answering, _: &mut Self::Context) {
-        self.node.answering(answering.0);
+        self.node.answer_started(answering.0);
     }
 }
 
--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -85,7 +85,7 @@
             let labels = [("purpose", purpose.as_str()), ("outcome", outcome.as_str())];
             metrics::counter!("doorswitch_store_calls_total", &labels).absolute(*count);
         }
-        for (topic, age_ms) in node.news_ages_ms(now_ms) {
+        for (topic, age_ms) in node.staleness_ms(now_ms) {
             let Some(age_ms) = age_ms else { continue };
             metrics::gauge!("doorswitch_news_age_ms", "topic" => topic.as_str()).set(age_ms as f64);
         }
@@ -187,7 +187,7 @@
 
 /// Writes how old the knowledge of what the store holds is: a copy that is older than a call waits has lost its watch.
 fn log_news_ages(node: &node::Node, now_ms: u64) {
-    for (topic, age_ms) in node.news_ages_ms(now_ms) {
+    for (topic, age_ms) in node.staleness_ms(now_ms) {
         log::info!("event=news_age topic={} age_ms={}", topic.as_str(), logging::known_ms(age_ms));
     }
 }
