--- a/core/src/node/platform.rs
+++ b/core/src/node/platform.rs
@@ -56,7 +56,7 @@
             Purpose::Ledger(shard) => self.ledger_reply(shard, call, reply, now_ms),
             Purpose::Log(shard) => self.log_reply(shard, call, reply, now_ms),
             Purpose::Quarantine => self.record_reply(reply, now_ms),
-            Purpose::EraRecord => self.era_record_reply(reply, now_ms),
+            Purpose::EraRecord => self.handle_era_record_reply(reply, now_ms),
         }
         self.tick_platform(now_ms);
     }
@@ -64,7 +64,7 @@
     /// Processes the era of a reply, and discards the content of a reply from an earlier era.
     fn check_reply_era(&mut self, reply: store::Reply, now_ms: u64) -> store::Reply {
         let Some(era) = reply.era() else { return reply };
-        self.hear_store_era(era, now_ms);
+        self.handle_store_era(era, now_ms);
         match era == self.store_era() {
             true => reply,
             false => store::Reply::Unknown,
@@ -103,7 +103,7 @@
             }
         }
         for shard in 0..self.ledgers.len() {
-            if self.ledger_due(shard, now_ms) && self.reads.try_take(now_ms) {
+            if self.ledger_due(shard, now_ms) && self.read_limiter.try_take(now_ms) {
                 self.start_ledger_round(shard, now_ms);
             }
         }
@@ -116,7 +116,7 @@
         let context = self.ledger_context(&description, &gone, now_ms);
         let request = self.ledgers[shard].start(call, &mut self.grants, &context);
         if request.is_write() {
-            self.writes.try_take(now_ms);
+            self.write_limiter.try_take(now_ms);
         }
         self.push_store(call, request);
     }
@@ -139,8 +139,11 @@
     }
 
     fn may_call_log(&mut self, shard: usize, now_ms: u64) -> bool {
-        let limiter =
-            if self.logs[shard].reads_next() { &mut self.reads } else { &mut self.writes };
+        let limiter = if self.logs[shard].reads_next() {
+            &mut self.read_limiter
+        } else {
+            &mut self.write_limiter
+        };
         limiter.try_take(now_ms)
     }
 
@@ -185,12 +188,12 @@
             let call = self.call(Purpose::Ledger(shard));
             self.ledgers[shard].writing(call);
             // A write that follows its read is paid for without waiting: the read was the limit.
-            self.writes.try_take(now_ms);
+            self.write_limiter.try_take(now_ms);
             let key = ledger::key(shard as u32);
             let request = store::Request::Write { key, expected_index, value, sets_era_marker };
             self.push_store(call, request);
         }
-        self.tick_copies(now_ms);
+        self.tick_ledger_copies(now_ms);
         for event in events {
             self.ledger_event(shard, event, now_ms);
         }
@@ -245,7 +248,7 @@
     fn note_followed(&mut self, shard: usize, now_ms: u64) {
         let budgets = self.grants.in_shard(shard as u32).to_vec();
         for budget in budgets {
-            self.asks.entry(budget).or_default().followed_ms = now_ms;
+            self.token_searches.entry(budget).or_default().synced_ms = now_ms;
         }
     }
 
