--- a/core/src/node.rs
+++ b/core/src/node.rs
@@ -74,7 +74,7 @@
         server: ids::ServerSlot,
         sent_ms: u64,
     },
-    /// Settled; its last chunk waits until the settlement is durable or handed over.
+    /// Settled; its last chunk waits, for a limited time, until the settlement survives a failure of this router.
     WaitingHandover,
 }
 
--- a/core/src/node/config_and_vms.rs
+++ b/core/src/node/config_and_vms.rs
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Forgets leaving servers that are over. A received report stays valid if the server's record expired meanwhile,
+    /// Forgets leaving servers that have ended. A received report stays valid if the server's record expired meanwhile,
     /// and does not apply to a later incarnation of the server.
     fn expire_leaving_servers(&mut self, now_ms: u64) {
         let vms = self.vms.values().chain(&self.lapsed);
--- a/core/src/node/limits.rs
+++ b/core/src/node/limits.rs
@@ -323,8 +323,8 @@
         };
         let limit_milli_per_s = limited.report.limit_milli_per_s.unwrap_or_default();
         let every_ms = servers::trial_every_ms(limit_milli_per_s);
-        let heard_ms = limited.report.heard_ms.max(limited.pacer.trial_ms());
-        let trial_in_ms = (heard_ms + every_ms).saturating_sub(now_ms);
+        let last_evidence_ms = limited.report.heard_ms.max(limited.pacer.trial_ms());
+        let trial_in_ms = (last_evidence_ms + every_ms).saturating_sub(now_ms);
         if trial_in_ms > 0 && (wanted.trial || limit_milli_per_s == 0) {
             return servers::PermitsGranted::none(trial_in_ms);
         }
