--- a/core/src/node/quarantine.rs
+++ b/core/src/node/quarantine.rs
@@ -1,115 +1,118 @@
-//! Requests that crash the servers that run them: what this router sees, hears, keeps from servers and has kept.
+//! Quarantine of requests that crash the servers that run them: detects such requests, exchanges them with peers and
+//! the store, and prevents their dispatch.
 
 use super::{Action, Node, Notice, QuarantineSource, Reason, platform};
 use crate::{ids, quarantine, servers, store};
 use rand::rngs;
 use std::collections;
 
-/// What is not urgent is told this often while there is any: after one crash under 64 requests all is told in 0.6 s.
-const TELL_EVERY_MS: u64 = 200;
-/// How often what is too old is looked for.
-const EXPIRE_EVERY_MS: u64 = 1_000;
+/// Interval between pushes of reports that are not urgent, while there are any: after one crash under 64 requests all
+/// reports are sent within 0.6 s.
+const PUSH_INTERVAL_MS: u64 = 200;
+/// Interval at which expired reports and runs are removed.
+const EXPIRY_INTERVAL_MS: u64 = 1_000;
 
-/// A run that broke off before its answer was whole.
+/// A run of a request whose answer broke off before its end.
 #[derive(Clone, Debug)]
 pub struct BrokenRun {
-    /// The request, if this router still has it.
+    /// The request, as long as this router has it.
     pub slot: ids::RequestSlot,
-    /// The life of the server that ran it.
+    /// The server incarnation that ran it.
     pub server: quarantine::LifeOf,
-    /// The server's address.
+    /// Address of the server.
     pub address: String,
-    /// What makes it the same request as another.
+    /// Fingerprint by which equal requests are recognized.
     pub request: ids::Fingerprint,
 }
 
-/// What this router does about such requests.
+/// State of the quarantine on this router.
 #[derive(Debug, Default)]
 pub(super) struct Quarantine {
     pub(super) table: quarantine::Table,
     runs: quarantine::Runs,
-    keeper: quarantine::Keeper,
-    told_ms: u64,
-    /// Whether the next datagram goes to a peer that knows something else.
+    record_sync: quarantine::Keeper,
+    pushed_ms: u64,
+    /// Whether the next datagram goes to a peer whose table differs from this router's.
     pub(super) answers: bool,
-    expired_ms: u64,
+    last_expiry_ms: u64,
 }
 
 impl Quarantine {
     /// Schedules a read of the record after a restore of the store, and a write if it lacks a quarantined request.
     pub(super) fn store_restored(&mut self, now_ms: u64, rng: &mut rngs::StdRng) {
         let quarantines_any = !self.table.reports_of_quarantined(now_ms).is_empty();
-        self.keeper.store_restored(quarantines_any, now_ms, rng);
+        self.record_sync.store_restored(quarantines_any, now_ms, rng);
     }
 }
 
 impl Node {
-    /// Requests that crash servers, as this router knows them.
+    /// The requests that are suspected of crashing servers, on this router.
     pub fn quarantine(&self) -> &quarantine::Table {
         &self.quarantine.table
     }
 
-    /// What the fingerprints have in common of requests whose good end would tell something.
+    /// Heads of the fingerprints of all requests that are suspected or have an open broken run, for which a successful
+    /// run is evidence.
     pub fn suspected_heads(&self) -> collections::HashSet<u64> {
         let mut heads = self.quarantine.table.suspected_heads();
         heads.extend(self.quarantine.runs.heads());
         heads
     }
 
-    /// Grows with each change of [`Node::suspected_heads`].
+    /// Revision of [`Node::suspected_heads`], which grows with each change.
     pub fn suspected_revision(&self) -> u64 {
         self.quarantine.table.revision() + self.quarantine.runs.revision()
     }
 
-    /// Notes a run that broke off.
+    /// Records a run that broke off.
     pub fn run_broken(&mut self, run: &BrokenRun, now_ms: u64) {
         if let Some(request) = self.requests.get_mut(run.slot) {
             request.wanted.fingerprint = Some(run.request);
         }
         let BrokenRun { server, address, request, .. } = run;
         if self.quarantine.runs.broke(server, address, *request, now_ms) {
-            self.note_crash_under(*request, server, now_ms);
+            self.record_crash_of_request(*request, server, now_ms);
         }
     }
 
-    /// Notes that a server's address refuses connections: the process that listened there is over.
+    /// Records that a server's address refuses connections, so that the process that listened there has ended.
     pub fn server_refused(&mut self, server: &quarantine::LifeOf, now_ms: u64) {
         if let Some(slot) = self.servers.find_life(&server.vm, server.life) {
             self.servers.refused(slot, now_ms);
         }
-        // One that leaves ends as planned.
-        if !self.leaves(server) {
+        // A server that leaves ends as planned.
+        if !self.is_leaving(server) {
             let broken = self.quarantine.runs.refused(server, now_ms);
-            self.server_crashed(server, broken, now_ms);
+            self.record_server_crash(server, broken, now_ms);
         }
     }
 
-    /// Notes that a server takes connections after a run broke off.
+    /// Records that a server accepts connections after a run broke off.
     pub fn server_accepted(&mut self, server: &quarantine::LifeOf) {
         self.quarantine.runs.accepted(server);
     }
 
-    /// Notes that a run of a request ended well: it does not crash servers.
+    /// Records that a run of a request succeeded, so that the request does not crash servers.
     pub fn ended_well(&mut self, request: ids::Fingerprint, now_ms: u64) {
         self.quarantine.runs.ended_well(request);
         let change = self.quarantine.table.clear(request, now_ms);
-        self.note_change(request, change, QuarantineSource::GoodEnd, now_ms);
+        self.report_change(request, change, QuarantineSource::GoodEnd, now_ms);
     }
 
-    /// Releases a request at an operator's word, everywhere; how many crashes counted against it. With `dry_run` nothing
-    /// is changed.
+    /// Releases a request from quarantine on all routers, on an operator's command; returns the number of crashes that
+    /// were recorded for it. With `dry_run` nothing is changed.
     pub fn release(&mut self, request: ids::Fingerprint, dry_run: bool, now_ms: u64) -> usize {
         let crashes = self.quarantine.table.crashes(&request);
         if dry_run || crashes == 0 {
             return crashes;
         }
         let change = self.quarantine.table.clear(request, now_ms);
-        self.quarantine.keeper.want_write();
-        self.note_change(request, change, QuarantineSource::Operator, now_ms);
+        self.quarantine.record_sync.want_write();
+        self.report_change(request, change, QuarantineSource::Operator, now_ms);
         crashes
     }
 
-    /// Why a request must not reach a server now, and for how long; `None` if it may.
+    /// Why a request must not be dispatched now, and for how many milliseconds; `None` if it may be.
     pub fn kept_back(
         &self,
         request: Option<ids::Fingerprint>,
@@ -122,14 +125,14 @@
         quarantined.or_else(|| Some((Reason::Suspended, table.suspended_ms(&request, now_ms)?)))
     }
 
-    /// Whether a request has crashed so many servers that this router does not send it on to another by itself.
+    /// Whether a request has crashed so many servers that this router does not retry it on another one.
     pub(super) fn not_to_be_retried(&self, request: Option<ids::Fingerprint>) -> bool {
         let table = &self.quarantine.table;
         let crashes = request.map_or(0, |request| table.servers_crashed(&request));
         crashes >= quarantine::CRASHES_TO_STOP_RETRIES
     }
 
-    /// Notes that a server answered in full a request that was sent to it then.
+    /// Records that a server answered completely a request that was sent to it at `sent_ms`.
     pub(super) fn server_answered(&mut self, server: ids::ServerSlot, sent_ms: u64) {
         if self.quarantine.runs.is_empty() {
             return;
@@ -140,26 +143,26 @@
         }
     }
 
-    /// Looks, after a change of the list of servers, which servers with broken runs are over.
+    /// Determines, after a change of the list of servers, which server incarnations with broken runs have ended.
     pub(super) fn note_ended_lives(&mut self, now_ms: u64) {
         let open = self.quarantine.runs.open();
-        let over: Vec<quarantine::LifeOf> = open
-            .filter(|(server, address)| self.is_over(server, address))
+        let ended: Vec<quarantine::LifeOf> = open
+            .filter(|(server, address)| self.has_ended(server, address))
             .map(|(server, _)| server.clone())
             .collect();
-        for server in over {
+        for server in ended {
             let broken = self.quarantine.runs.crashed(&server, now_ms);
-            self.server_crashed(&server, broken, now_ms);
+            self.record_server_crash(&server, broken, now_ms);
         }
     }
 
-    /// Whether a life of a server said that it leaves.
-    fn leaves(&self, server: &quarantine::LifeOf) -> bool {
+    /// Whether a server incarnation announced that it leaves.
+    fn is_leaving(&self, server: &quarantine::LifeOf) -> bool {
         self.leavings.holds(&server.vm, server.life)
     }
 
-    fn is_over(&self, server: &quarantine::LifeOf, address: &str) -> bool {
-        if self.leaves(server) || self.lapsed.iter().any(|vm| vm.vm == server.vm) {
+    fn has_ended(&self, server: &quarantine::LifeOf, address: &str) -> bool {
+        if self.is_leaving(server) || self.lapsed.iter().any(|vm| vm.vm == server.vm) {
             return false;
         }
         match self.vms.get(&server.vm) {
@@ -173,7 +176,7 @@
         }
     }
 
-    fn server_crashed(
+    fn record_server_crash(
         &mut self,
         server: &quarantine::LifeOf,
         broken: Vec<(ids::Fingerprint, u64)>,
@@ -190,11 +193,11 @@
             requests,
         }));
         for (request, at_ms) in broken {
-            self.note_crash_under(request, server, at_ms.min(now_ms));
+            self.record_crash_of_request(request, server, at_ms.min(now_ms));
         }
     }
 
-    fn note_crash_under(
+    fn record_crash_of_request(
         &mut self,
         request: ids::Fingerprint,
         server: &quarantine::LifeOf,
@@ -203,16 +206,16 @@
         let digest = quarantine::Server::new(&server.vm, server.life);
         let change = self.quarantine.table.crashed(request, digest, at_ms);
         if change == quarantine::Change::Quarantined {
-            self.quarantine.keeper.want_write();
+            self.quarantine.record_sync.want_write();
         }
-        // Routers that this one does not reach may have put it into quarantine already.
+        // Routers that this one does not reach may have quarantined it already.
         if self.members.live_count() < self.most_routers {
-            self.quarantine.keeper.want_read();
+            self.quarantine.record_sync.want_read();
         }
-        self.note_change(request, change, QuarantineSource::Seen, at_ms);
+        self.report_change(request, change, QuarantineSource::Seen, at_ms);
     }
 
-    fn note_change(
+    fn report_change(
         &mut self,
         request: ids::Fingerprint,
         change: quarantine::Change,
@@ -235,40 +238,42 @@
         self.actions.push(Action::Notice(notice));
     }
 
-    /// Takes in what a peer knows; whether it knows something else.
+    /// Merges the reports of a peer; returns whether its table differs from this router's.
     pub(super) fn hear_quarantine(&mut self, news: &quarantine::News, now_ms: u64) -> bool {
         for report in &news.reports {
             let change = self.quarantine.table.hear(report, now_ms);
-            self.note_change(report.request, change, QuarantineSource::Peer, now_ms);
+            self.report_change(report.request, change, QuarantineSource::Peer, now_ms);
         }
         news.summary != self.quarantine.table.summary()
     }
 
-    /// Tells others what is new, forgets what is old, and makes the calls for what the store keeps.
+    /// Pushes new reports to peers, removes expired ones, and starts the calls for the record in the store.
     pub(super) fn tick_quarantine(&mut self, now_ms: u64) {
-        if now_ms >= self.quarantine.expired_ms + EXPIRE_EVERY_MS {
-            self.quarantine.expired_ms = now_ms;
+        if now_ms >= self.quarantine.last_expiry_ms + EXPIRY_INTERVAL_MS {
+            self.quarantine.last_expiry_ms = now_ms;
             self.quarantine.table.expire(now_ms);
             self.quarantine.runs.forget_old(now_ms);
         }
         let due = match self.quarantine.table.fresh() {
             None => false,
             Some(quarantine::Urgency::AtOnce) => true,
-            Some(quarantine::Urgency::Soon) => now_ms >= self.quarantine.told_ms + TELL_EVERY_MS,
+            Some(quarantine::Urgency::Soon) => {
+                now_ms >= self.quarantine.pushed_ms + PUSH_INTERVAL_MS
+            }
         };
         if due {
-            self.quarantine.told_ms = now_ms;
+            self.quarantine.pushed_ms = now_ms;
             self.push_to_some(now_ms);
         }
-        if self.quarantine.keeper.due(now_ms) && self.reads.try_take(now_ms) {
-            self.call_for_record(now_ms);
+        if self.quarantine.record_sync.due(now_ms) && self.reads.try_take(now_ms) {
+            self.start_record_call(now_ms);
         }
     }
 
-    fn call_for_record(&mut self, now_ms: u64) {
+    fn start_record_call(&mut self, now_ms: u64) {
         let key = quarantine::KEY.to_owned();
         let call = self.call(platform::Purpose::Quarantine);
-        let request = match self.quarantine.keeper.start() {
+        let request = match self.quarantine.record_sync.start() {
             None => store::Request::Read { key },
             Some(expected_index) => {
                 self.writes.try_take(now_ms);
@@ -282,26 +287,26 @@
     }
 
     pub(super) fn record_reply(&mut self, reply: store::Reply, now_ms: u64) {
-        let fault = match self.quarantine.keeper.reply(reply, now_ms, &mut self.rng) {
+        let fault = match self.quarantine.record_sync.reply(reply, now_ms, &mut self.rng) {
             quarantine::Reply::Nothing => return,
             quarantine::Reply::Undecodable => "the value is not encoded".to_owned(),
             quarantine::Reply::Value(value) => match quarantine::Record::decode(&value) {
                 Ok(record) => {
                     let own = self.quarantine.table.reports_of_quarantined(now_ms);
                     if own.iter().all(|report| record.holds(report.request)) {
-                        self.quarantine.keeper.cancel_rewrite();
+                        self.quarantine.record_sync.cancel_rewrite();
                     }
                     for report in record.reports(self.unix_ms(now_ms)) {
                         let change = self.quarantine.table.hear(&report, now_ms);
                         let source = QuarantineSource::Store;
-                        self.note_change(report.request, change, source, now_ms);
+                        self.report_change(report.request, change, source, now_ms);
                     }
                     return;
                 }
                 Err(error) => error.to_string(),
             },
         };
-        // Written over with the next quarantine: what it held, the routers in touch still know.
+        // The next quarantine overwrites it: the connected routers still have its content.
         self.actions.push(Action::Notice(Notice::RecordUnreadable { key: quarantine::KEY, fault }));
     }
 
--- a/core/src/node/questions.rs
+++ b/core/src/node/questions.rs
@@ -1,19 +1,19 @@
-//! The holder's side of a budget that few routers hold in hand: other routers' questions for tokens.
+//! Transfer requests that a holder of a budget receives from other routers, for budgets that only few routers hold.
 
 use super::{Lifecycle, Node};
 use crate::{ids, ledger_writer, members, message, outbox};
 
-/// How long a holder waits for the store before it says that it cannot tell: a slow store needs a quarter of
-/// a second for a call.
+/// Time that a holder waits for the store before it replies, without certainty, that no tokens are available: a slow
+/// store needs a quarter of a second for a call.
 pub(super) const STORE_WAIT_MS: u64 = 300;
-/// For how long a holder relies on the ledger's last word that too little is left: others take from a
-/// budget, and what is paid in comes with a configuration, which has the ledger read at once.
-const LEFT_KNOWN_MS: u64 = 1_000;
+/// Time for which the last read of the ledger is evidence that too little is left. Other routers only draw from the
+/// budget; a payment arrives with a configuration, after which the ledger is read at once.
+const REMAINDER_VALID_MS: u64 = 1_000;
 
-/// A question of another router that waits here.
+/// A transfer request of another router that waits for tokens.
 #[derive(Debug)]
 pub(super) struct Question {
-    asker: ids::Incarnation,
+    requester: ids::Incarnation,
     number: u64,
     pub(super) budget: ids::BudgetSlot,
     needed_tokens: u64,
@@ -22,20 +22,21 @@
 }
 
 impl Node {
-    /// Takes a question of another router.
+    /// Handles a transfer request of another router for a budget with holders: answers it, or queues it until tokens
+    /// are drawn. A repeated request gets the same transfer again.
     pub(super) fn take_question(
         &mut self,
-        asker: members::Record,
-        question: message::Message,
+        requester: members::Record,
+        request: message::Message,
         now_ms: u64,
     ) {
         let message::Message::TransferAsk { number, budget, needed_tokens, wanted_tokens, .. } =
-            question
+            request
         else {
             return;
         };
-        let id = asker.id;
-        self.members.meet(asker, now_ms);
+        let id = requester.id;
+        self.members.meet(requester, now_ms);
         if let Some((transfer, outgoing)) = self.outbox.answer_to(id, number) {
             self.send_transfer(transfer, outgoing);
             return;
@@ -45,10 +46,10 @@
             self.send(id, message::Message::TransferNone { number, budget, certain: false });
             return;
         };
-        let known = |it: &Question| it.asker == id && it.number == number;
-        if !self.holders.questions.iter().any(known) {
+        let same_request = |queued: &Question| queued.requester == id && queued.number == number;
+        if !self.holders.questions.iter().any(same_request) {
             self.holders.questions.push(Question {
-                asker: id,
+                requester: id,
                 number,
                 budget: slot,
                 needed_tokens,
@@ -57,30 +58,30 @@
             });
         }
         self.answer_questions(now_ms);
-        if self.holders.questions.iter().any(known) {
+        if self.holders.questions.iter().any(same_request) {
             self.send(id, message::Message::TransferWait { number, budget });
         }
     }
 
-    /// What the questions that wait here lack.
+    /// The tokens that queued transfer requests need, by budget.
     pub(super) fn asked_tokens(&self) -> impl Iterator<Item = (ids::BudgetSlot, u64)> {
-        self.holders.questions.iter().map(|question| (question.budget, question.needed_tokens))
+        self.holders.questions.iter().map(|request| (request.budget, request.needed_tokens))
     }
 
-    /// Answers the questions that can be answered.
+    /// Answers the queued transfer requests that can be answered, and requests a sync of the ledger for the others.
     pub(super) fn answer_questions(&mut self, now_ms: u64) {
         if self.holders.questions.is_empty() {
             return;
         }
-        for question in std::mem::take(&mut self.holders.questions) {
-            self.answer_question(question, now_ms);
+        for request in std::mem::take(&mut self.holders.questions) {
+            self.answer_transfer_request(request, now_ms);
         }
         if self.holders.questions.is_empty() {
             return;
         }
         self.sum_shortages();
         let budgets: Vec<ids::BudgetSlot> =
-            self.holders.questions.iter().map(|question| question.budget).collect();
+            self.holders.questions.iter().map(|request| request.budget).collect();
         for budget in budgets {
             self.grants.account_mut(budget).draws = true;
             self.poke_ledger_of(budget);
@@ -88,34 +89,34 @@
         self.tick_platform(now_ms);
     }
 
-    fn answer_question(&mut self, question: Question, now_ms: u64) {
-        let account = self.grants.account(question.budget);
+    fn answer_transfer_request(&mut self, request: Question, now_ms: u64) {
+        let account = self.grants.account(request.budget);
         let free_tokens = account.unclaimed_tokens();
-        if free_tokens >= question.needed_tokens && self.lifecycle == Lifecycle::Ready {
-            let tokens = free_tokens.min(question.wanted_tokens.max(question.needed_tokens));
-            self.give(question.asker, question.budget, tokens, question.number, now_ms);
+        if free_tokens >= request.needed_tokens && self.lifecycle == Lifecycle::Ready {
+            let tokens = free_tokens.min(request.wanted_tokens.max(request.needed_tokens));
+            self.give(request.requester, request.budget, tokens, request.number, now_ms);
             return;
         }
-        let certain = self.too_little_left(
-            question.budget,
-            question.needed_tokens,
-            question.since_ms,
-            now_ms,
-        );
-        let shard = self.ledger_shard(question.budget);
-        let away = self.ledgers.get(shard).is_none_or(ledger_writer::Writer::unanswered);
-        let waited = now_ms >= question.since_ms + STORE_WAIT_MS;
-        if certain || away || waited || self.lifecycle != Lifecycle::Ready {
-            let budget = self.grants.account(question.budget).name.clone();
-            let number = question.number;
-            self.send(question.asker, message::Message::TransferNone { number, budget, certain });
+        let certain =
+            self.too_little_left(request.budget, request.needed_tokens, request.since_ms, now_ms);
+        let shard = self.ledger_shard(request.budget);
+        let store_unanswered =
+            self.ledgers.get(shard).is_none_or(ledger_writer::Writer::unanswered);
+        let waited = now_ms >= request.since_ms + STORE_WAIT_MS;
+        if certain || store_unanswered || waited || self.lifecycle != Lifecycle::Ready {
+            let budget = self.grants.account(request.budget).name.clone();
+            let number = request.number;
+            self.send(
+                request.requester,
+                message::Message::TransferNone { number, budget, certain },
+            );
             return;
         }
-        self.holders.questions.push(question);
+        self.holders.questions.push(request);
     }
 
-    /// Whether the ledger surely has too little left: it was read since `since_ms` or shortly before, and had
-    /// less than is needed. A round that ends with enough left began before the need was known.
+    /// Whether the ledger certainly has too little left: it was read since `since_ms` or shortly before, and had
+    /// less than is needed. A sync that ends with enough left began before the shortage was recorded.
     pub(super) fn too_little_left(
         &self,
         budget: ids::BudgetSlot,
@@ -129,11 +130,13 @@
         }
         let account = self.grants.account(budget);
         let left_tokens = account.remaining_tokens.unwrap_or(u64::MAX);
-        let less = left_tokens.saturating_add(account.free_or_locked_tokens()) < needed_tokens;
-        less && (followed_ms >= since_ms || now_ms < followed_ms + LEFT_KNOWN_MS)
+        let insufficient =
+            left_tokens.saturating_add(account.free_or_locked_tokens()) < needed_tokens;
+        insufficient && (followed_ms >= since_ms || now_ms < followed_ms + REMAINDER_VALID_MS)
     }
 
-    /// Takes tokens out of this router's account and sends them to a peer.
+    /// Deducts tokens from this router's account and sends them to a peer, as the reply to its request number
+    /// `answers`.
     pub(super) fn give(
         &mut self,
         to: ids::Incarnation,
--- a/core/src/node/queue.rs
+++ b/core/src/node/queue.rs
@@ -1,14 +1,14 @@
-//! Requests that wait for a server: in order of priority, bounded by length and age.
+//! Queue of the requests that wait for a server, ordered by priority and bounded in length and age.
 
 use super::{Node, Reason, admit};
 use crate::{ids, servers};
 use std::cmp;
 
-/// Every so many dequeued requests, one of the lowest priority that waits goes first.
-const LOWEST_EVERY: u64 = 10;
+/// One in this many dequeued requests is the oldest one of the lowest priority, so that low priorities are not starved.
+const LOWEST_PRIORITY_EVERY: u64 = 10;
 const RETRY_AFTER_MAX_MS: u64 = 30_000;
 
-/// A request's place in the queue for servers: higher priority first, then older first.
+/// Position of a request in the queue for servers: higher priority first, then older first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Place {
     pub(super) service: String,
@@ -17,7 +17,7 @@
     pub(super) slot: ids::RequestSlot,
 }
 
-/// How fast a service's queue drains, for `Retry-After`.
+/// Rate at which a service's queue drains, for `Retry-After`, and a count of dequeued requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Drain {
     pub(super) window_ms: u64,
@@ -27,7 +27,7 @@
 }
 
 impl Drain {
-    /// Measures anew how fast it drains, once a second.
+    /// Updates the rate once a second, from the requests that ended since the last update.
     pub(super) fn measure(&mut self, now_ms: u64) {
         let elapsed_ms = now_ms.saturating_sub(self.window_ms);
         if elapsed_ms >= 1_000 {
@@ -44,10 +44,10 @@
         for place in &places {
             let Some(request) = self.requests.get(place.slot) else { continue };
             let age_ms = now_ms.saturating_sub(place.since_ms);
-            let most_ms = self.service(&place.service).map_or(0, |service| service.queue_age_ms);
+            let age_max_ms = self.service(&place.service).map_or(0, |service| service.queue_age_ms);
             if request.wanted.deadline_ms <= now_ms {
                 self.refuse(place.slot, Reason::DeadlineTooClose, now_ms);
-            } else if age_ms >= most_ms {
+            } else if age_ms >= age_max_ms {
                 let reason = match self.servers.all_limited(&place.service, now_ms) {
                     true => Reason::Limited,
                     false => Reason::Overloaded,
@@ -76,70 +76,76 @@
                     self.drained.entry(service.to_owned()).or_default().dequeued += 1;
                     self.placed(place.slot, choice, now_ms);
                 }
-                Err(lack) if may_wait(lack) => return,
-                Err(lack) => self.refuse(place.slot, lack.into(), now_ms),
+                Err(unavailable) if may_wait(unavailable) => return,
+                Err(unavailable) => self.refuse(place.slot, unavailable.into(), now_ms),
             }
         }
     }
 
-    /// Refuses what waits in vain: where all servers back off or have yet to answer after that, more requests than these
-    /// answers make room for.
+    /// Where all servers of a service back off, or have not answered a request since, refuses the queued requests
+    /// beyond those that the first answers make room for.
     fn shed_backing_off(&mut self, service: &str, now_ms: u64) {
         if let Some(places) = self.servers.places_after_backoffs(service, now_ms) {
             self.shed(service, places, Reason::Backoff, now_ms);
         }
     }
 
-    /// When a request that waits for a server stops waiting.
-    fn waits_until_ms(&self, place: &Place) -> u64 {
-        let most_ms = self.service(&place.service).map_or(0, |service| service.queue_age_ms);
-        let deadline_ms = self.requests.get(place.slot).map_or(0, |it| it.wanted.deadline_ms);
-        (place.since_ms + most_ms).min(deadline_ms)
+    /// Time at which a queued request is refused if no server was found.
+    fn expires_ms(&self, place: &Place) -> u64 {
+        let age_max_ms = self.service(&place.service).map_or(0, |service| service.queue_age_ms);
+        let deadline_ms =
+            self.requests.get(place.slot).map_or(0, |request| request.wanted.deadline_ms);
+        (place.since_ms + age_max_ms).min(deadline_ms)
     }
 
-    /// Lets a request wait that lacks a server, if that may help; refuses it otherwise.
-    pub(super) fn enqueue(&mut self, slot: ids::RequestSlot, lack: servers::Lack, now_ms: u64) {
+    /// Queues a request for which no server is available if one may become available in time; refuses it otherwise.
+    pub(super) fn enqueue(
+        &mut self,
+        slot: ids::RequestSlot,
+        unavailable: servers::Lack,
+        now_ms: u64,
+    ) {
         let Some(request) = self.requests.get(slot) else { return };
         let service = request.wanted.service.clone();
-        let most = self.service(&service).map_or(0, |service| service.queue_length);
+        let length_max = self.service(&service).map_or(0, |service| service.queue_length);
         let place = Place {
             service: service.clone(),
             priority: cmp::Reverse(request.wanted.priority),
             since_ms: now_ms,
             slot,
         };
-        if !may_wait(lack) {
-            self.refuse(slot, lack.into(), now_ms);
+        if !may_wait(unavailable) {
+            self.refuse(slot, unavailable.into(), now_ms);
             return;
         }
         self.waiting_servers.insert(place);
-        self.shed(&service, most, Reason::Overloaded, now_ms);
+        self.shed(&service, length_max, Reason::Overloaded, now_ms);
         self.shed_backing_off(&service, now_ms);
         if self.servers.limits().is_empty() {
             return;
         }
-        // A permit may be had at once.
+        // A permit may be available at once.
         self.ask_for_permits(&service, now_ms);
         self.drain_queue(&service, now_ms);
         self.shed_limited(&service, now_ms);
     }
 
-    /// Refuses the last in order while too many wait, but never the one that the lowest priority's share
-    /// is kept for.
-    pub(super) fn shed(&mut self, service: &str, most: usize, reason: Reason, now_ms: u64) {
-        while self.queue(service).count() > most {
-            let spared = self.longest_waiting_of_lowest(service).map(|place| place.slot);
-            let spared = spared.filter(|_| most > 0);
+    /// Refuses the last requests of the queue while it is longer than `length_max`, except the oldest one of the lowest
+    /// priority, which [`LOWEST_PRIORITY_EVERY`] reserves a share for.
+    pub(super) fn shed(&mut self, service: &str, length_max: usize, reason: Reason, now_ms: u64) {
+        while self.queue(service).count() > length_max {
+            let spared = self.oldest_of_lowest_priority(service).map(|place| place.slot);
+            let spared = spared.filter(|_| length_max > 0);
             let last = self.queue(service).rev().find(|place| Some(place.slot) != spared);
             let Some(slot) = last.map(|place| place.slot) else { return };
             self.refuse(slot, reason, now_ms);
         }
     }
 
-    /// How long the request that has the most time still waits for a server.
+    /// Longest remaining wait, in milliseconds, of the queued requests of a service.
     pub(super) fn longest_wait_left_ms(&self, service: &str, now_ms: u64) -> u64 {
-        let left_ms = |place: &Place| self.waits_until_ms(place).saturating_sub(now_ms);
-        self.queue(service).map(left_ms).max().unwrap_or(0)
+        let remaining_ms = |place: &Place| self.expires_ms(place).saturating_sub(now_ms);
+        self.queue(service).map(remaining_ms).max().unwrap_or(0)
     }
 
     pub(super) fn queue<'a>(
@@ -149,20 +155,20 @@
         self.waiting_servers.iter().filter(move |place| place.service == service)
     }
 
-    fn longest_waiting_of_lowest<'a>(&'a self, service: &'a str) -> Option<&'a Place> {
+    fn oldest_of_lowest_priority<'a>(&'a self, service: &'a str) -> Option<&'a Place> {
         let lowest = self.queue(service).next_back()?.priority;
         self.queue(service).find(|place| place.priority == lowest)
     }
 
     fn next_in_queue(&self, service: &str) -> Option<Place> {
         let dequeued = self.drained.get(service).map_or(0, |drain| drain.dequeued);
-        if dequeued % LOWEST_EVERY == LOWEST_EVERY - 1 {
-            return self.longest_waiting_of_lowest(service).cloned();
+        if dequeued % LOWEST_PRIORITY_EVERY == LOWEST_PRIORITY_EVERY - 1 {
+            return self.oldest_of_lowest_priority(service).cloned();
         }
         self.queue(service).next().cloned()
     }
 
-    /// How long the queue of a service takes to drain, at the rate measured lately.
+    /// Estimate, in milliseconds, of the time in which the queue of a service drains, from its measured rate.
     pub(super) fn drain_time_ms(&self, service: &str) -> u64 {
         let waiting = self.queue(service).count();
         let per_s = self.drained.get(service).map_or(0, |drain| drain.per_s).max(1);
@@ -170,10 +176,10 @@
     }
 }
 
-/// Whether a request that lacks a server may find one while it waits. One whose servers all back off is refused at once:
-/// when the first of them takes requests again, it takes one, and most of those that wait would wait in vain.
-fn may_wait(lack: servers::Lack) -> bool {
-    match lack {
+/// Whether a request for which no server is available may be queued. One whose servers all back off is refused at once:
+/// the first server that accepts requests again accepts a single one, and most of the queue would expire.
+fn may_wait(unavailable: servers::Lack) -> bool {
+    match unavailable {
         servers::Lack::Full | servers::Lack::Limited => true,
         servers::Lack::Backoff | servers::Lack::None => false,
     }
--- a/core/src/node/relay.rs
+++ b/core/src/node/relay.rs
@@ -1,62 +1,63 @@
-//! How news of the store travels between routers.
+//! Gossip of store updates between routers.
 //!
-//! Every datagram tells what the sender knows of the store, how old that is, and the latest changes. Whoever
-//! learns something by it passes it on to a few members drawn at random, so that news reach all routers
-//! after a few steps, whichever of them fail. What a datagram does not hold is asked for over a connection.
+//! Every datagram contains the positions and ages of the sender's copies of the store, and the latest changes. A router
+//! that receives an update forwards it to a few random members, so that updates reach all routers after a few
+//! steps, whichever of them fail. What does not fit into a datagram is requested over a connection.
 
 use super::{Action, ConfigSource, Node, Notice};
 use crate::{config, evacuation, ids, members, message, servers, store, watch};
 use rand::seq::IndexedRandom;
 use std::collections;
 
-/// Members that news is passed on to. With four, 98 in 100 hear it by the push itself, the others by the next one
-/// or by a probe.
+/// Members that an update is forwarded to. With four, 98 in 100 routers receive it by the push itself, the others by
+/// the next push or by a probe.
 const FANOUT: usize = 4;
-/// News, unlike the mere proof that there are none, are passed on once more after this long: of those whom the first
-/// push missed, nearly all hear the second.
-const PUSH_AGAIN_MS: u64 = 100;
-/// The most changes in one datagram; at about 150 bytes each they stay below its size.
+/// Delay after which an update is pushed a second time, which reaches nearly all of the routers that the first push
+/// missed. Evidence that a copy is current is pushed only once.
+const SECOND_PUSH_DELAY_MS: u64 = 100;
+/// Upper bound on the changes in one datagram; at about 150 bytes each they stay below its maximum size.
 const CHANGES_MAX: usize = 16;
-/// The most that the changes in one datagram take, by their names: what another writer calls a server may be long, and a
-/// datagram that is too large tells nothing at all.
+/// Upper bound on the size of the changes in one datagram, estimated from their texts: names that another writer chose
+/// for servers may be long, and a datagram that is too large is not sent at all.
 const CHANGES_BYTES_MAX: usize = 4 << 10;
-/// Changes are repeated for so long, so that a lost datagram costs no question.
-const CHANGES_KEPT_MS: u64 = 3_000;
-/// A question to a peer that stays unanswered is asked again, of whoever knows, after this long.
-const ASK_AGAIN_MS: u64 = 400;
-/// The same for a configuration: a large one takes a while on a small VM's link.
-const ASK_CONFIG_AGAIN_MS: u64 = 1_000;
-/// How often a router asks for members that a peer knows and it does not.
-const MEMBERS_ASK_MS: u64 = 1_000;
-/// Views of a fleet differ by one part in so many while members come and go.
-const MEMBERS_SLACK: u64 = 16;
+/// Time for which a change is repeated in datagrams, so that a lost datagram does not require a request.
+const CHANGE_RETENTION_MS: u64 = 3_000;
+/// Time after which an unanswered request for VMs is repeated, to any peer with a newer copy.
+const VMS_REQUEST_RETRY_MS: u64 = 400;
+/// The same for a configuration: a large one takes longer on the link of a small VM.
+const CONFIG_REQUEST_RETRY_MS: u64 = 1_000;
+/// Minimum interval between requests for members that peers have and this router does not.
+const MEMBERS_REQUEST_INTERVAL_MS: u64 = 1_000;
+/// Divisor of the fleet's size that gives the tolerated difference between two member counts: views of a fleet differ
+/// by about this fraction while members join and leave.
+const MEMBERS_TOLERANCE_DIVISOR: u64 = 16;
 
-/// What passing news on has to remember.
+/// State of the gossip of store updates.
 #[derive(Debug, Default)]
 pub(super) struct Relay {
-    /// Whether something was learned that others should know.
+    /// Whether something was received since the last push that other routers need.
     pub(super) push_due: bool,
-    /// When the latest news are passed on once more.
-    push_again_ms: Option<u64>,
-    /// The latest changes of servers' records, with the time when they were heard.
+    /// Time of the second push of the latest update.
+    second_push_ms: Option<u64>,
+    /// The latest changes of servers' records, with the time at which they were received.
     changes: collections::VecDeque<(u64, watch::ServerChange)>,
-    /// They are all changes after this position.
+    /// `changes` is complete after this position.
     changes_after: store::Position,
-    /// The configuration in force as it is sent to peers, with its version.
+    /// The configuration in force, encoded for peers, with its version.
     encoded: Option<(u64, Vec<u8>)>,
-    asked_config_ms: Option<u64>,
-    asked_vms_ms: Option<u64>,
-    asked_members_ms: Option<u64>,
+    config_requested_ms: Option<u64>,
+    vms_requested_ms: Option<u64>,
+    members_requested_ms: Option<u64>,
 }
 
 impl Relay {
-    /// Notes that something new was learned.
+    /// Schedules two pushes after an update was received.
     pub(super) fn heard_news(&mut self, now_ms: u64) {
         self.push_due = true;
-        self.push_again_ms = Some(now_ms + PUSH_AGAIN_MS);
+        self.second_push_ms = Some(now_ms + SECOND_PUSH_DELAY_MS);
     }
 
-    /// Notes a change that was applied.
+    /// Adds a change that was applied to this router's copy.
     pub(super) fn note_change(&mut self, change: watch::ServerChange, now_ms: u64) {
         self.changes.push_back((now_ms, change));
         while self.changes.len() > CHANGES_MAX || self.changes_bytes() > CHANGES_BYTES_MAX {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Notes that the copy was replaced by one that stands for `position`.
+    /// Discards the changes after the copy was replaced by one at `position`.
     pub(super) fn restart_changes(&mut self, position: store::Position) {
         self.changes.clear();
         self.changes_after = position;
@@ -80,22 +81,23 @@
         }
     }
 
-    fn forget_old(&mut self, now_ms: u64) {
-        while self.changes.front().is_some_and(|(at_ms, _)| now_ms >= at_ms + CHANGES_KEPT_MS) {
+    fn expire_changes(&mut self, now_ms: u64) {
+        while self.changes.front().is_some_and(|(at_ms, _)| now_ms >= at_ms + CHANGE_RETENTION_MS) {
             self.drop_oldest();
         }
     }
 }
 
 impl Node {
-    /// What this router knows of the store.
+    /// Summary of this router's copies of the store, for datagrams.
     pub(super) fn digest(&self, now_ms: u64) -> message::Digest {
-        let seen = |watched: &watch::Watch| message::Seen {
-            position: watched.position(),
-            age_ms: watched.age_ms(now_ms),
+        let copy_state = |subscription: &watch::Watch| message::Seen {
+            position: subscription.position(),
+            age_ms: subscription.age_ms(now_ms),
         };
-        let configuration = self.watching.as_ref().map(|it| seen(&it.configuration));
-        let servers = self.watching.as_ref().map(|it| seen(&it.servers));
+        let configuration =
+            self.watching.as_ref().map(|watching| copy_state(&watching.configuration));
+        let servers = self.watching.as_ref().map(|watching| copy_state(&watching.servers));
         message::Digest {
             era: self.store_era(),
             config_version: self.config_version(),
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Takes in what a peer knows of the store.
+    /// Merges the digest of a peer's copies into this router's copies, and requests what is missing.
     pub(super) fn hear_digest(
         &mut self,
         from: ids::Incarnation,
@@ -120,39 +122,40 @@
         if !self.accepts_era(digest.era.max(digest.servers.position.era)) {
             self.hear_unconfirmed_era(from, digest, now_ms);
         }
-        self.hear_servers(from, digest, now_ms);
-        self.hear_configuration(from, digest, now_ms);
-        self.ask_members(from, digest.routers, now_ms);
+        self.merge_servers(from, digest, now_ms);
+        self.merge_configuration(from, digest, now_ms);
+        self.request_members(from, digest.routers, now_ms);
     }
 
-    fn hear_servers(&mut self, from: ids::Incarnation, digest: &message::Digest, now_ms: u64) {
-        let told = digest.servers.position;
-        if !self.accepts_era(told.era) || told.era < self.vms_index.era {
+    fn merge_servers(&mut self, from: ids::Incarnation, digest: &message::Digest, now_ms: u64) {
+        let reported = digest.servers.position;
+        if !self.accepts_era(reported.era) || reported.era < self.vms_index.era {
             return;
         }
         let known = self.vms_index;
-        let continues_copy = known != store::Position::START && known.era == told.era;
-        if told > known && continues_copy && digest.changes_after <= known {
+        let continues_copy = known != store::Position::START && known.era == reported.era;
+        if reported > known && continues_copy && digest.changes_after <= known {
             let changes = digest.changes.iter().filter(|change| change.position > known);
-            let missed_store = self.watching.as_ref().is_some_and(|it| it.missed_store(now_ms));
+            let missed_store =
+                self.watching.as_ref().is_some_and(|watching| watching.missed_store(now_ms));
             let changes: Vec<watch::ServerChange> = changes.cloned().collect();
-            // The store's revision moves with every write, also where nothing that is followed changes.
+            // The store's revision grows with every write, also with writes outside the subscribed keys.
             if !changes.is_empty() {
-                self.hear_news(watch::Topic::Servers, now_ms);
+                self.record_peer_update(watch::Topic::Servers, now_ms);
             }
-            self.apply_changes(told, changes, missed_store, now_ms);
+            self.apply_changes(reported, changes, missed_store, now_ms);
         }
-        if told > self.vms_index {
-            if may_ask(&mut self.relay.asked_vms_ms, ASK_AGAIN_MS, now_ms) {
+        if reported > self.vms_index {
+            if may_request(&mut self.relay.vms_requested_ms, VMS_REQUEST_RETRY_MS, now_ms) {
                 self.send(from, message::Message::VmsAsk);
             }
             return;
         }
-        let seen = message::Seen { position: self.vms_index, ..digest.servers };
-        self.confirm(watch::Topic::Servers, seen, now_ms);
+        let copy_state = message::Seen { position: self.vms_index, ..digest.servers };
+        self.confirm(watch::Topic::Servers, copy_state, now_ms);
     }
 
-    fn hear_configuration(
+    fn merge_configuration(
         &mut self,
         from: ids::Incarnation,
         digest: &message::Digest,
@@ -161,77 +164,85 @@
         if self.accepts_era(digest.evacuations.position.era)
             && self.hear_evacuations(&digest.evacuations, now_ms)
         {
-            self.hear_news(watch::Topic::Configuration, now_ms);
+            self.record_peer_update(watch::Topic::Configuration, now_ms);
         }
         if digest.config_version > self.config_version() {
-            if may_ask(&mut self.relay.asked_config_ms, ASK_CONFIG_AGAIN_MS, now_ms) {
+            if may_request(&mut self.relay.config_requested_ms, CONFIG_REQUEST_RETRY_MS, now_ms) {
                 self.send(from, message::Message::ConfigAsk);
             }
             return;
         }
-        let told = digest.configuration.position;
-        let known = self.watching.as_ref().map(|it| it.configuration.position());
-        if !self.accepts_era(told.era) || known.is_some_and(|known| told.era < known.era) {
+        let reported = digest.configuration.position;
+        let known = self.watching.as_ref().map(|watching| watching.configuration.position());
+        if !self.accepts_era(reported.era) || known.is_some_and(|known| reported.era < known.era) {
             return;
         }
         let same = digest.config_version == self.config_version();
-        let position = if same { told } else { store::Position::START };
-        let seen = message::Seen { position, ..digest.configuration };
-        self.confirm(watch::Topic::Configuration, seen, now_ms);
+        let position = if same { reported } else { store::Position::START };
+        let copy_state = message::Seen { position, ..digest.configuration };
+        self.confirm(watch::Topic::Configuration, copy_state, now_ms);
     }
 
-    /// Takes in that this router's copy held all that the store had, as a peer's does.
-    pub(super) fn confirm(&mut self, topic: watch::Topic, seen: message::Seen, now_ms: u64) {
-        let passes_on = self.passes_on();
+    /// Merges a peer's evidence that a copy at the same position was current into this router's subscription.
+    pub(super) fn confirm(&mut self, topic: watch::Topic, copy_state: message::Seen, now_ms: u64) {
+        let gossips_store_updates = self.gossips_store_updates();
         let Some(watching) = &mut self.watching else { return };
-        let watched = watching.topic(topic);
-        watched.adopt(seen.position);
-        let Some(age_ms) = seen.age_ms else { return };
-        let gained_ms = watched.confirm(seen.position, now_ms.saturating_sub(age_ms));
-        self.relay.push_due |= passes_on && gained_ms >= watched.notable_ms();
+        let subscription = watching.topic(topic);
+        subscription.adopt(copy_state.position);
+        let Some(age_ms) = copy_state.age_ms else { return };
+        let gained_ms = subscription.confirm(copy_state.position, now_ms.saturating_sub(age_ms));
+        self.relay.push_due |= gossips_store_updates && gained_ms >= subscription.notable_ms();
     }
 
-    /// Notes that a peer told news, which this router's own call should have brought.
-    fn hear_news(&mut self, topic: watch::Topic, now_ms: u64) {
+    /// Records that a peer sent an update, which supersedes this router's own poll.
+    fn record_peer_update(&mut self, topic: watch::Topic, now_ms: u64) {
         self.relay.heard_news(now_ms);
         if let Some(watching) = &mut self.watching {
             watching.topic(topic).overtake(watch::Evidence::Peer, now_ms);
         }
     }
 
-    /// Whether routers hear news of the store from each other.
-    fn passes_on(&self) -> bool {
+    /// Whether routers receive store updates from each other.
+    fn gossips_store_updates(&self) -> bool {
         self.watching.is_some()
     }
 
-    /// Passes news on, if there are any.
+    /// Pushes updates to other members if a push is due.
     pub(super) fn push_news(&mut self, now_ms: u64) {
-        self.relay.forget_old(now_ms);
-        let again = self.relay.push_again_ms.take_if(|at_ms| now_ms >= *at_ms).is_some();
-        if !(std::mem::take(&mut self.relay.push_due) || again) || !self.passes_on() {
+        self.relay.expire_changes(now_ms);
+        let second_push = self.relay.second_push_ms.take_if(|at_ms| now_ms >= *at_ms).is_some();
+        if !(std::mem::take(&mut self.relay.push_due) || second_push)
+            || !self.gossips_store_updates()
+        {
             return;
         }
         self.push_to_some(now_ms);
     }
 
-    /// Tells a few members, drawn at random, what this router knows.
+    /// Sends the state of this router to a few random members.
     pub(super) fn push_to_some(&mut self, now_ms: u64) {
-        // Where datagrams are lost, a suspected member may live; those that died are suspected for a few seconds only.
+        // With datagram loss, a suspected member may be alive; terminated members are suspected for a few seconds only.
         let (alive, suspected): (Vec<&members::Record>, Vec<&members::Record>) =
             self.members.live().partition(|record| record.health == members::Health::Alive);
         let chosen = alive.sample(&mut self.rng, FANOUT);
         let mut chosen: Vec<String> = chosen.map(|record| record.address.clone()).collect();
         chosen.extend(suspected.choose(&mut self.rng).map(|record| record.address.clone()));
         for address in chosen {
-            let news = self.members.news();
-            self.push_gossip(address, message::GossipKind::Push, news, now_ms);
+            let updates = self.members.news();
+            self.push_gossip(address, message::GossipKind::Push, updates, now_ms);
         }
     }
 
-    fn ask_members(&mut self, from: ids::Incarnation, routers: u64, now_ms: u64) {
+    fn request_members(&mut self, from: ids::Incarnation, routers: u64, now_ms: u64) {
         let known = self.members.live_count();
-        let more = routers > known + (known / MEMBERS_SLACK).max(1);
-        if more && may_ask(&mut self.relay.asked_members_ms, MEMBERS_ASK_MS, now_ms) {
+        let more = routers > known + (known / MEMBERS_TOLERANCE_DIVISOR).max(1);
+        if more
+            && may_request(
+                &mut self.relay.members_requested_ms,
+                MEMBERS_REQUEST_INTERVAL_MS,
+                now_ms,
+            )
+        {
             self.send(from, message::Message::MembersAsk);
         }
     }
@@ -244,8 +255,8 @@
     pub(super) fn send_vms(&mut self, to: ids::Incarnation, now_ms: u64) {
         let mut vms: Vec<_> = self.vms.values().cloned().collect();
         vms.sort_by(|one, other| one.vm.cmp(&other.vm));
-        let seen = self.digest(now_ms).servers;
-        self.send(to, message::Message::Vms { seen, vms });
+        let copy_state = self.digest(now_ms).servers;
+        self.send(to, message::Message::Vms { seen: copy_state, vms });
     }
 
     pub(super) fn send_config(&mut self, to: ids::Incarnation, now_ms: u64) {
@@ -264,21 +275,21 @@
             },
         };
         self.relay.encoded = Some((version, value.clone()));
-        let seen = self.digest(now_ms).configuration;
+        let copy_state = self.digest(now_ms).configuration;
         let evacuations = self.evacuations.clone();
-        self.send(to, message::Message::Config { version, seen, evacuations, value });
+        self.send(to, message::Message::Config { version, seen: copy_state, evacuations, value });
     }
 
     pub(super) fn take_config(
         &mut self,
         from: ids::Incarnation,
-        seen: message::Seen,
+        copy_state: message::Seen,
         evacuations: &evacuation::Evacuations,
         value: Vec<u8>,
         now_ms: u64,
     ) {
-        self.relay.asked_config_ms = None;
-        let accepted = self.accepts_era(seen.position.era.max(evacuations.position.era));
+        self.relay.config_requested_ms = None;
+        let accepted = self.accepts_era(copy_state.position.era.max(evacuations.position.era));
         if accepted {
             self.hear_evacuations(evacuations, now_ms);
         }
@@ -288,9 +299,9 @@
                 self.adopt_config(published, ConfigSource::Peer(from), now_ms);
                 if version == self.config_version() {
                     self.relay.encoded = Some((version, value));
-                    self.hear_news(watch::Topic::Configuration, now_ms);
+                    self.record_peer_update(watch::Topic::Configuration, now_ms);
                     if accepted {
-                        self.confirm(watch::Topic::Configuration, seen, now_ms);
+                        self.confirm(watch::Topic::Configuration, copy_state, now_ms);
                     }
                 }
             }
@@ -301,29 +312,35 @@
         }
     }
 
-    /// Follows a peer's list of VMs, if it is newer than what is known here.
-    pub(super) fn hear_vms(&mut self, seen: message::Seen, vms: Vec<servers::Vm>, now_ms: u64) {
-        self.relay.asked_vms_ms = None;
-        if seen.position <= self.vms_index || !self.accepts_era(seen.position.era) {
+    /// Replaces this router's list of VMs by a peer's if that is newer.
+    pub(super) fn hear_vms(
+        &mut self,
+        copy_state: message::Seen,
+        vms: Vec<servers::Vm>,
+        now_ms: u64,
+    ) {
+        self.relay.vms_requested_ms = None;
+        if copy_state.position <= self.vms_index || !self.accepts_era(copy_state.position.era) {
             return;
         }
         self.lapsed.clear();
-        if self.vms_index != store::Position::START && seen.position.era > self.vms_index.era {
+        if self.vms_index != store::Position::START && copy_state.position.era > self.vms_index.era
+        {
             let all = watch::AllServers { listed: vms.clone(), ..Default::default() };
             self.prepare_era_change(&all, now_ms);
         }
-        self.relay.restart_changes(seen.position);
-        self.follow_vms(seen.position, vms, now_ms);
-        self.hear_news(watch::Topic::Servers, now_ms);
-        self.confirm(watch::Topic::Servers, seen, now_ms);
+        self.relay.restart_changes(copy_state.position);
+        self.follow_vms(copy_state.position, vms, now_ms);
+        self.record_peer_update(watch::Topic::Servers, now_ms);
+        self.confirm(watch::Topic::Servers, copy_state, now_ms);
     }
 }
 
-/// Whether a question may be asked now; notes that it is.
-fn may_ask(asked_ms: &mut Option<u64>, again_ms: u64, now_ms: u64) -> bool {
-    if asked_ms.is_some_and(|at_ms| now_ms < at_ms + again_ms) {
+/// Whether a request may be sent now, `interval_ms` after the last one; records that it is.
+fn may_request(requested_ms: &mut Option<u64>, interval_ms: u64, now_ms: u64) -> bool {
+    if requested_ms.is_some_and(|at_ms| now_ms < at_ms + interval_ms) {
         return false;
     }
-    *asked_ms = Some(now_ms);
+    *requested_ms = Some(now_ms);
     true
 }
--- a/core/src/node/watching.rs
+++ b/core/src/node/watching.rs
@@ -1,33 +1,33 @@
-//! Who asks the store for news, and what becomes of its answers.
+//! Polls of the store for updates: which routers poll, and how the answers are applied.
 
 use super::{Action, CallOutcome, CallPurpose, Lifecycle, Node, Notice};
 use crate::{members, servers, store, watch};
 use std::collections;
 
-/// How long a router that has just started asks peers only. A peer answers within milliseconds;
-/// in a fleet that starts as a whole the seeds need about so long to start and read the store.
-const JOIN_MS: u64 = 1_000;
-/// Until then a router's view of the fleet is too small to tell who watches.
+/// Time after its start in which a router requests its copies from peers only. A peer answers within milliseconds; in a
+/// fleet that starts as a whole the seeds need about this long to start and read the store.
+const JOIN_TIMEOUT_MS: u64 = 1_000;
+/// Time after its start in which a router's view of the fleet is too small to determine which routers poll.
 pub(super) const SETTLE_MS: u64 = 3_000;
-/// How often a router looks whether it watches.
-const LOOK_EVERY_MS: u64 = 500;
-/// Records that went while the store was away are kept for so long after its return: servers that live are back
-/// in its list within about two seconds. The store may have turned this router alone away while servers left,
-/// so this stays well below the two seconds after which such a server must get nothing new.
-const LAPSED_KEPT_MS: u64 = 1_400;
+/// Interval at which a router determines its role in following the store.
+const ROLE_CHECK_INTERVAL_MS: u64 = 500;
+/// Time for which records that disappeared while the store was unavailable are kept after its return: live servers are
+/// back in its list within about two seconds. The store may have refused only this router while servers left, so
+/// this stays well below the two seconds after which such a server must not get new requests.
+const LAPSED_RETENTION_MS: u64 = 1_400;
 
-/// What following the store has to remember.
+/// State of following the store.
 #[derive(Debug)]
 pub(super) struct Watching {
     pub(super) configuration: watch::Watch,
     pub(super) servers: watch::Watch,
-    pub(super) duty: watch::Duty,
-    looked_ms: u64,
-    /// Whether this router has recorded in the store where peers reach it.
+    pub(super) role: watch::Duty,
+    role_checked_ms: u64,
+    /// Whether this router has recorded its address for peers in the store.
     announced: bool,
-    /// When a peer was last heard.
+    /// Time at which the last gossip of a peer was received.
     pub(super) heard_ms: Option<u64>,
-    /// Until when a record that lapsed is kept.
+    /// Time until which each lapsed record is kept, by VM.
     lapsed_until_ms: collections::BTreeMap<String, u64>,
 }
 
@@ -37,8 +37,8 @@
         Self {
             configuration: watch::Watch::new(configuration, bounds.configuration_ms),
             servers: watch::Watch::new(watch::Topic::Servers, bounds.servers_ms),
-            duty: watch::Duty::Joining,
-            looked_ms: 0,
+            role: watch::Duty::Joining,
+            role_checked_ms: 0,
             announced: false,
             heard_ms: None,
             lapsed_until_ms: Default::default(),
@@ -52,17 +52,18 @@
         }
     }
 
-    /// Whether this router had no word of the store's servers because the store did not serve.
+    /// Whether this router missed updates of the list of servers because the store was unavailable.
     pub(super) fn missed_store(&self, now_ms: u64) -> bool {
-        self.servers.missed_store(self.duty, now_ms)
+        self.servers.missed_store(self.role, now_ms)
     }
 
-    /// How long ago this router's copies held all that the store had, in milliseconds.
+    /// Staleness of this router's copies, by topic: the time since they were last known to be current, in milliseconds.
     pub(super) fn ages_ms(&self, now_ms: u64) -> [(watch::Topic, Option<u64>); 2] {
-        [&self.configuration, &self.servers].map(|watch| (watch.topic(), watch.age_ms(now_ms)))
+        [&self.configuration, &self.servers]
+            .map(|subscription| (subscription.topic(), subscription.age_ms(now_ms)))
     }
 
-    fn knows_all(&self) -> bool {
+    fn has_all_copies(&self) -> bool {
         let start = store::Position::START;
         self.configuration.position() > start && self.servers.position() > start
     }
@@ -74,12 +75,12 @@
 }
 
 impl Node {
-    /// This router's part in following the store; `None` if it follows by other means.
+    /// This router's role in following the store; `None` if the shell follows it.
     pub fn watch_duty(&self) -> Option<watch::Duty> {
-        self.watching.as_ref().map(|watching| watching.duty)
+        self.watching.as_ref().map(|watching| watching.role)
     }
 
-    /// How long ago this router's copy of a topic held all that the store had, in milliseconds.
+    /// Staleness of this router's copy of a topic: the time since it was last known to be current, in milliseconds.
     pub fn age_ms(&self, topic: watch::Topic, now_ms: u64) -> Option<u64> {
         let watching = self.watching.as_ref()?;
         match topic {
@@ -88,7 +89,7 @@
         }
     }
 
-    /// The calls for a topic that wait for the store now.
+    /// The polls of a topic that are in flight.
     pub fn open_calls(&self, topic: watch::Topic, now_ms: u64) -> Vec<watch::OpenCall> {
         let Some(watching) = self.watching.as_ref() else { return Vec::new() };
         match topic {
@@ -97,80 +98,81 @@
         }
     }
 
-    /// Takes the end of a call that [`Action::Watch`] asked for. One that was given up before changes nothing.
+    /// Handles the end of a poll that was requested with [`Action::Watch`]. The end of a poll that was given up before
+    /// is only counted.
     pub fn watched(&mut self, call: watch::Call, outcome: watch::Outcome, now_ms: u64) {
         let topic = call.topic;
         let routers = self.members.live_count();
         let Some(watching) = &mut self.watching else { return };
-        let duty = watching.duty;
-        let Some(flight) = watching.topic(topic).ended(call.number) else {
+        let role = watching.role;
+        let Some(poll) = watching.topic(topic).ended(call.number) else {
             self.count_call(purpose(topic), CallOutcome::Late);
             return;
         };
         if let watch::Outcome::Answered { position, .. } = &outcome {
             let era = position.era;
             self.hear_store_era(era, now_ms);
-            self.check_unconfirmed_era(era, flight.sent_ms(), now_ms);
+            self.check_unconfirmed_era(era, poll.sent_ms(), now_ms);
             if self.reject_earlier_era(topic, era) {
                 let Some(watching) = &mut self.watching else { return };
-                watching.topic(topic).failed(false, duty, routers, now_ms, &mut self.rng);
+                watching.topic(topic).failed(false, role, routers, now_ms, &mut self.rng);
                 return;
             }
-            if !flight.accepts_answer_at(*position) {
+            if !poll.accepts_answer_at(*position) {
                 return;
             }
         }
-        self.count_watch(topic, &outcome);
+        self.count_poll(topic, &outcome);
         let Some(watching) = &mut self.watching else { return };
         match outcome {
             watch::Outcome::Answered { position, news } => {
-                let any = news.any();
-                let watched = watching.topic(topic);
-                let was_refused = watched.was_refused(duty, now_ms);
-                watched.answered(duty, flight, position, any, now_ms);
-                match any {
+                let has_update = news.any();
+                let subscription = watching.topic(topic);
+                let was_refused = subscription.was_refused(role, now_ms);
+                subscription.answered(role, poll, position, has_update, now_ms);
+                match has_update {
                     true => self.relay.heard_news(now_ms),
                     false => self.relay.push_due = true,
                 }
-                self.take_news(position, news, was_refused, now_ms);
+                self.apply_update(position, news, was_refused, now_ms);
             }
             watch::Outcome::Forgotten => watching.topic(topic).forgotten(),
             watch::Outcome::Refused => {
-                watching.topic(topic).failed(true, duty, routers, now_ms, &mut self.rng);
+                watching.topic(topic).failed(true, role, routers, now_ms, &mut self.rng);
             }
             watch::Outcome::Silent => {
-                watching.topic(topic).failed(false, duty, routers, now_ms, &mut self.rng);
+                watching.topic(topic).failed(false, role, routers, now_ms, &mut self.rng);
             }
         }
     }
 
-    fn take_news(
+    fn apply_update(
         &mut self,
         position: store::Position,
-        news: watch::News,
+        update: watch::News,
         was_refused: bool,
         now_ms: u64,
     ) {
-        match news {
-            watch::News::Configuration(news) => {
-                // Before the configuration: a router that starts is ready with it.
-                self.take_evacuations(position, news.evacuations, now_ms);
-                if let Some(published) = news.published {
+        match update {
+            watch::News::Configuration(update) => {
+                // Before the configuration, with which a starting router becomes ready.
+                self.take_evacuations(position, update.evacuations, now_ms);
+                if let Some(published) = update.published {
                     self.offer_config(*published, now_ms);
                 }
             }
             watch::News::Servers(mut changes) => {
-                // Peers may have told more meanwhile.
-                let known = self.vms_index;
-                changes.retain(|change| change.position > known);
+                // Peers may have sent later changes in the meantime.
+                let own_position = self.vms_index;
+                changes.retain(|change| change.position > own_position);
                 if was_refused {
-                    changes.iter_mut().for_each(note_lapsed);
+                    changes.iter_mut().for_each(mark_lapsed);
                 }
-                self.apply_changes(position.max(known), changes, was_refused, now_ms);
+                self.apply_changes(position.max(own_position), changes, was_refused, now_ms);
             }
             watch::News::AllServers(_) if position < self.vms_index => {
-                let (topic, known) = (watch::Topic::Servers, self.vms_index);
-                let notice = Notice::StaleAnswerIgnored { topic, position, known };
+                let (topic, own_position) = (watch::Topic::Servers, self.vms_index);
+                let notice = Notice::StaleAnswerIgnored { topic, position, known: own_position };
                 self.actions.push(Action::Notice(notice));
             }
             watch::News::AllServers(all) => {
@@ -188,8 +190,8 @@
         }
     }
 
-    /// Applies changes of servers' records; the copy stands for `position` then. Records that lapsed are kept for a
-    /// while if `keeps_lapsed`: who knew the store's state all the while saw them leave.
+    /// Applies changes of servers' records, which bring the copy to `position`. Lapsed records are kept for some time
+    /// if `keeps_lapsed`; a router that has followed the store without a gap has received their removal.
     pub(super) fn apply_changes(
         &mut self,
         position: store::Position,
@@ -207,16 +209,16 @@
             self.eras.clear_removal(&change.vm);
             match &change.record {
                 watch::ServerRecord::Listed(vm) => {
-                    self.forget_lapsed_of(&change.vm);
+                    self.remove_lapsed(&change.vm);
                     self.eras.note_record_revision(&change.vm, change.position.revision);
                     vms.insert(change.vm.clone(), vm.clone().unless_over(removed.as_ref()));
                 }
                 watch::ServerRecord::Gone | watch::ServerRecord::Unreadable => {
-                    self.forget_lapsed_of(&change.vm);
+                    self.remove_lapsed(&change.vm);
                 }
                 watch::ServerRecord::Lapsed => {
                     if let Some(vm) = removed.filter(|_| keeps_lapsed) {
-                        self.keep_lapsed(vm, LAPSED_KEPT_MS, now_ms);
+                        self.retain_lapsed(vm, LAPSED_RETENTION_MS, now_ms);
                     }
                 }
             }
@@ -225,8 +227,8 @@
         self.follow_vms(position, vms.into_values().collect(), now_ms);
     }
 
-    /// Forgets records that lapsed and did not come back in time.
-    fn forget_lapsed(&mut self, now_ms: u64) {
+    /// Removes lapsed records that did not reappear in time.
+    fn expire_lapsed(&mut self, now_ms: u64) {
         let Some(watching) = &mut self.watching else { return };
         let before = watching.lapsed_until_ms.len();
         watching.lapsed_until_ms.retain(|_, until_ms| now_ms < *until_ms);
@@ -239,10 +241,10 @@
         self.follow_vms(self.vms_index, vms, now_ms);
     }
 
-    /// Keeps records that are missing from a list for [`LAPSED_KEPT_MS`] after the store became available again, which
-    /// was at `available_ms` at the earliest.
+    /// Keeps records that are missing from a list for [`LAPSED_RETENTION_MS`] after the store became available again,
+    /// which was at `available_ms` at the earliest.
     pub(super) fn keep_missing(&mut self, all: &watch::AllServers, available_ms: u64, now_ms: u64) {
-        let kept_ms = (available_ms + LAPSED_KEPT_MS).saturating_sub(now_ms);
+        let kept_ms = (available_ms + LAPSED_RETENTION_MS).saturating_sub(now_ms);
         if kept_ms == 0 {
             return;
         }
@@ -251,11 +253,11 @@
         let missing = self.vms.values().filter(|vm| !present.contains(&vm.vm));
         let missing: Vec<servers::Vm> = missing.cloned().collect();
         for vm in missing {
-            self.keep_lapsed(vm, kept_ms, now_ms);
+            self.retain_lapsed(vm, kept_ms, now_ms);
         }
     }
 
-    fn keep_lapsed(&mut self, vm: servers::Vm, kept_ms: u64, now_ms: u64) {
+    fn retain_lapsed(&mut self, vm: servers::Vm, kept_ms: u64, now_ms: u64) {
         let Some(watching) = &mut self.watching else { return };
         let notice = Notice::ItemLapsed { vm: vm.vm.clone(), kept_ms };
         self.actions.push(Action::Notice(notice));
@@ -263,32 +265,32 @@
         self.lapsed.push(vm);
     }
 
-    fn forget_lapsed_of(&mut self, vm: &str) {
+    fn remove_lapsed(&mut self, vm: &str) {
         let Some(watching) = &mut self.watching else { return };
         if watching.lapsed_until_ms.remove(vm).is_some() {
             self.lapsed.retain(|lapsed| lapsed.vm != vm);
         }
     }
 
-    /// Makes the calls that are due, and passes news on.
+    /// Starts the polls that are due, gives up unanswered ones, and pushes updates to peers.
     pub(super) fn tick_watching(&mut self, now_ms: u64) {
-        self.note_duty(now_ms);
-        self.forget_lapsed(now_ms);
+        self.update_role(now_ms);
+        self.expire_lapsed(now_ms);
         let routers = self.members.live_count();
         let own = self.settings.incarnation;
         let rank = self.members.live().filter(|member| member.id < own).count() as u64;
         let Some(watching) = &mut self.watching else { return };
-        let duty = watching.duty;
+        let role = watching.role;
         let silent_ms = watching.heard_ms.map_or(u64::MAX, |at_ms| now_ms.saturating_sub(at_ms));
         let mut given_up = Vec::new();
         for topic in watch::Topic::ALL {
-            let watched = watching.topic(topic);
-            if let Some(call) = watched.give_up(now_ms) {
+            let subscription = watching.topic(topic);
+            if let Some(call) = subscription.give_up(now_ms) {
                 given_up.push((topic, call));
             }
-            let alone = silent_ms >= watched.overdue_ms();
+            let alone = silent_ms >= subscription.overdue_ms();
             let fleet = watch::Fleet { routers, rank, alone };
-            if let Some(call) = watched.due(duty, fleet, now_ms, &mut self.rng) {
+            if let Some(call) = subscription.due(role, fleet, now_ms, &mut self.rng) {
                 self.actions.push(Action::Watch(call));
             }
         }
@@ -301,40 +303,41 @@
         self.push_news(now_ms);
     }
 
-    /// Records in the store where peers reach this router, once: a router that starts and finds none of its
-    /// seeds looks there. Who watches is known to all, so a few records are enough.
+    /// Records this router's address in the store, once, for routers that start and reach none of their seeds. Only
+    /// routers that poll do so: all members have their addresses, so a few records are enough.
     fn announce(&mut self, now_ms: u64) {
         let settled = now_ms >= self.started_ms + SETTLE_MS;
-        let lonely = self.members.live().next().is_none();
+        let without_peers = self.members.live().next().is_none();
         let Some(watching) = &mut self.watching else { return };
-        let watches = matches!(watching.duty, watch::Duty::EveryRouter | watch::Duty::Watcher);
-        if watches && !watching.announced && (settled || lonely) {
+        let polls = matches!(watching.role, watch::Duty::EveryRouter | watch::Duty::Watcher);
+        if polls && !watching.announced && (settled || without_peers) {
             watching.announced = true;
             self.count_call(CallPurpose::Announce, CallOutcome::Sent);
             self.actions.push(Action::Announce);
         }
     }
 
-    fn note_duty(&mut self, now_ms: u64) {
+    fn update_role(&mut self, now_ms: u64) {
         let Some(watching) = &self.watching else { return };
-        let joining = watching.duty == watch::Duty::Joining;
-        if !joining && now_ms < watching.looked_ms + LOOK_EVERY_MS {
+        let is_joining = watching.role == watch::Duty::Joining;
+        if !is_joining && now_ms < watching.role_checked_ms + ROLE_CHECK_INTERVAL_MS {
             return;
         }
-        let duty = self.watch_duty_now(watching, now_ms);
+        let role = self.current_role(watching, now_ms);
         let Some(watching) = &mut self.watching else { return };
-        watching.looked_ms = now_ms;
-        if watching.duty != duty {
-            watching.duty = duty;
-            self.actions.push(Action::Notice(Notice::WatchDuty { duty }));
+        watching.role_checked_ms = now_ms;
+        if watching.role != role {
+            watching.role = role;
+            self.actions.push(Action::Notice(Notice::WatchDuty { duty: role }));
         }
     }
 
-    fn watch_duty_now(&self, watching: &Watching, now_ms: u64) -> watch::Duty {
+    fn current_role(&self, watching: &Watching, now_ms: u64) -> watch::Duty {
         let routers = self.members.live_count() as usize;
         if routers == 1 {
-            let waits = now_ms < self.started_ms + JOIN_MS && !watching.knows_all();
-            return match waits && self.members.asks_seeds() {
+            let awaits_peers =
+                now_ms < self.started_ms + JOIN_TIMEOUT_MS && !watching.has_all_copies();
+            return match awaits_peers && self.members.asks_seeds() {
                 true => watch::Duty::Joining,
                 false => watch::Duty::EveryRouter,
             };
@@ -353,7 +356,7 @@
         }
     }
 
-    fn count_watch(&mut self, topic: watch::Topic, outcome: &watch::Outcome) {
+    fn count_poll(&mut self, topic: watch::Topic, outcome: &watch::Outcome) {
         let outcome = match outcome {
             watch::Outcome::Answered { news, .. } if news.any() => CallOutcome::News,
             watch::Outcome::Answered { .. } => CallOutcome::Empty,
@@ -376,8 +379,8 @@
     }
 }
 
-/// A record that went while the store was away may be back soon.
-fn note_lapsed(change: &mut watch::ServerChange) {
+/// Marks a removal as lapsed: a record that disappeared while the store was unavailable may reappear soon.
+fn mark_lapsed(change: &mut watch::ServerChange) {
     if change.record == watch::ServerRecord::Gone {
         change.record = watch::ServerRecord::Lapsed;
     }
