--- a/core/src/node/notices.rs
+++ b/core/src/node/notices.rs
@@ -1,8 +1,8 @@
-//! Events for the log, and from where a router knows what it acts on.
+//! Events for the log, and the sources from which a router received what they report.
 
 use crate::{ids, leavings, ledger, ledger_writer, servers, store, watch};
 
-/// From where a router has its configuration.
+/// Source from which a router received its configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigSource {
     /// The platform's store.
@@ -11,16 +11,16 @@
     Peer(ids::Incarnation),
 }
 
-/// From where a router knows of a request that crashes servers, or of its end.
+/// Source from which a router learned that a request crashes servers, or that it no longer does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineSource {
-    /// It saw the crash itself.
+    /// It detected the crash itself.
     Seen,
-    /// Another router told it.
+    /// Another router reported it.
     Peer,
-    /// The platform's store keeps it.
+    /// It was read from the platform's store.
     Store,
-    /// A run of it ended well here.
+    /// A run of the request succeeded on this router.
     GoodEnd,
     /// An operator's command.
     Operator,
@@ -39,176 +39,177 @@
     }
 }
 
-/// From where a router knows what a server says of its limit.
+/// Source from which a router learned the rate limit of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitSource {
-    /// An answer that it got itself.
+    /// An answer of the server to this router.
     Answer,
-    /// An answer that another router got.
+    /// An answer of the server to another router.
     Peer(ids::Incarnation),
-    /// No answer confirmed it for long.
+    /// No answer confirmed the limit for too long, so that it expired.
     Lapsed,
 }
 
 /// An event for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// A dead holder's grants were closed.
+    /// The grants of a terminated holder were closed.
     ClosedDead {
-        /// The dead holder.
+        /// The terminated holder.
         holder: ids::Incarnation,
-        /// Tokens that are counted as spent without a report.
+        /// Tokens that are counted as spent, as their use was not reported.
         written_off_tokens: u64,
-        /// The grants.
+        /// The closed grants.
         grants: Vec<ledger::DeadGrant>,
     },
-    /// It was found out what becomes of tokens that were withheld since a restore.
+    /// It was decided whether tokens that are withheld since a restore of the store are released or lost.
     RecoveryDecided {
-        /// The shard of the ledger.
+        /// Shard of the ledger.
         shard: u32,
-        /// The store's era.
+        /// Era of the store.
         era: u64,
-        /// What was found out.
+        /// The decision.
         verdict: ledger_writer::Verdict,
     },
-    /// A server started again under its name.
+    /// A server restarted under its name.
     ServerRestarted(servers::Restarted),
-    /// A server crashed while requests of this router ran on it.
+    /// A server crashed while it ran requests of this router.
     ServerCrashed {
-        /// The server's VM.
+        /// VM of the server.
         vm: String,
-        /// Its life that is over.
+        /// The incarnation that ended.
         life: ids::ServerLife,
-        /// How many requests broke off.
+        /// Number of requests that broke off.
         requests: usize,
     },
-    /// Servers crashed under a request; others may have been the cause.
+    /// Servers crashed while they ran a request; other requests may have been the cause.
     RequestSuspected {
-        /// The request.
+        /// Fingerprint of the request.
         request: ids::Fingerprint,
-        /// How many crashes count against it.
+        /// Number of crashes recorded for it.
         crashes: usize,
-        /// From where it is known.
+        /// Source of the report.
         source: QuarantineSource,
     },
-    /// A request is kept from servers.
+    /// A request was quarantined: it is not dispatched to servers.
     RequestQuarantined {
-        /// The request.
+        /// Fingerprint of the request.
         request: ids::Fingerprint,
-        /// For how long from now on.
+        /// Remaining duration in milliseconds.
         for_ms: u64,
-        /// From where it is known.
+        /// Source of the report.
         source: QuarantineSource,
     },
-    /// Crashes do not count against a request any more.
+    /// The crashes recorded for a request were cleared.
     RequestCleared {
-        /// The request.
+        /// Fingerprint of the request.
         request: ids::Fingerprint,
-        /// How many did.
+        /// Number of crashes that were recorded.
         crashes: usize,
-        /// From where it is known.
+        /// Source of the report.
         source: QuarantineSource,
     },
-    /// What the store keeps cannot be read.
+    /// A record in the store cannot be read.
     RecordUnreadable {
-        /// Its key.
+        /// Key of the record.
         key: &'static str,
-        /// Why.
+        /// Why it cannot be read.
         fault: String,
     },
-    /// This router was counted as gone.
+    /// This router's grants were written off by another router.
     Fenced,
     /// A value in the store is unusable.
     Unusable(String),
-    /// A holder of a budget did not answer in time and is passed over for a while.
+    /// A holder of a budget did not reply in time; no requests are sent to it for some time.
     HolderSilent {
-        /// The holder's VM.
+        /// VM of the holder.
         vm: String,
-        /// The budget that it was asked for.
+        /// Budget of the transfer request.
         budget: String,
     },
-    /// A server limits the requests that it takes, to another number than before, or no more.
+    /// The rate limit of a server changed or ended.
     ServerLimit {
-        /// The server's VM.
+        /// VM of the server.
         vm: String,
-        /// What runs on it.
+        /// Service of the server.
         service: String,
-        /// Requests a second from all routers together, in thousandths; `None` if it is limited no more.
+        /// Limit in thousandths of a request per second, for all routers together; `None` if the server is no longer
+        /// limited.
         limit_milli_per_s: Option<u64>,
-        /// From where this is known.
+        /// Source of the limit.
         source: LimitSource,
     },
-    /// A server leaves: it gets nothing new.
+    /// A server leaves: it gets no new requests.
     ServerLeaving {
-        /// The server's VM.
+        /// VM of the server.
         vm: String,
-        /// The life that leaves.
+        /// The incarnation that leaves.
         life: ids::ServerLife,
-        /// What runs on it; empty if that is not known.
+        /// Service of the server; empty if unknown.
         service: String,
-        /// Who told.
+        /// How the server announced it.
         source: leavings::Source,
-        /// The router that told this one; `None` if it heard it itself.
+        /// The router that reported it; `None` if this router received it from the server or the store.
         from: Option<ids::Incarnation>,
     },
-    /// That a server leaves holds no more: a later life of it began, or it is gone.
+    /// A server is no longer recorded as leaving: a later incarnation of it started, or its record was removed.
     ServerLeavingEnded {
-        /// The server's VM.
+        /// VM of the server.
         vm: String,
-        /// The life that left.
+        /// The incarnation that left.
         life: ids::ServerLife,
     },
-    /// A server asked this router to send it nothing for a while.
+    /// A server asked this router to send it no requests for some time.
     ServerBackoff {
-        /// The server's VM.
+        /// VM of the server.
         vm: String,
-        /// The life that asked.
+        /// The incarnation that asked.
         life: ids::ServerLife,
-        /// What runs on it.
+        /// Service of the server.
         service: String,
-        /// For how long from now on.
+        /// Duration in milliseconds, from now on.
         for_ms: u64,
     },
-    /// A server that asked for a backoff has its part again.
+    /// The backoff of a server ended, and it gets its full share of requests again.
     ServerBackoffEnded {
-        /// The server's VM.
+        /// VM of the server.
         vm: String,
-        /// What runs on it.
+        /// Service of the server.
         service: String,
     },
-    /// A header of a server's answers cannot be read.
+    /// A header in the answers of a server cannot be parsed.
     HeaderUnreadable {
-        /// The server's VM.
+        /// VM of the server.
         vm: String,
-        /// The header.
+        /// Header that cannot be parsed.
         header: servers::Header,
     },
-    /// A server's record went while the store was away; it is kept for so long.
+    /// A server's record disappeared while the store was unavailable; it is kept for some time.
     ItemLapsed {
-        /// The server's VM.
+        /// VM of the server.
         vm: String,
-        /// For how long.
+        /// Duration in milliseconds.
         kept_ms: u64,
     },
-    /// A failure domain is evacuated from now on, or that is taken back.
+    /// The evacuation of a failure domain started or was cancelled.
     Evacuation {
-        /// The failure domain.
+        /// Name of the failure domain.
         failure_domain: String,
-        /// Whether it is evacuated from now on.
+        /// Whether the failure domain is evacuated from now on.
         evacuated: bool,
-        /// How many servers are known there.
+        /// Number of known servers in it.
         servers: usize,
     },
-    /// A call for news was given up, as its answer will not come.
+    /// A poll of the store was given up, as its answer is not expected any more.
     CallGivenUp {
-        /// What it asked for.
+        /// Topic of the poll.
         topic: watch::Topic,
-        /// The call.
+        /// The poll that was given up.
         call: watch::GivenUp,
     },
     /// An answer of the store was ignored because its position precedes that of this router's copy.
     StaleAnswerIgnored {
-        /// The topic of the call.
+        /// Topic of the poll.
         topic: watch::Topic,
         /// The position of the answer.
         position: store::Position,
@@ -230,28 +231,28 @@
     /// The restored store lists a server whose record had been removed. The server gets no requests until it writes its
     /// record again or `for_ms` has passed.
     ServerHeldBack {
-        /// The server's VM.
+        /// VM of the server.
         vm: String,
         /// The maximum duration in milliseconds.
         for_ms: u64,
     },
-    /// This router's part in following the store changed.
+    /// This router's role in following the store changed.
     WatchDuty {
-        /// What it is now.
+        /// The new role.
         duty: watch::Duty,
     },
-    /// A server failed several times in a row and gets nothing for a while.
+    /// A server failed several times in a row and gets no requests for some time.
     Ejected {
-        /// The server's VM.
+        /// VM of the server.
         vm: String,
-        /// For how long.
+        /// Duration in milliseconds.
         ejected_ms: u64,
     },
-    /// A server served more than it was allowed.
+    /// A server reported more tokens than were reserved for the request.
     Overrun {
-        /// The budget.
+        /// Name of the budget.
         budget: String,
-        /// Tokens beyond the reservation.
+        /// Tokens in excess of the reservation.
         tokens: u64,
     },
 }
--- a/core/src/node/outage.rs
+++ b/core/src/node/outage.rs
@@ -1,28 +1,30 @@
-//! How long requests have been refused because no tokens could be had, for `Retry-After`.
+//! Measures how long requests have been refused because no tokens were available, for `Retry-After`.
 
-/// An outage has ended if nothing was refused by it for so long.
-const ENDED_AFTER_MS: u64 = 5_000;
-/// Whoever is refused by an outage shall not come back before this. What is held in hand lasts for some
-/// seconds of it, so one that refuses is not a short one. Chosen on one site, see docs/POLICY.md.
-const COME_BACK_LEAST_MS: u64 = 3_000;
-/// Nor be told to stay away longer than this.
-const COME_BACK_MOST_MS: u64 = 30_000;
+/// Time without a refusal after which an outage has ended.
+const OUTAGE_END_AFTER_MS: u64 = 5_000;
+/// Minimum `Retry-After` of a refused request. Granted tokens last for the first seconds of an outage, so an outage
+/// that causes refusals is not a short one; see docs/POLICY.md.
+const RETRY_AFTER_MIN_MS: u64 = 3_000;
+/// Maximum `Retry-After` of a refused request.
+const RETRY_AFTER_MAX_MS: u64 = 30_000;
 
-/// An outage as the requests that it refuses show it.
+/// An outage of the supply of tokens, as observed by the requests that are refused.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Outage {
     since_ms: u64,
-    refused_ms: Option<u64>,
+    last_refusal_ms: Option<u64>,
 }
 
 impl Outage {
-    /// Notes a refusal; returns when to come back. One that has lasted long is likely to last as long again.
+    /// Records a refusal; returns the time in milliseconds after which to retry: an outage is expected to last as long
+    /// again as it has lasted.
     pub(super) fn refuse(&mut self, now_ms: u64) -> u64 {
-        let goes_on = self.refused_ms.is_some_and(|at_ms| now_ms < at_ms + ENDED_AFTER_MS);
-        if !goes_on {
+        let is_ongoing =
+            self.last_refusal_ms.is_some_and(|at_ms| now_ms < at_ms + OUTAGE_END_AFTER_MS);
+        if !is_ongoing {
             self.since_ms = now_ms;
         }
-        self.refused_ms = Some(now_ms);
-        now_ms.saturating_sub(self.since_ms).clamp(COME_BACK_LEAST_MS, COME_BACK_MOST_MS)
+        self.last_refusal_ms = Some(now_ms);
+        now_ms.saturating_sub(self.since_ms).clamp(RETRY_AFTER_MIN_MS, RETRY_AFTER_MAX_MS)
     }
 }
--- a/core/src/node/pauses.rs
+++ b/core/src/node/pauses.rs
@@ -12,28 +12,28 @@
 pub(super) struct Pauses {
     last_tick_ms: u64,
     /// Start and end of the last pause.
-    last_pause: Option<(u64, u64)>,
+    last_pause_ms: Option<(u64, u64)>,
 }
 
 impl Pauses {
     /// Creates the state of a process that starts at `now_ms`.
     pub(super) fn new(now_ms: u64) -> Self {
-        Self { last_tick_ms: now_ms, last_pause: None }
+        Self { last_tick_ms: now_ms, last_pause_ms: None }
     }
 
     /// Records a tick, and the pause that it ends, if any.
     fn tick(&mut self, now_ms: u64) {
         if now_ms >= self.last_tick_ms + PAUSE_MIN_MS {
-            self.last_pause = Some((self.last_tick_ms, now_ms));
+            self.last_pause_ms = Some((self.last_tick_ms, now_ms));
         }
         self.last_tick_ms = now_ms;
     }
 
     /// Upper bound, in milliseconds, on the time a message read now was queued because of a pause.
     fn max_queued_ms(&self, now_ms: u64) -> u64 {
-        let tick_overdue = now_ms >= self.last_tick_ms + PAUSE_MIN_MS;
-        let started_ms = match self.last_pause {
-            _ if tick_overdue => self.last_tick_ms,
+        let tick_delayed = now_ms >= self.last_tick_ms + PAUSE_MIN_MS;
+        let started_ms = match self.last_pause_ms {
+            _ if tick_delayed => self.last_tick_ms,
             Some((started_ms, ended_ms)) if now_ms < ended_ms + BACKLOG_DRAIN_MS => started_ms,
             _ => now_ms,
         };
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -1,17 +1,17 @@
-//! Messages between routers.
+//! Messages and datagrams between routers: dispatches received ones to their handlers, and sends others.
 
 use super::{Action, Node};
 use crate::{ids, log_index, log_writer, members, message, outbox};
 
-/// After this long without the platform's list of VMs, peers are asked for theirs.
-const PLATFORM_SILENT_MS: u64 = 3_000;
+/// Time without a list of VMs from the platform after which peers are asked for theirs.
+const VMS_MISSING_MS: u64 = 3_000;
 
 impl Node {
-    /// Takes a message from a peer.
+    /// Handles a message from a peer.
     pub fn message(&mut self, envelope: message::Envelope, now_ms: u64) {
         let message::Envelope { from, to, mut message } = envelope;
         if to != self.settings.incarnation {
-            // Meant for an earlier life at this address: what that one did with it is not known.
+            // Addressed to an earlier incarnation at this address: what that one did before is not known here.
             return;
         }
         if let Some(queued_ms) = self.max_queued_ms(now_ms) {
@@ -26,24 +26,26 @@
             message::Message::ClaimReply { claim, verdict } => {
                 self.claim_decided(&claim, verdict, now_ms);
             }
-            message::Message::Settle(settlement) => self.take_settlement(from, settlement, now_ms),
+            message::Message::Settle(settlement) => {
+                self.handle_settlement(from, settlement, now_ms)
+            }
             message::Message::SettleStored(attempt) => self.settlement_safe(attempt),
             message::Message::SettleDurable(attempt) => self.settlement_durable(attempt),
-            message::Message::TransferAsk { ref asker, .. } => {
-                self.take_ask(asker.clone(), message, now_ms);
+            message::Message::TransferAsk { asker: ref requester, .. } => {
+                self.handle_transfer_request(requester.clone(), message, now_ms);
             }
             message::Message::Transfer { number, open_from, answers, budget, tokens } => {
                 let seen = (from, number, open_from);
-                self.take_transfer(seen, answers, &budget, tokens, now_ms);
+                self.handle_transfer(seen, answers, &budget, tokens, now_ms);
             }
             message::Message::TransferTaken { number } => {
                 self.outbox.transfers.remove(&number);
             }
-            message::Message::TransferDeclined { number } => self.take_back(number),
+            message::Message::TransferDeclined { number } => self.revert_transfer(number),
             message::Message::TransferWait { number, budget } => self.holder_waits(&budget, number),
             message::Message::TransferNone { number, budget, certain } => {
                 self.holder_has_none(&budget, number, certain, now_ms);
-                self.note_answer(from, &budget, now_ms);
+                self.record_transfer_reply(from, &budget, now_ms);
             }
             message::Message::ConfigAsk => self.send_config(from, now_ms),
             message::Message::Config { seen, evacuations, value, .. } => {
@@ -84,60 +86,65 @@
         }
     }
 
-    /// Takes a datagram from a peer.
+    /// Handles a datagram from a peer.
     pub fn gossip(&mut self, gossip: &message::Gossip, now_ms: u64) {
         match self.max_queued_ms(now_ms) {
-            None => self.take_gossip(gossip, now_ms),
+            None => self.merge_gossip(gossip, now_ms),
             Some(queued_ms) => {
                 let mut gossip = gossip.clone();
                 gossip.add_age_ms(queued_ms);
-                self.take_gossip(&gossip, now_ms);
+                self.merge_gossip(&gossip, now_ms);
             }
         }
     }
 
-    fn take_gossip(&mut self, gossip: &message::Gossip, now_ms: u64) {
+    fn merge_gossip(&mut self, gossip: &message::Gossip, now_ms: u64) {
         self.members.heard(gossip, now_ms);
-        let differs = self.hear_quarantine(&gossip.quarantine, now_ms);
+        let table_differs = self.hear_quarantine(&gossip.quarantine, now_ms);
         self.hear_limits(&gossip.limits, now_ms);
         for leaving in &gossip.leaving {
             self.hear_leaving_of(gossip.from.id, leaving);
         }
         match self.watching {
             Some(_) => self.hear_digest(gossip.from.id, &gossip.digest, now_ms),
-            None => self.ask_for_newer(gossip, now_ms),
+            None => self.request_newer_copies(gossip, now_ms),
         }
         if gossip.kind == message::GossipKind::Ping {
-            let mut news = self.members.news();
-            if news.is_empty() {
-                news = self.members.sample(&mut self.rng);
+            let mut records = self.members.news();
+            if records.is_empty() {
+                records = self.members.sample(&mut self.rng);
             }
-            self.quarantine.answers = differs;
-            self.push_gossip(gossip.from.address.clone(), message::GossipKind::Ack, news, now_ms);
-        } else if differs && gossip.kind == message::GossipKind::Ack {
+            self.quarantine.answers = table_differs;
+            self.push_gossip(
+                gossip.from.address.clone(),
+                message::GossipKind::Ack,
+                records,
+                now_ms,
+            );
+        } else if table_differs && gossip.kind == message::GossipKind::Ack {
             self.quarantine.answers = true;
             let address = gossip.from.address.clone();
             self.push_gossip(address, message::GossipKind::Push, Vec::new(), now_ms);
         }
     }
 
-    /// Where the shell follows the platform: asks for what a peer knows better.
-    fn ask_for_newer(&mut self, gossip: &message::Gossip, now_ms: u64) {
+    /// Requests newer copies from a peer. Used where the shell follows the store.
+    fn request_newer_copies(&mut self, gossip: &message::Gossip, now_ms: u64) {
         if gossip.digest.config_version > self.config_version() {
             self.send(gossip.from.id, message::Message::ConfigAsk);
         }
         let silent_ms = now_ms.saturating_sub(self.vms_heard_ms);
-        let told = gossip.digest.servers.position;
-        let newer = told > self.vms_index && self.accepts_era(told.era);
-        if newer && silent_ms >= PLATFORM_SILENT_MS {
+        let reported = gossip.digest.servers.position;
+        let newer = reported > self.vms_index && self.accepts_era(reported.era);
+        if newer && silent_ms >= VMS_MISSING_MS {
             self.send(gossip.from.id, message::Message::VmsAsk);
         }
     }
 
     pub(super) fn tick_members(&mut self, now_ms: u64) {
         if let Some(probe) = self.members.tick(now_ms, &mut self.rng) {
-            let news = self.members.news();
-            self.push_gossip(probe.address, message::GossipKind::Ping, news, now_ms);
+            let records = self.members.news();
+            self.push_gossip(probe.address, message::GossipKind::Ping, records, now_ms);
         }
     }
 
@@ -158,13 +165,13 @@
             .map(|(number, outgoing)| (*number, outgoing.clone()))
             .collect();
         for (number, outgoing) in due {
-            let gone = self
+            let receiver_gone = self
                 .members
                 .find(outgoing.to)
                 .is_none_or(|record| record.health > crate::members::Health::Suspect);
             let stopping = self.lifecycle == super::Lifecycle::Stopping;
-            if gone && (stopping || outgoing.given_up(now_ms)) {
-                // Nobody can tell whether it was applied; it stays counted as sent.
+            if receiver_gone && (stopping || outgoing.given_up(now_ms)) {
+                // Whether it was applied cannot be determined any more; it stays counted as sent.
                 self.outbox.transfers.remove(&number);
                 continue;
             }
@@ -187,7 +194,7 @@
         &mut self,
         address: String,
         kind: message::GossipKind,
-        news: Vec<members::Record>,
+        records: Vec<members::Record>,
         now_ms: u64,
     ) {
         let leaving = self.leavings.take_news();
@@ -196,7 +203,7 @@
             from: self.members.own().clone(),
             kind,
             digest: self.digest(now_ms),
-            news,
+            news: records,
             leaving,
             quarantine: self.quarantine.table.news(answers, now_ms),
             limits: self.limit_news(now_ms),
@@ -205,7 +212,7 @@
         self.actions.push(Action::Gossip { address, gossip });
     }
 
-    fn take_settlement(
+    fn handle_settlement(
         &mut self,
         from: ids::Incarnation,
         settlement: log_index::Settlement,
@@ -216,7 +223,7 @@
         }
         let attempt = settlement.attempt;
         self.send(from, message::Message::SettleStored(attempt));
-        // Callers that repeat an unrepeatable request wait for its recorded outcome.
+        // Callers that repeat a request which runs at most once wait for its recorded outcome.
         let urgency = match settlement.outcome.is_some() {
             true => log_writer::Urgency::Waited,
             false => log_writer::Urgency::Gather,
@@ -225,34 +232,40 @@
         self.append(entry, log_writer::Waiter::Peer(from), urgency, now_ms);
     }
 
-    /// Answers a question for tokens: at once where every router holds the budget, or as its holder.
-    fn take_ask(&mut self, asker: members::Record, ask: message::Message, now_ms: u64) {
-        let message::Message::TransferAsk { number, budget, wanted_tokens, .. } = &ask else {
+    /// Handles a transfer request: answers it at once where every router holds the budget, otherwise handles it as a
+    /// holder.
+    fn handle_transfer_request(
+        &mut self,
+        requester: members::Record,
+        request: message::Message,
+        now_ms: u64,
+    ) {
+        let message::Message::TransferAsk { number, budget, wanted_tokens, .. } = &request else {
             return;
         };
         let slot = self.grants.find(budget);
         let held = slot.is_some_and(|slot| self.grants.account(slot).settings.holders > 0);
         if held {
-            self.take_question(asker, ask, now_ms);
+            self.take_question(requester, request, now_ms);
             return;
         }
         let ready = self.lifecycle == super::Lifecycle::Ready;
-        // Of two routers that both lack tokens, those of the higher id go to the lower one.
-        let yields = asker.id < self.settings.incarnation;
-        let spare = slot.map_or(0, |slot| self.grants.account(slot).spare_tokens(yields));
-        let given = if ready { spare.min(*wanted_tokens) } else { 0 };
-        let known = self.members.find(asker.id).is_some();
-        match slot.filter(|_| given > 0 && known) {
-            Some(slot) => self.give(asker.id, slot, given, *number, now_ms),
+        // Of two routers that both lack tokens, the one with the higher id sends its tokens to the other one.
+        let gives_way = requester.id < self.settings.incarnation;
+        let spare = slot.map_or(0, |slot| self.grants.account(slot).spare_tokens(gives_way));
+        let sent_tokens = if ready { spare.min(*wanted_tokens) } else { 0 };
+        let known = self.members.find(requester.id).is_some();
+        match slot.filter(|_| sent_tokens > 0 && known) {
+            Some(slot) => self.give(requester.id, slot, sent_tokens, *number, now_ms),
             None => {
                 let (number, budget) = (*number, budget.clone());
-                let none = message::Message::TransferNone { number, budget, certain: false };
-                self.send(asker.id, none);
+                let reply = message::Message::TransferNone { number, budget, certain: false };
+                self.send(requester.id, reply);
             }
         }
     }
 
-    fn take_transfer(
+    fn handle_transfer(
         &mut self,
         (from, number, open_from): (ids::Incarnation, u64, u64),
         answers: u64,
@@ -261,8 +274,8 @@
         now_ms: u64,
     ) {
         let slot = self.grants.find(budget);
-        let open = self.lifecycle == super::Lifecycle::Ready;
-        match (self.outbox.earlier(from, number), slot.filter(|_| open)) {
+        let accepts = self.lifecycle == super::Lifecycle::Ready;
+        match (self.outbox.earlier(from, number), slot.filter(|_| accepts)) {
             (outbox::Earlier::Applied, _) => {
                 self.send(from, message::Message::TransferTaken { number });
             }
@@ -272,25 +285,25 @@
                 self.counters.transfers_received += 1;
                 self.send(from, message::Message::TransferTaken { number });
                 self.holder_gave(slot, answers);
-                self.note_answer(from, budget, now_ms);
+                self.record_transfer_reply(from, budget, now_ms);
             }
             (outbox::Earlier::Declined, _) | (outbox::Earlier::New, None) => {
-                // Remembered, so that a copy that comes later is not applied after all.
+                // Recorded, so that a duplicate that arrives later is not applied.
                 self.outbox.note(from, number, open_from, false);
                 self.send(from, message::Message::TransferDeclined { number });
             }
         }
     }
 
-    /// The receiver will never apply the transfer: its tokens are free here again.
-    fn take_back(&mut self, number: u64) {
+    /// Returns the tokens of a declined transfer to this router's account, as the receiver will never apply it.
+    fn revert_transfer(&mut self, number: u64) {
         let Some(outgoing) = self.outbox.transfers.remove(&number) else { return };
         if let Some(slot) = self.grants.find(&outgoing.budget) {
             self.grants.account_mut(slot).sent_tokens -= outgoing.tokens;
         }
     }
 
-    fn note_answer(&mut self, from: ids::Incarnation, budget: &str, now_ms: u64) {
+    fn record_transfer_reply(&mut self, from: ids::Incarnation, budget: &str, now_ms: u64) {
         if let Some(slot) = self.grants.find(budget) {
             self.asks.entry(slot).or_default().answered(from);
         }
--- a/core/src/node/platform.rs
+++ b/core/src/node/platform.rs
@@ -1,15 +1,15 @@
-//! Calls to the platform's store, within this router's share of its rates.
+//! Calls to the platform's store, within this router's share of the store's rates.
 
 use super::{Action, CallOutcome, CallPurpose, Lifecycle, Node, Notice};
 use crate::{ids, ledger, ledger_writer, message, store};
 use std::collections;
 
-/// What a call to the store is for.
+/// Purpose of a call to the store, which determines the handler of its reply.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Purpose {
     Ledger(usize),
     Log(usize),
-    /// The record of requests that are kept from servers.
+    /// The record of quarantined requests.
     Quarantine,
     /// The record of the store's era.
     EraRecord,
@@ -23,7 +23,7 @@
 }
 
 impl StoreCall {
-    /// What it is counted as.
+    /// The purpose under which metrics count the call.
     pub(super) fn counted_as(self) -> CallPurpose {
         match (self.purpose, self.writes) {
             (Purpose::Ledger(_) | Purpose::EraRecord, false) => CallPurpose::LedgerRead,
@@ -37,22 +37,22 @@
 }
 
 impl Node {
-    /// Takes the store's reply to a call.
+    /// Handles the store's reply to a call.
     pub fn store_reply(&mut self, call: ids::CallId, reply: store::Reply, now_ms: u64) {
-        let Some(answered) = self.calls.remove(&call) else { return };
+        let Some(completed) = self.calls.remove(&call) else { return };
         let reply = self.check_reply_era(reply, now_ms);
         match reply {
             store::Reply::Unknown => {
                 self.counters.platform_unknown += 1;
-                self.count_call(answered.counted_as(), CallOutcome::Silent);
+                self.count_call(completed.counted_as(), CallOutcome::Silent);
             }
             store::Reply::Conflict | store::Reply::Overtaken { .. } => {
                 self.counters.platform_conflicts += 1;
-                self.count_call(answered.counted_as(), CallOutcome::Overtaken);
+                self.count_call(completed.counted_as(), CallOutcome::Overtaken);
             }
             _ => {}
         }
-        match answered.purpose {
+        match completed.purpose {
             Purpose::Ledger(shard) => self.ledger_reply(shard, call, reply, now_ms),
             Purpose::Log(shard) => self.log_reply(shard, call, reply, now_ms),
             Purpose::Quarantine => self.record_reply(reply, now_ms),
@@ -104,12 +104,12 @@
         }
         for shard in 0..self.ledgers.len() {
             if self.ledger_due(shard, now_ms) && self.reads.try_take(now_ms) {
-                self.start_ledger_round(shard, now_ms);
+                self.start_ledger_sync(shard, now_ms);
             }
         }
     }
 
-    fn start_ledger_round(&mut self, shard: usize, now_ms: u64) {
+    fn start_ledger_sync(&mut self, shard: usize, now_ms: u64) {
         let call = self.call(Purpose::Ledger(shard));
         let description = self.ledger_holder();
         let gone = self.gone();
@@ -121,16 +121,16 @@
         self.push_store(call, request);
     }
 
-    /// Tells whether a holder can certainly not run any more: its VM was listed and is gone from a list
-    /// that is no older, or this process has bound its address. A lapsed lease or silence proves
-    /// nothing.
+    /// Returns a predicate for holders that have certainly terminated: the VM was listed and is missing from a list
+    /// that is not older, or this process has bound the holder's address. An expired lease or missing messages do not
+    /// prove it.
     fn gone(&self) -> impl Fn(ids::Incarnation, &ledger::Holder) -> bool + use<> {
         let vms = self.vms.clone();
         let address = self.settings.address.clone();
         let vms_index = self.vms_index;
         move |_, holder| {
             let listed = holder.listed();
-            // A list of another era may lack a VM that was listed in the lost history.
+            // A list of another era may lack a VM that was listed in the history which a restore lost.
             let was_listed =
                 listed.revision > 0 && listed <= vms_index && listed.era == vms_index.era;
             let gone = was_listed && !vms.is_empty() && !vms.contains_key(&holder.vm);
@@ -184,7 +184,8 @@
         if let Some(ledger_writer::Write { expected_index, value, sets_era_marker }) = write {
             let call = self.call(Purpose::Ledger(shard));
             self.ledgers[shard].writing(call);
-            // A write that follows its read is paid for without waiting: the read was the limit.
+            // A write that follows its read takes a permit but does not wait for one: the sync was already limited by
+            // its read.
             self.writes.try_take(now_ms);
             let key = ledger::key(shard as u32);
             let request = store::Request::Write { key, expected_index, value, sets_era_marker };
@@ -199,7 +200,7 @@
     fn ledger_event(&mut self, shard: usize, event: ledger_writer::Event, now_ms: u64) {
         match event {
             ledger_writer::Event::Followed => {
-                self.note_followed(shard, now_ms);
+                self.record_ledger_read(shard, now_ms);
                 self.tick_waiting_budget(now_ms);
                 self.answer_questions(now_ms);
             }
@@ -218,7 +219,7 @@
                 self.actions.push(Action::Notice(notice));
             }
             ledger_writer::Event::Holders(holders) => {
-                self.tell_successors(shard as u32, &holders);
+                self.notify_successors(shard as u32, &holders);
             }
             ledger_writer::Event::Unusable(fault) => {
                 self.actions.push(Action::Notice(Notice::Unusable(fault)));
@@ -226,23 +227,23 @@
         }
     }
 
-    /// An earlier life left grants in a shard of the ledger, at the addresses of `holders`: its successors
-    /// there are told, because only they can tell for sure that it is over.
-    fn tell_successors(&mut self, shard: u32, holders: &[(ids::Incarnation, String)]) {
-        let successor = |(life, address): &(ids::Incarnation, String)| {
+    /// Notifies the routers at the addresses of `holders`, which are earlier incarnations with grants in a shard of the
+    /// ledger. Only a router that has bound the same address can be certain that its predecessor has terminated.
+    fn notify_successors(&mut self, shard: u32, holders: &[(ids::Incarnation, String)]) {
+        let successor = |(predecessor, address): &(ids::Incarnation, String)| {
             let live = self.members.live();
-            live.filter(|record| record.address == *address && record.id != *life)
+            live.filter(|record| record.address == *address && record.id != *predecessor)
                 .map(|record| record.id)
                 .next()
         };
-        let told: collections::BTreeSet<ids::Incarnation> =
+        let successors: collections::BTreeSet<ids::Incarnation> =
             holders.iter().filter_map(successor).collect();
-        for id in told {
+        for id in successors {
             self.send(id, message::Message::LeftBehind { shard });
         }
     }
 
-    fn note_followed(&mut self, shard: usize, now_ms: u64) {
+    fn record_ledger_read(&mut self, shard: usize, now_ms: u64) {
         let budgets = self.grants.in_shard(shard as u32).to_vec();
         for budget in budgets {
             self.asks.entry(budget).or_default().followed_ms = now_ms;
@@ -251,8 +252,8 @@
 
     fn log_reply(&mut self, shard: usize, call: ids::CallId, reply: store::Reply, now_ms: u64) {
         let done = self.logs[shard].reply(call, reply.plain(), now_ms, &mut self.rng);
-        for item in done {
-            self.log_done(item, now_ms);
+        for appended in done {
+            self.log_done(appended, now_ms);
         }
     }
 }
--- a/core/src/node/retries.rs
+++ b/core/src/node/retries.rs
@@ -1,20 +1,21 @@
-//! Requests whose server gave no answer: another server, or a refusal that tells when to come back.
+//! Requests whose server returned no answer: retries them on another server, or refuses them with `Retry-After`.
 
 use super::{Node, Reason, Stage, Tried, admit};
 use crate::{ids, servers};
 use rand::RngExt;
 
-/// Servers that may turn a request away beyond its attempts.
-const TURNED_AWAY_MAX: u32 = 2;
+/// Number of servers that may reject a request in addition to its attempts.
+const REJECTIONS_MAX: u32 = 2;
 const RETRY_AFTER_MIN_MS: u64 = 50;
-/// Callers that are refused because of backoffs come back spread over half of the time that these last: at least this,
+/// Minimum time over which the retries of callers that are refused because of backoffs are spread. Otherwise they are
+/// spread over half of the time that the backoffs last.
 const BACKOFF_SPREAD_MIN_MS: u64 = 500;
-/// and at most this.
+/// Maximum time over which these retries are spread.
 const BACKOFF_SPREAD_MAX_MS: u64 = 10_000;
 
 impl Node {
-    /// Moves a request whose server failed before the answer to another server.
-    pub fn retry(&mut self, slot: ids::RequestSlot, tried: Tried, now_ms: u64) {
+    /// Retries a request, whose server failed before it answered, on another server.
+    pub fn retry(&mut self, slot: ids::RequestSlot, failure: Tried, now_ms: u64) {
         let Some(request) = self.requests.get_mut(slot) else { return };
         let Stage::Running { server, sent_ms, .. } = &request.stage else { return };
         let (server, sent_ms) = (*server, *sent_ms);
@@ -22,24 +23,26 @@
         self.servers.has_read(server, tokens);
         let service = request.wanted.service.clone();
         request.failed_servers.push(server);
-        request.attempts += u32::from(tried == Tried::MayHaveRun);
+        request.attempts += u32::from(failure == Tried::MayHaveRun);
         let sends = request.failed_servers.len();
-        let most = request.wanted.attempts_max;
+        let attempts_max = request.wanted.attempts_max;
         let attempts = request.attempts;
         let fingerprint = request.wanted.fingerprint;
-        match tried {
+        match failure {
             Tried::TurnedAway => self.server_turned_away(server, sent_ms, now_ms),
             Tried::NotSent | Tried::MayHaveRun => self.server_failed(server, now_ms),
         }
-        let tried_out = attempts >= most || sends > most.saturating_add(TURNED_AWAY_MAX) as usize;
-        if tried_out || self.not_to_be_retried(fingerprint) {
+        let exhausted = attempts >= attempts_max
+            || sends > attempts_max.saturating_add(REJECTIONS_MAX) as usize;
+        if exhausted || self.not_to_be_retried(fingerprint) {
             self.end_retries(slot, Reason::RetriesExhausted, now_ms);
             return;
         }
-        // What no server has seen is no retry: a crashed server does not use up those of its service.
-        let arrived = tried != Tried::NotSent;
+        // A request that was not sent is not counted as a retry, so that a crashed server does not use up its service's
+        // retries.
+        let was_sent = failure != Tried::NotSent;
         let routers = self.most_routers;
-        if arrived && !self.retries.entry(service).or_default().try_spend(routers) {
+        if was_sent && !self.retries.entry(service).or_default().try_spend(routers) {
             self.end_retries(slot, Reason::RetriesExhausted, now_ms);
             return;
         }
@@ -47,10 +50,10 @@
         let chosen = admit::choose(&mut self.servers, request, now_ms, &mut self.rng);
         let servers::Choice { slot: next, unread_tokens } = match chosen {
             Ok(choice) => choice,
-            Err(lack) => {
-                let reason = match lack {
+            Err(unavailable) => {
+                let reason = match unavailable {
                     servers::Lack::Full => Reason::NoServer,
-                    lack => lack.into(),
+                    unavailable => unavailable.into(),
                 };
                 self.end_retries(slot, reason, now_ms);
                 return;
@@ -67,7 +70,7 @@
         self.answer_dispatch(slot, next);
     }
 
-    /// Answers a request that no further server is tried for. Where all its servers back off, that is why.
+    /// Refuses a request that is not retried any more. If all its servers back off, that is the reason given.
     fn end_retries(&mut self, slot: ids::RequestSlot, reason: Reason, now_ms: u64) {
         let reason = match self.backoffs_end_ms(slot, now_ms) {
             Some(_) => Reason::Backoff,
@@ -77,12 +80,13 @@
         self.answer(slot, admit::refusal(reason, retry_after_ms));
     }
 
-    /// When the first server that a request may go to takes requests again, if all of them back off.
+    /// Time at which the first of a request's servers accepts requests again, if all of them back off.
     fn backoffs_end_ms(&self, slot: ids::RequestSlot, now_ms: u64) -> Option<u64> {
         self.servers.backoffs_end_ms(&admit::servers_for(self.requests.get(slot)?), now_ms)
     }
 
-    /// When a request that is refused because of backoffs may come back, spread so that not all come at once.
+    /// Time in milliseconds after which a request that is refused because of backoffs may be repeated, randomized so
+    /// that callers do not retry at the same time.
     pub(super) fn backoff_retry_after_ms(&mut self, slot: ids::RequestSlot, now_ms: u64) -> u64 {
         let end_ms = self.backoffs_end_ms(slot, now_ms).unwrap_or(now_ms);
         let wait_ms = end_ms.saturating_sub(now_ms).max(RETRY_AFTER_MIN_MS);
--- a/core/src/node/said.rs
+++ b/core/src/node/said.rs
@@ -1,36 +1,41 @@
-//! What servers say of themselves in the heads of their answers.
+//! Directives of servers in the headers of their answers: that the server leaves, backs off or limits its requests.
 
 use super::{Action, Node, Notice};
 use crate::{ids, leavings, message, servers};
 
-/// Leavings are told no more often than this.
-const TELL_EVERY_MS: u64 = 100;
+/// Minimum interval between pushes of updates about leaving servers.
+const PUSH_INTERVAL_MS: u64 = 100;
 
 impl Node {
-    /// Takes in what the head of an answer says of its server.
+    /// Applies the directives in the headers of an answer to the state of its server.
     pub fn report_said(
         &mut self,
         vm: &str,
         life: ids::ServerLife,
-        said: &servers::Said,
+        directives: &servers::Said,
         age: servers::AnswerAge,
         now_ms: u64,
     ) {
-        for header in said.unreadable() {
-            self.note_unreadable(vm, life, header);
+        for header in directives.unreadable() {
+            self.report_unreadable_header(vm, life, header);
         }
-        // What ends a limit lets requests go that wait, so what forbids them comes before it.
-        if said.leaves == servers::Stated::Value(true) {
+        // The end of a limit dispatches waiting requests, so directives that prevent dispatches are applied before it.
+        if directives.leaves == servers::Stated::Value(true) {
             self.hear_leaving(vm, life, leavings::Source::Answer, None);
         }
-        if let servers::Stated::Value(backoff_ms) = said.backoff_ms {
+        if let servers::Stated::Value(backoff_ms) = directives.backoff_ms {
             let left_ms = backoff_ms.saturating_sub(age.heard_ms);
-            self.hear_backoff(vm, life, now_ms + left_ms, now_ms);
+            self.start_backoff(vm, life, now_ms + left_ms, now_ms);
         }
-        self.report_limit(vm, life, said.limit_milli_per_s, age.sent_ms, now_ms);
+        self.report_limit(vm, life, directives.limit_milli_per_s, age.sent_ms, now_ms);
     }
 
-    fn note_unreadable(&mut self, vm: &str, life: ids::ServerLife, header: servers::Header) {
+    fn report_unreadable_header(
+        &mut self,
+        vm: &str,
+        life: ids::ServerLife,
+        header: servers::Header,
+    ) {
         let Some(slot) = self.servers.find_life(vm, life) else { return };
         if self.servers.note_unreadable(slot, header) {
             let notice = Notice::HeaderUnreadable { vm: vm.to_owned(), header };
@@ -38,7 +43,7 @@
         }
     }
 
-    fn hear_backoff(&mut self, vm: &str, life: ids::ServerLife, until_ms: u64, now_ms: u64) {
+    fn start_backoff(&mut self, vm: &str, life: ids::ServerLife, until_ms: u64, now_ms: u64) {
         let Some(slot) = self.servers.find_life(vm, life) else { return };
         if !self.servers.back_off(slot, until_ms, now_ms, &mut self.rng) {
             return;
@@ -51,7 +56,7 @@
         self.actions.push(Action::Notice(notice));
     }
 
-    /// Takes in that a life of a server leaves; `from` is the router that told.
+    /// Records that a server incarnation leaves; `from` is the router that reported it, if it was not this one.
     pub(super) fn hear_leaving(
         &mut self,
         vm: &str,
@@ -71,10 +76,10 @@
         self.actions.push(Action::Notice(notice));
     }
 
-    /// Takes in that a peer knows of a server that leaves.
+    /// Merges a peer's report of a leaving server.
     pub(super) fn hear_leaving_of(&mut self, from: ids::Incarnation, leaving: &message::Leaving) {
         let message::Leaving { vm, life, source } = leaving;
-        // A record that is not known here as live tells nothing new: the peer's list may be the older one.
+        // Without a live record here the report is ignored: the peer's list may be the older one.
         let live =
             |known: &servers::Vm| known.state == servers::VmState::Live && known.life == *life;
         if *source == leavings::Source::Answer || self.vms.get(vm).is_some_and(live) {
@@ -82,7 +87,7 @@
         }
     }
 
-    /// Ends backoffs that are over, and tells which servers leave.
+    /// Ends expired backoffs, and pushes updates about leaving servers.
     pub(super) fn tick_said(&mut self, now_ms: u64) {
         for slot in self.servers.end_backoffs(now_ms) {
             let Some(server) = self.servers.get(slot) else { continue };
@@ -90,7 +95,7 @@
             let notice = Notice::ServerBackoffEnded { vm, service };
             self.actions.push(Action::Notice(notice));
         }
-        if self.leavings.has_news() && now_ms >= self.leavings_told_ms + TELL_EVERY_MS {
+        if self.leavings.has_news() && now_ms >= self.leavings_told_ms + PUSH_INTERVAL_MS {
             self.leavings_told_ms = now_ms;
             self.push_to_some(now_ms);
         }
