--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -31,8 +31,8 @@
             }
             message::Message::SettleStored(attempt) => self.settlement_safe(attempt),
             message::Message::SettleDurable(attempt) => self.settlement_durable(attempt),
-            message::Message::TransferAsk { asker: ref requester, .. } => {
-                self.handle_transfer_request(requester.clone(), message, now_ms);
+            message::Message::TransferAsk { ref asker, .. } => {
+                self.handle_transfer_request(asker.clone(), message, now_ms);
             }
             message::Message::Transfer { number, open_from, answers, budget, tokens } => {
                 let seen = (from, number, open_from);
@@ -194,7 +194,7 @@
         &mut self,
         address: String,
         kind: message::GossipKind,
-        records: Vec<members::Record>,
+        news: Vec<members::Record>,
         now_ms: u64,
     ) {
         let leaving = self.leavings.take_news();
@@ -203,7 +203,7 @@
             from: self.members.own().clone(),
             kind,
             digest: self.digest(now_ms),
-            news: records,
+            news,
             leaving,
             quarantine: self.quarantine.table.news(answers, now_ms),
             limits: self.limit_news(now_ms),
--- a/core/src/node/relay.rs
+++ b/core/src/node/relay.rs
@@ -255,8 +255,8 @@
     pub(super) fn send_vms(&mut self, to: ids::Incarnation, now_ms: u64) {
         let mut vms: Vec<_> = self.vms.values().cloned().collect();
         vms.sort_by(|one, other| one.vm.cmp(&other.vm));
-        let copy_state = self.digest(now_ms).servers;
-        self.send(to, message::Message::Vms { seen: copy_state, vms });
+        let seen = self.digest(now_ms).servers;
+        self.send(to, message::Message::Vms { seen, vms });
     }
 
     pub(super) fn send_config(&mut self, to: ids::Incarnation, now_ms: u64) {
@@ -275,9 +275,9 @@
             },
         };
         self.relay.encoded = Some((version, value.clone()));
-        let copy_state = self.digest(now_ms).configuration;
+        let seen = self.digest(now_ms).configuration;
         let evacuations = self.evacuations.clone();
-        self.send(to, message::Message::Config { version, seen: copy_state, evacuations, value });
+        self.send(to, message::Message::Config { version, seen, evacuations, value });
     }
 
     pub(super) fn take_config(
