--- a/core/src/node.rs
+++ b/core/src/node.rs
@@ -2,13 +2,14 @@
 //!
 //! [`Node`] takes events as method calls and leaves what is to be done in a list of [`Action`]s. The
 //! systems live in the modules beside this one: `admit` (from request to dispatch), `retries`, `tokens` and `queue`
-//! (what requests wait for), `limits` (what servers take), `said` (what they say of themselves), `settle` (their ends), `platform` (calls to the store), `peers` (messages).
+//! (what requests wait for), `limits` (what servers take), `directives` (what they state in their answers), `settle` (their ends), `platform` (calls to the store), `peers` (messages).
 
 mod admit;
 mod adopt;
 mod confirmations;
 mod copies;
 mod counters;
+mod directives;
 mod dump;
 mod era_record;
 mod eras;
@@ -18,17 +19,16 @@
 mod limits;
 mod notices;
 mod outage;
-mod pauses;
 mod peers;
 mod platform;
+mod process_pauses;
 mod quarantine;
-mod questions;
 mod queue;
 mod relay;
 mod retries;
-mod said;
 mod settle;
 mod tokens;
+mod transfer_requests;
 mod types;
 mod watching;
 
@@ -149,7 +149,7 @@
     backup_age_ms: u64,
     /// Whether no router of this deployment has run before this one and those that started with it.
     is_first_start: bool,
-    pauses: pauses::Pauses,
+    pauses: process_pauses::PauseDetector,
     quarantine: quarantine::Quarantine,
     limits: limits::Sharing,
     /// How the store's news are followed; `None` where the shell follows them.
@@ -215,7 +215,7 @@
             confirmations: Default::default(),
             backup_age_ms: grants::DEFAULT_BACKUP_AGE_MS,
             is_first_start: false,
-            pauses: pauses::Pauses::new(now_ms),
+            pauses: process_pauses::PauseDetector::new(now_ms),
             quarantine: Default::default(),
             limits: Default::default(),
             watching,
@@ -293,7 +293,7 @@
 
     /// Runs every system once.
     pub fn tick(&mut self, now_ms: u64) {
-        self.tick_pauses(now_ms);
+        self.tick_process_pauses(now_ms);
         self.tick_members(now_ms);
         self.tick_eras(now_ms);
         self.tick_era_record(now_ms);
@@ -302,7 +302,7 @@
         self.tick_watching(now_ms);
         self.tick_rates(now_ms);
         self.tick_waiting_budget(now_ms);
-        self.tick_said(now_ms);
+        self.tick_directives(now_ms);
         self.tick_limits(now_ms);
         self.tick_waiting_servers(now_ms);
         self.tick_waiting_claims(now_ms);
--- a/core/src/node/said.rs
+++ b/core/src/node/directives.rs
@@ -88,7 +88,7 @@
     }
 
     /// Ends expired backoffs, and pushes updates about leaving servers.
-    pub(super) fn tick_said(&mut self, now_ms: u64) {
+    pub(super) fn tick_directives(&mut self, now_ms: u64) {
         for slot in self.servers.end_backoffs(now_ms) {
             let Some(server) = self.servers.get(slot) else { continue };
             let (vm, service) = (server.vm.vm.clone(), server.vm.service.clone());
--- a/core/src/node/holders.rs
+++ b/core/src/node/holders.rs
@@ -5,7 +5,7 @@
 //! budget, so nobody has to be told. Routers whose views differ for a while may all hold it: that
 //! splits it, and is safe, since each draws its own grant.
 
-use super::{Action, Lifecycle, Node, Notice, Reason, Request, Stage, questions};
+use super::{Action, Lifecycle, Node, Notice, Reason, Request, Stage, transfer_requests};
 use crate::{grants, ids, members, message, rendezvous};
 
 /// How long a holder may take to answer before the next one is asked.
@@ -47,7 +47,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Holders {
     needs: std::collections::HashMap<ids::BudgetSlot, Need>,
-    pub(super) questions: Vec<questions::Question>,
+    pub(super) questions: Vec<transfer_requests::TransferRequest>,
     passed_over: std::collections::HashMap<ids::Incarnation, u64>,
     next_number: u64,
     handed_back_ms: u64,
@@ -95,7 +95,7 @@
         self.holders.passed_over.retain(|_, until_ms| now_ms < *until_ms);
         let overdue = |need: &Need| {
             let patience_ms =
-                if need.waits { ANSWER_MS + questions::STORE_WAIT_MS } else { ANSWER_MS };
+                if need.waits { ANSWER_MS + transfer_requests::STORE_WAIT_MS } else { ANSWER_MS };
             now_ms >= need.asked_ms + patience_ms
         };
         let needs = &self.holders.needs;
--- a/core/src/node/pauses.rs
+++ b/core/src/node/process_pauses.rs
@@ -9,13 +9,13 @@
 
 /// Time of the last tick, and the last pause.
 #[derive(Debug, Default)]
-pub(super) struct Pauses {
+pub(super) struct PauseDetector {
     last_tick_ms: u64,
     /// Start and end of the last pause.
     last_pause_ms: Option<(u64, u64)>,
 }
 
-impl Pauses {
+impl PauseDetector {
     /// Creates the state of a process that starts at `now_ms`.
     pub(super) fn new(now_ms: u64) -> Self {
         Self { last_tick_ms: now_ms, last_pause_ms: None }
@@ -42,7 +42,7 @@
 }
 
 impl Node {
-    pub(super) fn tick_pauses(&mut self, now_ms: u64) {
+    pub(super) fn tick_process_pauses(&mut self, now_ms: u64) {
         self.pauses.tick(now_ms);
     }
 
--- a/core/src/node/questions.rs
+++ b/core/src/node/transfer_requests.rs
@@ -12,7 +12,7 @@
 
 /// A transfer request of another router that waits for tokens.
 #[derive(Debug)]
-pub(super) struct Question {
+pub(super) struct TransferRequest {
     requester: ids::Incarnation,
     number: u64,
     pub(super) budget: ids::BudgetSlot,
@@ -46,9 +46,10 @@
             self.send(id, message::Message::TransferNone { number, budget, certain: false });
             return;
         };
-        let same_request = |queued: &Question| queued.requester == id && queued.number == number;
+        let same_request =
+            |queued: &TransferRequest| queued.requester == id && queued.number == number;
         if !self.holders.questions.iter().any(same_request) {
-            self.holders.questions.push(Question {
+            self.holders.questions.push(TransferRequest {
                 requester: id,
                 number,
                 budget: slot,
@@ -89,7 +90,7 @@
         self.tick_platform(now_ms);
     }
 
-    fn answer_transfer_request(&mut self, request: Question, now_ms: u64) {
+    fn answer_transfer_request(&mut self, request: TransferRequest, now_ms: u64) {
         let account = self.grants.account(request.budget);
         let free_tokens = account.unclaimed_tokens();
         if free_tokens >= request.needed_tokens && self.lifecycle == Lifecycle::Ready {
