--- a/core/src/node.rs
+++ b/core/src/node.rs
@@ -130,8 +130,8 @@
     requests: slotmap::SlotMap<ids::RequestSlot, Request>,
     by_key: collections::HashMap<ids::RequestKey, ids::RequestSlot>,
     by_attempt: collections::HashMap<ids::AttemptId, ids::RequestSlot>,
-    waiting_servers: collections::BTreeSet<queue::Place>,
-    drained: collections::HashMap<String, queue::Drain>,
+    waiting_servers: collections::BTreeSet<queue::QueuePosition>,
+    drained: collections::HashMap<String, queue::DrainRate>,
     asks: collections::HashMap<ids::BudgetSlot, Ask>,
     retries: collections::HashMap<String, retry::Budget>,
     /// The most routers that were live at once in this life: those that are cut off still count.
--- a/core/src/node/admit.rs
+++ b/core/src/node/admit.rs
@@ -39,7 +39,7 @@
         self.by_attempt.insert(attempt, slot);
         self.counters.admitted += 1;
         if !self.try_reserve(slot, now_ms) {
-            self.want_tokens(slot, now_ms);
+            self.request_tokens(slot, now_ms);
         }
         slot
     }
--- a/core/src/node/holders.rs
+++ b/core/src/node/holders.rs
@@ -116,7 +116,7 @@
         for budget in repeated {
             self.send_need(budget, now_ms);
         }
-        self.answer_questions(now_ms);
+        self.answer_transfer_requests(now_ms);
         if now_ms >= self.holders.handed_back_ms + HAND_BACK_EVERY_MS {
             self.holders.handed_back_ms = now_ms;
             self.hand_back(now_ms);
@@ -210,8 +210,8 @@
     fn draw_directly(&mut self, budget: ids::BudgetSlot, now_ms: u64) {
         self.asks.entry(budget).or_default().direct_until_ms = now_ms + DIRECT_MS;
         self.grants.account_mut(budget).draws = true;
-        self.sum_shortages();
-        self.poke_ledger_of(budget);
+        self.update_shortages();
+        self.request_ledger_sync(budget);
         self.tick_platform(now_ms);
     }
 
@@ -252,7 +252,7 @@
 
     fn refuse_waiting(&mut self, budget: ids::BudgetSlot, reason: Reason, now_ms: u64) {
         let (smallest, _) = self.waiting_tokens(budget);
-        self.note_exhausted(budget, smallest, reason, now_ms);
+        self.record_exhausted(budget, smallest, reason, now_ms);
         let waiting: Vec<ids::RequestSlot> = self
             .requests
             .iter()
@@ -312,7 +312,7 @@
             .collect();
         for (budget, tokens) in over {
             if let Some(holder) = self.holder_to_ask(budget, &[]) {
-                self.give(holder, budget, tokens, 0, now_ms);
+                self.send_tokens(holder, budget, tokens, 0, now_ms);
                 self.grants.account_mut(budget).note_handed_back(tokens);
             }
         }
--- a/core/src/node/limits.rs
+++ b/core/src/node/limits.rs
@@ -198,7 +198,7 @@
         if waiting == 0 {
             return;
         }
-        let left_ms = self.longest_wait_left_ms(service, now_ms);
+        let left_ms = self.longest_remaining_wait_ms(service, now_ms);
         let within_ms = left_ms.saturating_sub(PERMIT_EARLY_MS);
         let slots = self.limited_slots(service, now_ms);
         let share = |slot: &ids::ServerSlot| {
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -70,7 +70,7 @@
                 }
                 self.tick_copies(now_ms);
                 self.tick_waiting_budget(now_ms);
-                self.answer_questions(now_ms);
+                self.answer_transfer_requests(now_ms);
             }
             message::Message::RecoveryAsk { era, shards, routers } => {
                 self.take_recovery_ask(from, era, &shards, routers);
@@ -246,7 +246,7 @@
         let slot = self.grants.find(budget);
         let held = slot.is_some_and(|slot| self.grants.account(slot).settings.holders > 0);
         if held {
-            self.take_question(requester, request, now_ms);
+            self.handle_request_as_holder(requester, request, now_ms);
             return;
         }
         let ready = self.lifecycle == super::Lifecycle::Ready;
@@ -256,7 +256,7 @@
         let sent_tokens = if ready { spare.min(*wanted_tokens) } else { 0 };
         let known = self.members.find(requester.id).is_some();
         match slot.filter(|_| sent_tokens > 0 && known) {
-            Some(slot) => self.give(requester.id, slot, sent_tokens, *number, now_ms),
+            Some(slot) => self.send_tokens(requester.id, slot, sent_tokens, *number, now_ms),
             None => {
                 let (number, budget) = (*number, budget.clone());
                 let reply = message::Message::TransferNone { number, budget, certain: false };
@@ -305,7 +305,7 @@
 
     fn record_transfer_reply(&mut self, from: ids::Incarnation, budget: &str, now_ms: u64) {
         if let Some(slot) = self.grants.find(budget) {
-            self.asks.entry(slot).or_default().answered(from);
+            self.asks.entry(slot).or_default().record_reply(from);
         }
         self.tick_waiting_budget(now_ms);
     }
--- a/core/src/node/platform.rs
+++ b/core/src/node/platform.rs
@@ -202,7 +202,7 @@
             ledger_writer::Event::Followed => {
                 self.record_ledger_read(shard, now_ms);
                 self.tick_waiting_budget(now_ms);
-                self.answer_questions(now_ms);
+                self.answer_transfer_requests(now_ms);
             }
             ledger_writer::Event::GrantsChanged => {
                 self.send_ledger_copies(shard, &Default::default());
--- a/core/src/node/queue.rs
+++ b/core/src/node/queue.rs
@@ -10,7 +10,7 @@
 
 /// Position of a request in the queue for servers: higher priority first, then older first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Place {
+pub(super) struct QueuePosition {
     pub(super) service: String,
     pub(super) priority: cmp::Reverse<u8>,
     pub(super) since_ms: u64,
@@ -19,14 +19,14 @@
 
 /// Rate at which a service's queue drains, for `Retry-After`, and a count of dequeued requests.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Drain {
+pub(super) struct DrainRate {
     pub(super) window_ms: u64,
     pub(super) ended: u64,
     pub(super) per_s: u64,
     pub(super) dequeued: u64,
 }
 
-impl Drain {
+impl DrainRate {
     /// Updates the rate once a second, from the requests that ended since the last update.
     pub(super) fn measure(&mut self, now_ms: u64) {
         let elapsed_ms = now_ms.saturating_sub(self.window_ms);
@@ -40,22 +40,24 @@
 
 impl Node {
     pub(super) fn tick_waiting_servers(&mut self, now_ms: u64) {
-        let places: Vec<Place> = self.waiting_servers.iter().cloned().collect();
-        for place in &places {
-            let Some(request) = self.requests.get(place.slot) else { continue };
-            let age_ms = now_ms.saturating_sub(place.since_ms);
-            let age_max_ms = self.service(&place.service).map_or(0, |service| service.queue_age_ms);
+        let positions: Vec<QueuePosition> = self.waiting_servers.iter().cloned().collect();
+        for position in &positions {
+            let Some(request) = self.requests.get(position.slot) else { continue };
+            let age_ms = now_ms.saturating_sub(position.since_ms);
+            let age_max_ms =
+                self.service(&position.service).map_or(0, |service| service.queue_age_ms);
             if request.wanted.deadline_ms <= now_ms {
-                self.refuse(place.slot, Reason::DeadlineTooClose, now_ms);
+                self.refuse(position.slot, Reason::DeadlineTooClose, now_ms);
             } else if age_ms >= age_max_ms {
-                let reason = match self.servers.all_limited(&place.service, now_ms) {
+                let reason = match self.servers.all_limited(&position.service, now_ms) {
                     true => Reason::Limited,
                     false => Reason::Overloaded,
                 };
-                self.refuse(place.slot, reason, now_ms);
+                self.refuse(position.slot, reason, now_ms);
             }
         }
-        let mut services: Vec<String> = places.into_iter().map(|place| place.service).collect();
+        let mut services: Vec<String> =
+            positions.into_iter().map(|position| position.service).collect();
         services.dedup();
         for service in services {
             self.drain_queue(&service, now_ms);
@@ -65,19 +67,19 @@
 
     pub(super) fn drain_queue(&mut self, service: &str, now_ms: u64) {
         loop {
-            let Some(place) = self.next_in_queue(service) else { return };
-            let Some(request) = self.requests.get(place.slot) else {
-                self.waiting_servers.remove(&place);
+            let Some(position) = self.next_in_queue(service) else { return };
+            let Some(request) = self.requests.get(position.slot) else {
+                self.waiting_servers.remove(&position);
                 continue;
             };
             match admit::choose(&mut self.servers, request, now_ms, &mut self.rng) {
                 Ok(choice) => {
-                    self.waiting_servers.remove(&place);
+                    self.waiting_servers.remove(&position);
                     self.drained.entry(service.to_owned()).or_default().dequeued += 1;
-                    self.placed(place.slot, choice, now_ms);
+                    self.placed(position.slot, choice, now_ms);
                 }
                 Err(unavailable) if may_wait(unavailable) => return,
-                Err(unavailable) => self.refuse(place.slot, unavailable.into(), now_ms),
+                Err(unavailable) => self.refuse(position.slot, unavailable.into(), now_ms),
             }
         }
     }
@@ -85,17 +87,17 @@
     /// Where all servers of a service back off, or have not answered a request since, refuses the queued requests
     /// beyond those that the first answers make room for.
     fn shed_backing_off(&mut self, service: &str, now_ms: u64) {
-        if let Some(places) = self.servers.places_after_backoffs(service, now_ms) {
-            self.shed(service, places, Reason::Backoff, now_ms);
+        if let Some(length_max) = self.servers.places_after_backoffs(service, now_ms) {
+            self.shed(service, length_max, Reason::Backoff, now_ms);
         }
     }
 
     /// Time at which a queued request is refused if no server was found.
-    fn expires_ms(&self, place: &Place) -> u64 {
-        let age_max_ms = self.service(&place.service).map_or(0, |service| service.queue_age_ms);
+    fn expires_ms(&self, position: &QueuePosition) -> u64 {
+        let age_max_ms = self.service(&position.service).map_or(0, |service| service.queue_age_ms);
         let deadline_ms =
-            self.requests.get(place.slot).map_or(0, |request| request.wanted.deadline_ms);
-        (place.since_ms + age_max_ms).min(deadline_ms)
+            self.requests.get(position.slot).map_or(0, |request| request.wanted.deadline_ms);
+        (position.since_ms + age_max_ms).min(deadline_ms)
     }
 
     /// Queues a request for which no server is available if one may become available in time; refuses it otherwise.
@@ -108,7 +110,7 @@
         let Some(request) = self.requests.get(slot) else { return };
         let service = request.wanted.service.clone();
         let length_max = self.service(&service).map_or(0, |service| service.queue_length);
-        let place = Place {
+        let position = QueuePosition {
             service: service.clone(),
             priority: cmp::Reverse(request.wanted.priority),
             since_ms: now_ms,
@@ -118,7 +120,7 @@
             self.refuse(slot, unavailable.into(), now_ms);
             return;
         }
-        self.waiting_servers.insert(place);
+        self.waiting_servers.insert(position);
         self.shed(&service, length_max, Reason::Overloaded, now_ms);
         self.shed_backing_off(&service, now_ms);
         if self.servers.limits().is_empty() {
@@ -134,33 +136,34 @@
     /// priority, which [`LOWEST_PRIORITY_EVERY`] reserves a share for.
     pub(super) fn shed(&mut self, service: &str, length_max: usize, reason: Reason, now_ms: u64) {
         while self.queue(service).count() > length_max {
-            let spared = self.oldest_of_lowest_priority(service).map(|place| place.slot);
+            let spared = self.oldest_of_lowest_priority(service).map(|position| position.slot);
             let spared = spared.filter(|_| length_max > 0);
-            let last = self.queue(service).rev().find(|place| Some(place.slot) != spared);
-            let Some(slot) = last.map(|place| place.slot) else { return };
+            let last = self.queue(service).rev().find(|position| Some(position.slot) != spared);
+            let Some(slot) = last.map(|position| position.slot) else { return };
             self.refuse(slot, reason, now_ms);
         }
     }
 
     /// Longest remaining wait, in milliseconds, of the queued requests of a service.
-    pub(super) fn longest_wait_left_ms(&self, service: &str, now_ms: u64) -> u64 {
-        let remaining_ms = |place: &Place| self.expires_ms(place).saturating_sub(now_ms);
+    pub(super) fn longest_remaining_wait_ms(&self, service: &str, now_ms: u64) -> u64 {
+        let remaining_ms =
+            |position: &QueuePosition| self.expires_ms(position).saturating_sub(now_ms);
         self.queue(service).map(remaining_ms).max().unwrap_or(0)
     }
 
     pub(super) fn queue<'a>(
         &'a self,
         service: &'a str,
-    ) -> impl DoubleEndedIterator<Item = &'a Place> {
-        self.waiting_servers.iter().filter(move |place| place.service == service)
+    ) -> impl DoubleEndedIterator<Item = &'a QueuePosition> {
+        self.waiting_servers.iter().filter(move |position| position.service == service)
     }
 
-    fn oldest_of_lowest_priority<'a>(&'a self, service: &'a str) -> Option<&'a Place> {
+    fn oldest_of_lowest_priority<'a>(&'a self, service: &'a str) -> Option<&'a QueuePosition> {
         let lowest = self.queue(service).next_back()?.priority;
-        self.queue(service).find(|place| place.priority == lowest)
+        self.queue(service).find(|position| position.priority == lowest)
     }
 
-    fn next_in_queue(&self, service: &str) -> Option<Place> {
+    fn next_in_queue(&self, service: &str) -> Option<QueuePosition> {
         let dequeued = self.drained.get(service).map_or(0, |drain| drain.dequeued);
         if dequeued % LOWEST_PRIORITY_EVERY == LOWEST_PRIORITY_EVERY - 1 {
             return self.oldest_of_lowest_priority(service).cloned();
--- a/core/src/node/tokens.rs
+++ b/core/src/node/tokens.rs
@@ -27,11 +27,11 @@
                 self.continue_search(*slot, now_ms);
             }
         }
-        self.sum_shortages();
+        self.update_shortages();
     }
 
-    pub(super) fn want_tokens(&mut self, slot: ids::RequestSlot, now_ms: u64) {
-        self.sum_shortages();
+    pub(super) fn request_tokens(&mut self, slot: ids::RequestSlot, now_ms: u64) {
+        self.update_shortages();
         let Some(request) = self.requests.get(slot) else { return };
         let (budget, bound) = (request.budget, request.wanted.bound_tokens);
         let ask = self.asks.entry(budget).or_default();
@@ -45,7 +45,8 @@
             return;
         }
         let account = self.grants.account(budget);
-        if account.settings.holders == 1 && self.too_little_left(budget, bound, now_ms + 1, now_ms)
+        if account.settings.holders == 1
+            && self.is_remainder_insufficient(budget, bound, now_ms + 1, now_ms)
         {
             let reason = match account.is_covered_by_reserve(bound) {
                 true => Reason::BudgetUnreachable,
@@ -54,12 +55,12 @@
             self.refuse(slot, reason, now_ms);
             return;
         }
-        self.poke_ledger_of(budget);
+        self.request_ledger_sync(budget);
         self.tick_platform(now_ms);
     }
 
     /// Requests a sync of the budget's ledger shard as soon as possible.
-    pub(super) fn poke_ledger_of(&mut self, budget: ids::BudgetSlot) {
+    pub(super) fn request_ledger_sync(&mut self, budget: ids::BudgetSlot) {
         let shard = self.ledger_shard(budget);
         if let Some(ledger) = self.ledgers.get_mut(shard) {
             ledger.poke();
@@ -104,11 +105,11 @@
         if !requested && (known_insufficient || waited_ms >= PEER_REQUEST_DELAY_MS) {
             self.request_transfers(budget, now_ms);
         } else if known_insufficient && answered {
-            self.note_exhausted(budget, bound, shortage_reason, now_ms);
+            self.record_exhausted(budget, bound, shortage_reason, now_ms);
             self.refuse(slot, shortage_reason, now_ms);
         } else if waited_ms < self.settings.budget_wait_ms && now_ms < deadline_ms {
             if read && sufficient {
-                self.poke_ledger_of(budget);
+                self.request_ledger_sync(budget);
             }
         } else {
             let reason =
@@ -119,7 +120,7 @@
 
     /// Records that a search for `tokens` failed: requests of this size or larger are refused for
     /// [`EXHAUSTED_REFUSAL_MS`].
-    pub(super) fn note_exhausted(
+    pub(super) fn record_exhausted(
         &mut self,
         budget: ids::BudgetSlot,
         tokens: u64,
@@ -156,18 +157,18 @@
     }
 
     /// Updates the shortage of each budget, for draws and transfers, from the requests and transfer requests that wait.
-    pub(super) fn sum_shortages(&mut self) {
+    pub(super) fn update_shortages(&mut self) {
         let waiting =
             self.requests.values().filter(|request| matches!(request.stage, Stage::WaitingBudget));
         let shortages = waiting.map(|request| (request.budget, request.wanted.bound_tokens));
-        let requested: Vec<(ids::BudgetSlot, u64)> = self.asked_tokens().collect();
+        let requested: Vec<(ids::BudgetSlot, u64)> = self.requested_tokens().collect();
         self.grants.note_shortages(shortages, requested.into_iter());
     }
 }
 
 impl Ask {
     /// Records that a peer replied, with or without tokens.
-    pub(super) fn answered(&mut self, peer: ids::Incarnation) {
+    pub(super) fn record_reply(&mut self, peer: ids::Incarnation) {
         self.unanswered.remove(&peer);
     }
 }
--- a/core/src/node/transfer_requests.rs
+++ b/core/src/node/transfer_requests.rs
@@ -24,7 +24,7 @@
 impl Node {
     /// Handles a transfer request of another router for a budget with holders: answers it, or queues it until tokens
     /// are drawn. A repeated request gets the same transfer again.
-    pub(super) fn take_question(
+    pub(super) fn handle_request_as_holder(
         &mut self,
         requester: members::Record,
         request: message::Message,
@@ -58,19 +58,19 @@
                 since_ms: now_ms,
             });
         }
-        self.answer_questions(now_ms);
+        self.answer_transfer_requests(now_ms);
         if self.holders.questions.iter().any(same_request) {
             self.send(id, message::Message::TransferWait { number, budget });
         }
     }
 
     /// The tokens that queued transfer requests need, by budget.
-    pub(super) fn asked_tokens(&self) -> impl Iterator<Item = (ids::BudgetSlot, u64)> {
+    pub(super) fn requested_tokens(&self) -> impl Iterator<Item = (ids::BudgetSlot, u64)> {
         self.holders.questions.iter().map(|request| (request.budget, request.needed_tokens))
     }
 
     /// Answers the queued transfer requests that can be answered, and requests a sync of the ledger for the others.
-    pub(super) fn answer_questions(&mut self, now_ms: u64) {
+    pub(super) fn answer_transfer_requests(&mut self, now_ms: u64) {
         if self.holders.questions.is_empty() {
             return;
         }
@@ -80,12 +80,12 @@
         if self.holders.questions.is_empty() {
             return;
         }
-        self.sum_shortages();
+        self.update_shortages();
         let budgets: Vec<ids::BudgetSlot> =
             self.holders.questions.iter().map(|request| request.budget).collect();
         for budget in budgets {
             self.grants.account_mut(budget).draws = true;
-            self.poke_ledger_of(budget);
+            self.request_ledger_sync(budget);
         }
         self.tick_platform(now_ms);
     }
@@ -95,11 +95,15 @@
         let free_tokens = account.unclaimed_tokens();
         if free_tokens >= request.needed_tokens && self.lifecycle == Lifecycle::Ready {
             let tokens = free_tokens.min(request.wanted_tokens.max(request.needed_tokens));
-            self.give(request.requester, request.budget, tokens, request.number, now_ms);
+            self.send_tokens(request.requester, request.budget, tokens, request.number, now_ms);
             return;
         }
-        let certain =
-            self.too_little_left(request.budget, request.needed_tokens, request.since_ms, now_ms);
+        let certain = self.is_remainder_insufficient(
+            request.budget,
+            request.needed_tokens,
+            request.since_ms,
+            now_ms,
+        );
         let shard = self.ledger_shard(request.budget);
         let store_unanswered =
             self.ledgers.get(shard).is_none_or(ledger_writer::Writer::unanswered);
@@ -118,7 +122,7 @@
 
     /// Whether the ledger certainly has too little left: it was read since `since_ms` or shortly before, and had
     /// less than is needed. A sync that ends with enough left began before the shortage was recorded.
-    pub(super) fn too_little_left(
+    pub(super) fn is_remainder_insufficient(
         &self,
         budget: ids::BudgetSlot,
         needed_tokens: u64,
@@ -138,7 +142,7 @@
 
     /// Deducts tokens from this router's account and sends them to a peer, as the reply to its request number
     /// `answers`.
-    pub(super) fn give(
+    pub(super) fn send_tokens(
         &mut self,
         to: ids::Incarnation,
         budget: ids::BudgetSlot,
