--- a/core/src/node/adopt.rs
+++ b/core/src/node/adopt.rs
@@ -122,7 +122,7 @@
         if self.listed_index == store::Position::START && self.vms.contains_key(&self.settings.vm) {
             self.listed_index = index;
         }
-        self.note_ended_lives(now_ms);
+        self.detect_ended_servers(now_ms);
         self.forget_leavings(now_ms);
         if router_gone {
             // What it held is written off by whoever reads the ledger next.
--- a/core/src/node/directives.rs
+++ b/core/src/node/directives.rs
@@ -97,7 +97,7 @@
         }
         if self.leavings.has_news() && now_ms >= self.leavings_told_ms + PUSH_INTERVAL_MS {
             self.leavings_told_ms = now_ms;
-            self.push_to_some(now_ms);
+            self.push_to_random_members(now_ms);
         }
     }
 }
--- a/core/src/node/eras.rs
+++ b/core/src/node/eras.rs
@@ -166,7 +166,7 @@
     fn forget_copies(&mut self, now_ms: u64) {
         self.vms_index = store::Position::START;
         self.evacuations.position = store::Position::START;
-        self.relay.restart_changes(store::Position::START);
+        self.relay.reset_changes(store::Position::START);
         if let Some(watching) = &mut self.watching {
             watch::Topic::ALL.iter().for_each(|topic| watching.topic(*topic).forget_copy());
         }
@@ -176,7 +176,7 @@
     /// Cancels the watches of the previous era, so that everything is read again.
     fn restart_watches(&mut self, now_ms: u64) {
         let Some(watching) = &mut self.watching else { return };
-        watching.announce_again();
+        watching.schedule_announcement();
         for topic in watch::Topic::ALL {
             for number in watching.topic(topic).restart(now_ms) {
                 self.actions.push(Action::CancelWatch { topic, number });
@@ -239,7 +239,7 @@
     /// their writers had time to write again, and records missing from the list are kept for a while.
     pub(super) fn prepare_era_change(&mut self, all: &watch::AllServers, now_ms: u64) {
         // The restore may have happened long before this router detected it.
-        self.keep_missing(all, self.eras.restored_after_ms, now_ms);
+        self.retain_missing(all, self.eras.restored_after_ms, now_ms);
         let until_ms = now_ms + REWRITE_WINDOW_MS;
         let eras = &mut self.eras;
         eras.removed.retain(|_, removed| now_ms < removed.at_ms + REMOVED_TTL_MS);
@@ -302,7 +302,7 @@
     pub(super) fn reject_earlier_era(&mut self, topic: watch::Topic, era: u64) -> bool {
         let earlier = self.eras.current.is_some_and(|known| era < known);
         if earlier {
-            self.count_call(watching::purpose(topic), CallOutcome::EarlierEra);
+            self.count_call(watching::poll_purpose(topic), CallOutcome::EarlierEra);
         }
         earlier
     }
--- a/core/src/node/evacuate.rs
+++ b/core/src/node/evacuate.rs
@@ -67,7 +67,7 @@
             own,
             members: self.members.live().map(|record| record.id).chain([own]).collect(),
             routers: self.most_routers,
-            settled: now_ms >= self.started_ms + super::watching::SETTLE_MS,
+            settled: now_ms >= self.started_ms + super::watching::MEMBERSHIP_SETTLE_MS,
         };
         self.servers.set_fleet(fleet);
     }
--- a/core/src/node/limits.rs
+++ b/core/src/node/limits.rs
@@ -188,7 +188,7 @@
         let due = now_ms >= self.limits.told_ms + TELL_EVERY_MS;
         if due && self.servers.limits().has_news() {
             self.limits.told_ms = now_ms;
-            self.push_to_some(now_ms);
+            self.push_to_random_members(now_ms);
         }
     }
 
@@ -296,7 +296,7 @@
         now_ms: u64,
     ) -> servers::PermitsGranted {
         // A router that has just started does not know yet with whom it shares.
-        let settled = now_ms >= self.started_ms + super::watching::SETTLE_MS;
+        let settled = now_ms >= self.started_ms + super::watching::MEMBERSHIP_SETTLE_MS;
         let paces = self.pacing_router(slot) == Some(self.settings.incarnation);
         let live = self.servers.get(slot).is_some_and(servers::Server::is_live);
         if !settled || !paces || !live {
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -49,10 +49,10 @@
             }
             message::Message::ConfigAsk => self.send_config(from, now_ms),
             message::Message::Config { seen, evacuations, value, .. } => {
-                self.take_config(from, seen, &evacuations, value, now_ms);
+                self.handle_config(from, seen, &evacuations, value, now_ms);
             }
             message::Message::VmsAsk => self.send_vms(from, now_ms),
-            message::Message::Vms { seen, vms } => self.hear_vms(seen, vms, now_ms),
+            message::Message::Vms { seen, vms } => self.handle_vms(seen, vms, now_ms),
             message::Message::MembersAsk => self.send_members(from),
             message::Message::Members(records) => self.members.learn_all(records, now_ms),
             message::Message::PermitAsk { number, known, wanted } => {
@@ -100,13 +100,13 @@
 
     fn merge_gossip(&mut self, gossip: &message::Gossip, now_ms: u64) {
         self.members.heard(gossip, now_ms);
-        let table_differs = self.hear_quarantine(&gossip.quarantine, now_ms);
+        let table_differs = self.merge_quarantine(&gossip.quarantine, now_ms);
         self.hear_limits(&gossip.limits, now_ms);
         for leaving in &gossip.leaving {
             self.hear_leaving_of(gossip.from.id, leaving);
         }
         match self.watching {
-            Some(_) => self.hear_digest(gossip.from.id, &gossip.digest, now_ms),
+            Some(_) => self.merge_digest(gossip.from.id, &gossip.digest, now_ms),
             None => self.request_newer_copies(gossip, now_ms),
         }
         if gossip.kind == message::GossipKind::Ping {
@@ -114,7 +114,7 @@
             if records.is_empty() {
                 records = self.members.sample(&mut self.rng);
             }
-            self.quarantine.answers = table_differs;
+            self.quarantine.peer_differs = table_differs;
             self.push_gossip(
                 gossip.from.address.clone(),
                 message::GossipKind::Ack,
@@ -122,7 +122,7 @@
                 now_ms,
             );
         } else if table_differs && gossip.kind == message::GossipKind::Ack {
-            self.quarantine.answers = true;
+            self.quarantine.peer_differs = true;
             let address = gossip.from.address.clone();
             self.push_gossip(address, message::GossipKind::Push, Vec::new(), now_ms);
         }
@@ -198,14 +198,14 @@
         now_ms: u64,
     ) {
         let leaving = self.leavings.take_news();
-        let answers = std::mem::take(&mut self.quarantine.answers);
+        let peer_differs = std::mem::take(&mut self.quarantine.peer_differs);
         let gossip = message::Gossip {
             from: self.members.own().clone(),
             kind,
             digest: self.digest(now_ms),
             news,
             leaving,
-            quarantine: self.quarantine.table.news(answers, now_ms),
+            quarantine: self.quarantine.table.news(peer_differs, now_ms),
             limits: self.limit_news(now_ms),
         };
         self.counters.gossip_sent += 1;
--- a/core/src/node/platform.rs
+++ b/core/src/node/platform.rs
@@ -55,7 +55,7 @@
         match completed.purpose {
             Purpose::Ledger(shard) => self.ledger_reply(shard, call, reply, now_ms),
             Purpose::Log(shard) => self.log_reply(shard, call, reply, now_ms),
-            Purpose::Quarantine => self.record_reply(reply, now_ms),
+            Purpose::Quarantine => self.handle_record_reply(reply, now_ms),
             Purpose::EraRecord => self.era_record_reply(reply, now_ms),
         }
         self.tick_platform(now_ms);
--- a/core/src/node/quarantine.rs
+++ b/core/src/node/quarantine.rs
@@ -33,7 +33,7 @@
     record_sync: quarantine::Keeper,
     pushed_ms: u64,
     /// Whether the next datagram goes to a peer whose table differs from this router's.
-    pub(super) answers: bool,
+    pub(super) peer_differs: bool,
     last_expiry_ms: u64,
 }
 
@@ -126,14 +126,14 @@
     }
 
     /// Whether a request has crashed so many servers that this router does not retry it on another one.
-    pub(super) fn not_to_be_retried(&self, request: Option<ids::Fingerprint>) -> bool {
+    pub(super) fn must_not_retry(&self, request: Option<ids::Fingerprint>) -> bool {
         let table = &self.quarantine.table;
         let crashes = request.map_or(0, |request| table.servers_crashed(&request));
         crashes >= quarantine::CRASHES_TO_STOP_RETRIES
     }
 
     /// Records that a server answered completely a request that was sent to it at `sent_ms`.
-    pub(super) fn server_answered(&mut self, server: ids::ServerSlot, sent_ms: u64) {
+    pub(super) fn record_full_answer(&mut self, server: ids::ServerSlot, sent_ms: u64) {
         if self.quarantine.runs.is_empty() {
             return;
         }
@@ -144,7 +144,7 @@
     }
 
     /// Determines, after a change of the list of servers, which server incarnations with broken runs have ended.
-    pub(super) fn note_ended_lives(&mut self, now_ms: u64) {
+    pub(super) fn detect_ended_servers(&mut self, now_ms: u64) {
         let open = self.quarantine.runs.open();
         let ended: Vec<quarantine::LifeOf> = open
             .filter(|(server, address)| self.has_ended(server, address))
@@ -239,7 +239,7 @@
     }
 
     /// Merges the reports of a peer; returns whether its table differs from this router's.
-    pub(super) fn hear_quarantine(&mut self, news: &quarantine::News, now_ms: u64) -> bool {
+    pub(super) fn merge_quarantine(&mut self, news: &quarantine::News, now_ms: u64) -> bool {
         for report in &news.reports {
             let change = self.quarantine.table.hear(report, now_ms);
             self.report_change(report.request, change, QuarantineSource::Peer, now_ms);
@@ -263,7 +263,7 @@
         };
         if due {
             self.quarantine.pushed_ms = now_ms;
-            self.push_to_some(now_ms);
+            self.push_to_random_members(now_ms);
         }
         if self.quarantine.record_sync.due(now_ms) && self.reads.try_take(now_ms) {
             self.start_record_call(now_ms);
@@ -286,7 +286,7 @@
         self.push_store(call, request);
     }
 
-    pub(super) fn record_reply(&mut self, reply: store::Reply, now_ms: u64) {
+    pub(super) fn handle_record_reply(&mut self, reply: store::Reply, now_ms: u64) {
         let fault = match self.quarantine.record_sync.reply(reply, now_ms, &mut self.rng) {
             quarantine::Reply::Nothing => return,
             quarantine::Reply::Undecodable => "the value is not encoded".to_owned(),
--- a/core/src/node/relay.rs
+++ b/core/src/node/relay.rs
@@ -52,13 +52,13 @@
 
 impl Relay {
     /// Schedules two pushes after an update was received.
-    pub(super) fn heard_news(&mut self, now_ms: u64) {
+    pub(super) fn schedule_pushes(&mut self, now_ms: u64) {
         self.push_due = true;
         self.second_push_ms = Some(now_ms + SECOND_PUSH_DELAY_MS);
     }
 
     /// Adds a change that was applied to this router's copy.
-    pub(super) fn note_change(&mut self, change: watch::ServerChange, now_ms: u64) {
+    pub(super) fn record_change(&mut self, change: watch::ServerChange, now_ms: u64) {
         self.changes.push_back((now_ms, change));
         while self.changes.len() > CHANGES_MAX || self.changes_bytes() > CHANGES_BYTES_MAX {
             self.drop_oldest();
@@ -66,7 +66,7 @@
     }
 
     /// Discards the changes after the copy was replaced by one at `position`.
-    pub(super) fn restart_changes(&mut self, position: store::Position) {
+    pub(super) fn reset_changes(&mut self, position: store::Position) {
         self.changes.clear();
         self.changes_after = position;
     }
@@ -111,14 +111,14 @@
     }
 
     /// Merges the digest of a peer's copies into this router's copies, and requests what is missing.
-    pub(super) fn hear_digest(
+    pub(super) fn merge_digest(
         &mut self,
         from: ids::Incarnation,
         digest: &message::Digest,
         now_ms: u64,
     ) {
         let Some(watching) = &mut self.watching else { return };
-        watching.heard_ms = Some(now_ms);
+        watching.gossip_received_ms = Some(now_ms);
         if !self.accepts_era(digest.era.max(digest.servers.position.era)) {
             self.hear_unconfirmed_era(from, digest, now_ms);
         }
@@ -136,14 +136,16 @@
         let continues_copy = known != store::Position::START && known.era == reported.era;
         if reported > known && continues_copy && digest.changes_after <= known {
             let changes = digest.changes.iter().filter(|change| change.position > known);
-            let missed_store =
-                self.watching.as_ref().is_some_and(|watching| watching.missed_store(now_ms));
+            let missed_updates = self
+                .watching
+                .as_ref()
+                .is_some_and(|watching| watching.missed_server_updates(now_ms));
             let changes: Vec<watch::ServerChange> = changes.cloned().collect();
             // The store's revision grows with every write, also with writes outside the subscribed keys.
             if !changes.is_empty() {
                 self.record_peer_update(watch::Topic::Servers, now_ms);
             }
-            self.apply_changes(reported, changes, missed_store, now_ms);
+            self.apply_changes(reported, changes, missed_updates, now_ms);
         }
         if reported > self.vms_index {
             if may_request(&mut self.relay.vms_requested_ms, VMS_REQUEST_RETRY_MS, now_ms) {
@@ -152,7 +154,7 @@
             return;
         }
         let copy_state = message::Seen { position: self.vms_index, ..digest.servers };
-        self.confirm(watch::Topic::Servers, copy_state, now_ms);
+        self.confirm_copy(watch::Topic::Servers, copy_state, now_ms);
     }
 
     fn merge_configuration(
@@ -180,11 +182,16 @@
         let same = digest.config_version == self.config_version();
         let position = if same { reported } else { store::Position::START };
         let copy_state = message::Seen { position, ..digest.configuration };
-        self.confirm(watch::Topic::Configuration, copy_state, now_ms);
+        self.confirm_copy(watch::Topic::Configuration, copy_state, now_ms);
     }
 
     /// Merges a peer's evidence that a copy at the same position was current into this router's subscription.
-    pub(super) fn confirm(&mut self, topic: watch::Topic, copy_state: message::Seen, now_ms: u64) {
+    pub(super) fn confirm_copy(
+        &mut self,
+        topic: watch::Topic,
+        copy_state: message::Seen,
+        now_ms: u64,
+    ) {
         let gossips_store_updates = self.gossips_store_updates();
         let Some(watching) = &mut self.watching else { return };
         let subscription = watching.topic(topic);
@@ -196,7 +203,7 @@
 
     /// Records that a peer sent an update, which supersedes this router's own poll.
     fn record_peer_update(&mut self, topic: watch::Topic, now_ms: u64) {
-        self.relay.heard_news(now_ms);
+        self.relay.schedule_pushes(now_ms);
         if let Some(watching) = &mut self.watching {
             watching.topic(topic).overtake(watch::Evidence::Peer, now_ms);
         }
@@ -208,7 +215,7 @@
     }
 
     /// Pushes updates to other members if a push is due.
-    pub(super) fn push_news(&mut self, now_ms: u64) {
+    pub(super) fn push_updates(&mut self, now_ms: u64) {
         self.relay.expire_changes(now_ms);
         let second_push = self.relay.second_push_ms.take_if(|at_ms| now_ms >= *at_ms).is_some();
         if !(std::mem::take(&mut self.relay.push_due) || second_push)
@@ -216,11 +223,11 @@
         {
             return;
         }
-        self.push_to_some(now_ms);
+        self.push_to_random_members(now_ms);
     }
 
     /// Sends the state of this router to a few random members.
-    pub(super) fn push_to_some(&mut self, now_ms: u64) {
+    pub(super) fn push_to_random_members(&mut self, now_ms: u64) {
         // With datagram loss, a suspected member may be alive; terminated members are suspected for a few seconds only.
         let (alive, suspected): (Vec<&members::Record>, Vec<&members::Record>) =
             self.members.live().partition(|record| record.health == members::Health::Alive);
@@ -280,7 +287,7 @@
         self.send(to, message::Message::Config { version, seen, evacuations, value });
     }
 
-    pub(super) fn take_config(
+    pub(super) fn handle_config(
         &mut self,
         from: ids::Incarnation,
         copy_state: message::Seen,
@@ -301,7 +308,7 @@
                     self.relay.encoded = Some((version, value));
                     self.record_peer_update(watch::Topic::Configuration, now_ms);
                     if accepted {
-                        self.confirm(watch::Topic::Configuration, copy_state, now_ms);
+                        self.confirm_copy(watch::Topic::Configuration, copy_state, now_ms);
                     }
                 }
             }
@@ -313,7 +320,7 @@
     }
 
     /// Replaces this router's list of VMs by a peer's if that is newer.
-    pub(super) fn hear_vms(
+    pub(super) fn handle_vms(
         &mut self,
         copy_state: message::Seen,
         vms: Vec<servers::Vm>,
@@ -329,10 +336,10 @@
             let all = watch::AllServers { listed: vms.clone(), ..Default::default() };
             self.prepare_era_change(&all, now_ms);
         }
-        self.relay.restart_changes(copy_state.position);
+        self.relay.reset_changes(copy_state.position);
         self.follow_vms(copy_state.position, vms, now_ms);
         self.record_peer_update(watch::Topic::Servers, now_ms);
-        self.confirm(watch::Topic::Servers, copy_state, now_ms);
+        self.confirm_copy(watch::Topic::Servers, copy_state, now_ms);
     }
 }
 
--- a/core/src/node/retries.rs
+++ b/core/src/node/retries.rs
@@ -34,7 +34,7 @@
         }
         let exhausted = attempts >= attempts_max
             || sends > attempts_max.saturating_add(REJECTIONS_MAX) as usize;
-        if exhausted || self.not_to_be_retried(fingerprint) {
+        if exhausted || self.must_not_retry(fingerprint) {
             self.end_retries(slot, Reason::RetriesExhausted, now_ms);
             return;
         }
--- a/core/src/node/settle.rs
+++ b/core/src/node/settle.rs
@@ -39,7 +39,7 @@
         self.servers.ended(server);
         self.servers.has_read(server, unread_tokens);
         if healthy && !cancelled {
-            self.server_answered(server, sent_ms);
+            self.record_full_answer(server, sent_ms);
             self.servers.answered(server, sent_ms);
         }
         if !cancelled {
--- a/core/src/node/watching.rs
+++ b/core/src/node/watching.rs
@@ -8,7 +8,7 @@
 /// fleet that starts as a whole the seeds need about this long to start and read the store.
 const JOIN_TIMEOUT_MS: u64 = 1_000;
 /// Time after its start in which a router's view of the fleet is too small to determine which routers poll.
-pub(super) const SETTLE_MS: u64 = 3_000;
+pub(super) const MEMBERSHIP_SETTLE_MS: u64 = 3_000;
 /// Interval at which a router determines its role in following the store.
 const ROLE_CHECK_INTERVAL_MS: u64 = 500;
 /// Time for which records that disappeared while the store was unavailable are kept after its return: live servers are
@@ -26,7 +26,7 @@
     /// Whether this router has recorded its address for peers in the store.
     announced: bool,
     /// Time at which the last gossip of a peer was received.
-    pub(super) heard_ms: Option<u64>,
+    pub(super) gossip_received_ms: Option<u64>,
     /// Time until which each lapsed record is kept, by VM.
     lapsed_until_ms: collections::BTreeMap<String, u64>,
 }
@@ -40,7 +40,7 @@
             role: watch::Duty::Joining,
             role_checked_ms: 0,
             announced: false,
-            heard_ms: None,
+            gossip_received_ms: None,
             lapsed_until_ms: Default::default(),
         }
     }
@@ -53,7 +53,7 @@
     }
 
     /// Whether this router missed updates of the list of servers because the store was unavailable.
-    pub(super) fn missed_store(&self, now_ms: u64) -> bool {
+    pub(super) fn missed_server_updates(&self, now_ms: u64) -> bool {
         self.servers.missed_store(self.role, now_ms)
     }
 
@@ -69,7 +69,7 @@
     }
 
     /// Schedules another write of this router's address, which a restore of the store may have lost.
-    pub(super) fn announce_again(&mut self) {
+    pub(super) fn schedule_announcement(&mut self) {
         self.announced = false;
     }
 }
@@ -106,7 +106,7 @@
         let Some(watching) = &mut self.watching else { return };
         let role = watching.role;
         let Some(poll) = watching.topic(topic).ended(call.number) else {
-            self.count_call(purpose(topic), CallOutcome::Late);
+            self.count_call(poll_purpose(topic), CallOutcome::Late);
             return;
         };
         if let watch::Outcome::Answered { position, .. } = &outcome {
@@ -131,7 +131,7 @@
                 let was_refused = subscription.was_refused(role, now_ms);
                 subscription.answered(role, poll, position, has_update, now_ms);
                 match has_update {
-                    true => self.relay.heard_news(now_ms),
+                    true => self.relay.schedule_pushes(now_ms),
                     false => self.relay.push_due = true,
                 }
                 self.apply_update(position, news, was_refused, now_ms);
@@ -179,9 +179,9 @@
                 if self.vms_index != store::Position::START && position.era > self.vms_index.era {
                     self.prepare_era_change(&all, now_ms);
                 } else if was_refused {
-                    self.keep_missing(&all, now_ms, now_ms);
+                    self.retain_missing(&all, now_ms, now_ms);
                 }
-                self.relay.restart_changes(position);
+                self.relay.reset_changes(position);
                 for (vm, revision) in &all.revisions {
                     self.eras.note_record_revision(vm, *revision);
                 }
@@ -222,7 +222,7 @@
                     }
                 }
             }
-            self.relay.note_change(change, now_ms);
+            self.relay.record_change(change, now_ms);
         }
         self.follow_vms(position, vms.into_values().collect(), now_ms);
     }
@@ -243,7 +243,12 @@
 
     /// Keeps records that are missing from a list for [`LAPSED_RETENTION_MS`] after the store became available again,
     /// which was at `available_ms` at the earliest.
-    pub(super) fn keep_missing(&mut self, all: &watch::AllServers, available_ms: u64, now_ms: u64) {
+    pub(super) fn retain_missing(
+        &mut self,
+        all: &watch::AllServers,
+        available_ms: u64,
+        now_ms: u64,
+    ) {
         let kept_ms = (available_ms + LAPSED_RETENTION_MS).saturating_sub(now_ms);
         if kept_ms == 0 {
             return;
@@ -281,7 +286,8 @@
         let rank = self.members.live().filter(|member| member.id < own).count() as u64;
         let Some(watching) = &mut self.watching else { return };
         let role = watching.role;
-        let silent_ms = watching.heard_ms.map_or(u64::MAX, |at_ms| now_ms.saturating_sub(at_ms));
+        let silent_ms =
+            watching.gossip_received_ms.map_or(u64::MAX, |at_ms| now_ms.saturating_sub(at_ms));
         let mut given_up = Vec::new();
         for topic in watch::Topic::ALL {
             let subscription = watching.topic(topic);
@@ -295,18 +301,18 @@
             }
         }
         for (topic, call) in given_up {
-            self.count_call(purpose(topic), CallOutcome::GivenUp);
+            self.count_call(poll_purpose(topic), CallOutcome::GivenUp);
             self.actions.push(Action::CancelWatch { topic, number: call.number });
             self.actions.push(Action::Notice(Notice::CallGivenUp { topic, call }));
         }
         self.announce(now_ms);
-        self.push_news(now_ms);
+        self.push_updates(now_ms);
     }
 
     /// Records this router's address in the store, once, for routers that start and reach none of their seeds. Only
     /// routers that poll do so: all members have their addresses, so a few records are enough.
     fn announce(&mut self, now_ms: u64) {
-        let settled = now_ms >= self.started_ms + SETTLE_MS;
+        let settled = now_ms >= self.started_ms + MEMBERSHIP_SETTLE_MS;
         let without_peers = self.members.live().next().is_none();
         let Some(watching) = &mut self.watching else { return };
         let polls = matches!(watching.role, watch::Duty::EveryRouter | watch::Duty::Watcher);
@@ -342,7 +348,7 @@
                 false => watch::Duty::EveryRouter,
             };
         }
-        if now_ms < self.started_ms + SETTLE_MS {
+        if now_ms < self.started_ms + MEMBERSHIP_SETTLE_MS {
             return watch::Duty::Listener;
         }
         if routers <= watch::ALL_WATCH_MAX {
@@ -364,7 +370,7 @@
             watch::Outcome::Refused => CallOutcome::Refused,
             watch::Outcome::Silent => CallOutcome::Silent,
         };
-        self.count_call(purpose(topic), outcome);
+        self.count_call(poll_purpose(topic), outcome);
     }
 
     pub(super) fn count_call(&mut self, purpose: CallPurpose, outcome: CallOutcome) {
@@ -372,7 +378,7 @@
     }
 }
 
-pub(super) fn purpose(topic: watch::Topic) -> CallPurpose {
+pub(super) fn poll_purpose(topic: watch::Topic) -> CallPurpose {
     match topic {
         watch::Topic::Configuration => CallPurpose::WatchConfiguration,
         watch::Topic::Servers => CallPurpose::WatchServers,
