--- a/core/src/node/admit.rs
+++ b/core/src/node/admit.rs
@@ -199,7 +199,7 @@
             *taken_ms = taken_ms.map(|_| now_ms);
         }
         let (entry, waiter) = (log_index::Entry::Claim(claim), log_writer::Waiter::Local(slot));
-        self.append(entry, waiter, log_writer::Urgency::Waited, now_ms);
+        self.append_to_log(entry, waiter, log_writer::Urgency::Waited, now_ms);
     }
 
     fn claim_of(&self, slot: ids::RequestSlot) -> Option<log_index::Claim> {
@@ -296,7 +296,7 @@
         }
         let release = log_index::Entry::Release { key, attempt };
         let waiter = log_writer::Waiter::Outbox;
-        self.append(release, waiter, log_writer::Urgency::Gather, now_ms);
+        self.append_to_log(release, waiter, log_writer::Urgency::Gather, now_ms);
     }
 
     pub(super) fn retry_after_ms(
@@ -306,7 +306,7 @@
         now_ms: u64,
     ) -> u64 {
         match reason {
-            Reason::BudgetUnreachable => self.outage.refuse(now_ms),
+            Reason::BudgetUnreachable => self.outage.record_refusal(now_ms),
             Reason::BudgetExhausted => RETRY_AFTER_EXHAUSTED_MS,
             Reason::Overloaded => {
                 let service = self.requests.get(slot).map(|request| &request.wanted.service);
--- a/core/src/node/adopt.rs
+++ b/core/src/node/adopt.rs
@@ -106,7 +106,7 @@
         });
         let vms: Vec<servers::Vm> = vms.collect();
         for vm in vms.iter().filter(|vm| vm.state == servers::VmState::Leaving) {
-            self.hear_leaving(&vm.vm, vm.life, leavings::Source::Record, None);
+            self.record_leaving(&vm.vm, vm.life, leavings::Source::Record, None);
         }
         let routers = vms.iter().filter(|vm| vm.service == ROUTER_SERVICE);
         self.members.add_seeds(routers.map(|vm| vm.address.clone()));
--- a/core/src/node/directives.rs
+++ b/core/src/node/directives.rs
@@ -21,7 +21,7 @@
         }
         // The end of a limit dispatches waiting requests, so directives that prevent dispatches are applied before it.
         if directives.leaves == servers::Stated::Value(true) {
-            self.hear_leaving(vm, life, leavings::Source::Answer, None);
+            self.record_leaving(vm, life, leavings::Source::Answer, None);
         }
         if let servers::Stated::Value(backoff_ms) = directives.backoff_ms {
             let left_ms = backoff_ms.saturating_sub(age.heard_ms);
@@ -57,7 +57,7 @@
     }
 
     /// Records that a server incarnation leaves; `from` is the router that reported it, if it was not this one.
-    pub(super) fn hear_leaving(
+    pub(super) fn record_leaving(
         &mut self,
         vm: &str,
         life: ids::ServerLife,
@@ -77,13 +77,13 @@
     }
 
     /// Merges a peer's report of a leaving server.
-    pub(super) fn hear_leaving_of(&mut self, from: ids::Incarnation, leaving: &message::Leaving) {
+    pub(super) fn merge_leaving(&mut self, from: ids::Incarnation, leaving: &message::Leaving) {
         let message::Leaving { vm, life, source } = leaving;
         // Without a live record here the report is ignored: the peer's list may be the older one.
         let live =
             |known: &servers::Vm| known.state == servers::VmState::Live && known.life == *life;
         if *source == leavings::Source::Answer || self.vms.get(vm).is_some_and(live) {
-            self.hear_leaving(vm, *life, *source, Some(from));
+            self.record_leaving(vm, *life, *source, Some(from));
         }
     }
 
--- a/core/src/node/era_record.rs
+++ b/core/src/node/era_record.rs
@@ -54,7 +54,7 @@
             None => {
                 let call = self.era_record_call(now_ms);
                 let key = ledger::era_record_key();
-                self.push_store(call, store::Request::Read { key });
+                self.send_store_call(call, store::Request::Read { key });
             }
         }
     }
@@ -77,7 +77,7 @@
     fn era_record_call(&mut self, now_ms: u64) -> ids::CallId {
         self.era_record.in_flight = true;
         self.era_record.not_before_ms = now_ms + CALL_INTERVAL_MS;
-        self.call(platform::Purpose::EraRecord)
+        self.register_call(platform::Purpose::EraRecord)
     }
 
     fn write_era_record(&mut self, record: ledger::EraRecord, now_ms: u64) {
@@ -89,7 +89,7 @@
             value: record.encode(),
             sets_era_marker: record.era > 0,
         };
-        self.push_store(call, request);
+        self.send_store_call(call, request);
     }
 
     /// Takes the store's reply to a call for the record.
--- a/core/src/node/eras.rs
+++ b/core/src/node/eras.rs
@@ -197,7 +197,7 @@
             let leaves = vm.state == servers::VmState::Leaving;
             if leaves && self.vms.get(&vm.vm).is_some_and(|known| known.life == vm.life) {
                 let source = crate::leavings::Source::Record;
-                self.hear_leaving(&vm.vm, vm.life, source, Some(from));
+                self.record_leaving(&vm.vm, vm.life, source, Some(from));
             }
         }
         let era = digest.era.max(digest.servers.position.era);
--- a/core/src/node/outage.rs
+++ b/core/src/node/outage.rs
@@ -18,7 +18,7 @@
 impl Outage {
     /// Records a refusal; returns the time in milliseconds after which to retry: an outage is expected to last as long
     /// again as it has lasted.
-    pub(super) fn refuse(&mut self, now_ms: u64) -> u64 {
+    pub(super) fn record_refusal(&mut self, now_ms: u64) -> u64 {
         let is_ongoing =
             self.last_refusal_ms.is_some_and(|at_ms| now_ms < at_ms + OUTAGE_END_AFTER_MS);
         if !is_ongoing {
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -21,7 +21,7 @@
             message::Message::Claim(claim) => {
                 let entry = log_index::Entry::Claim(claim);
                 let waiter = log_writer::Waiter::Peer(from);
-                self.append(entry, waiter, log_writer::Urgency::Waited, now_ms);
+                self.append_to_log(entry, waiter, log_writer::Urgency::Waited, now_ms);
             }
             message::Message::ClaimReply { claim, verdict } => {
                 self.claim_decided(&claim, verdict, now_ms);
@@ -29,8 +29,8 @@
             message::Message::Settle(settlement) => {
                 self.handle_settlement(from, settlement, now_ms)
             }
-            message::Message::SettleStored(attempt) => self.settlement_safe(attempt),
-            message::Message::SettleDurable(attempt) => self.settlement_durable(attempt),
+            message::Message::SettleStored(attempt) => self.mark_settlement_safe(attempt),
+            message::Message::SettleDurable(attempt) => self.mark_settlement_durable(attempt),
             message::Message::TransferAsk { ref asker, .. } => {
                 self.handle_transfer_request(asker.clone(), message, now_ms);
             }
@@ -103,7 +103,7 @@
         let table_differs = self.merge_quarantine(&gossip.quarantine, now_ms);
         self.hear_limits(&gossip.limits, now_ms);
         for leaving in &gossip.leaving {
-            self.hear_leaving_of(gossip.from.id, leaving);
+            self.merge_leaving(gossip.from.id, leaving);
         }
         match self.watching {
             Some(_) => self.merge_digest(gossip.from.id, &gossip.digest, now_ms),
@@ -229,7 +229,7 @@
             false => log_writer::Urgency::Gather,
         };
         let entry = log_index::Entry::Settle(settlement);
-        self.append(entry, log_writer::Waiter::Peer(from), urgency, now_ms);
+        self.append_to_log(entry, log_writer::Waiter::Peer(from), urgency, now_ms);
     }
 
     /// Handles a transfer request: answers it at once where every router holds the budget, otherwise handles it as a
--- a/core/src/node/platform.rs
+++ b/core/src/node/platform.rs
@@ -24,7 +24,7 @@
 
 impl StoreCall {
     /// The purpose under which metrics count the call.
-    pub(super) fn counted_as(self) -> CallPurpose {
+    pub(super) fn metric_purpose(self) -> CallPurpose {
         match (self.purpose, self.writes) {
             (Purpose::Ledger(_) | Purpose::EraRecord, false) => CallPurpose::LedgerRead,
             (Purpose::Ledger(_) | Purpose::EraRecord, true) => CallPurpose::LedgerWrite,
@@ -44,11 +44,11 @@
         match reply {
             store::Reply::Unknown => {
                 self.counters.platform_unknown += 1;
-                self.count_call(completed.counted_as(), CallOutcome::Silent);
+                self.count_call(completed.metric_purpose(), CallOutcome::Silent);
             }
             store::Reply::Conflict | store::Reply::Overtaken { .. } => {
                 self.counters.platform_conflicts += 1;
-                self.count_call(completed.counted_as(), CallOutcome::Overtaken);
+                self.count_call(completed.metric_purpose(), CallOutcome::Overtaken);
             }
             _ => {}
         }
@@ -71,14 +71,14 @@
         }
     }
 
-    pub(super) fn call(&mut self, purpose: Purpose) -> ids::CallId {
+    pub(super) fn register_call(&mut self, purpose: Purpose) -> ids::CallId {
         self.next_call += 1;
         let call = ids::CallId(self.next_call);
         self.calls.insert(call, StoreCall { purpose, writes: false });
         call
     }
 
-    pub(super) fn push_store(&mut self, call: ids::CallId, request: store::Request) {
+    pub(super) fn send_store_call(&mut self, call: ids::CallId, request: store::Request) {
         let writes = request.is_write();
         match writes {
             true => self.counters.platform_writes += 1,
@@ -86,7 +86,7 @@
         }
         if let Some(pending) = self.calls.get_mut(&call) {
             pending.writes = writes;
-            let purpose = pending.counted_as();
+            let purpose = pending.metric_purpose();
             self.count_call(purpose, CallOutcome::Sent);
         }
         self.actions.push(Action::Store { call, request });
@@ -96,10 +96,10 @@
     pub(super) fn tick_platform(&mut self, now_ms: u64) {
         for shard in 0..self.logs.len() {
             if self.logs[shard].due(now_ms) && self.may_call_log(shard, now_ms) {
-                let call = self.call(Purpose::Log(shard));
+                let call = self.register_call(Purpose::Log(shard));
                 let clock_s = self.settings.started_s + now_ms / 1_000;
                 let request = self.logs[shard].start(call, clock_s, &mut self.rng);
-                self.push_store(call, request);
+                self.send_store_call(call, request);
             }
         }
         for shard in 0..self.ledgers.len() {
@@ -110,7 +110,7 @@
     }
 
     fn start_ledger_sync(&mut self, shard: usize, now_ms: u64) {
-        let call = self.call(Purpose::Ledger(shard));
+        let call = self.register_call(Purpose::Ledger(shard));
         let description = self.ledger_holder();
         let gone = self.gone();
         let context = self.ledger_context(&description, &gone, now_ms);
@@ -118,7 +118,7 @@
         if request.is_write() {
             self.writes.try_take(now_ms);
         }
-        self.push_store(call, request);
+        self.send_store_call(call, request);
     }
 
     /// Returns a predicate for holders that have certainly terminated: the VM was listed and is missing from a list
@@ -182,14 +182,14 @@
         let (write, events) =
             self.ledgers[shard].reply(call, reply, &mut self.grants, &context, &mut self.rng);
         if let Some(ledger_writer::Write { expected_index, value, sets_era_marker }) = write {
-            let call = self.call(Purpose::Ledger(shard));
+            let call = self.register_call(Purpose::Ledger(shard));
             self.ledgers[shard].writing(call);
             // A write that follows its read takes a permit but does not wait for one: the sync was already limited by
             // its read.
             self.writes.try_take(now_ms);
             let key = ledger::key(shard as u32);
             let request = store::Request::Write { key, expected_index, value, sets_era_marker };
-            self.push_store(call, request);
+            self.send_store_call(call, request);
         }
         self.tick_copies(now_ms);
         for event in events {
@@ -253,7 +253,7 @@
     fn log_reply(&mut self, shard: usize, call: ids::CallId, reply: store::Reply, now_ms: u64) {
         let done = self.logs[shard].reply(call, reply.plain(), now_ms, &mut self.rng);
         for appended in done {
-            self.log_done(appended, now_ms);
+            self.handle_appended(appended, now_ms);
         }
     }
 }
--- a/core/src/node/quarantine.rs
+++ b/core/src/node/quarantine.rs
@@ -272,7 +272,7 @@
 
     fn start_record_call(&mut self, now_ms: u64) {
         let key = quarantine::KEY.to_owned();
-        let call = self.call(platform::Purpose::Quarantine);
+        let call = self.register_call(platform::Purpose::Quarantine);
         let request = match self.quarantine.record_sync.start() {
             None => store::Request::Read { key },
             Some(expected_index) => {
@@ -283,7 +283,7 @@
                 store::Request::Write { key, expected_index, value, sets_era_marker }
             }
         };
-        self.push_store(call, request);
+        self.send_store_call(call, request);
     }
 
     pub(super) fn handle_record_reply(&mut self, reply: store::Reply, now_ms: u64) {
--- a/core/src/node/retries.rs
+++ b/core/src/node/retries.rs
@@ -29,8 +29,8 @@
         let attempts = request.attempts;
         let fingerprint = request.wanted.fingerprint;
         match failure {
-            Tried::TurnedAway => self.server_turned_away(server, sent_ms, now_ms),
-            Tried::NotSent | Tried::MayHaveRun => self.server_failed(server, now_ms),
+            Tried::TurnedAway => self.record_rejection(server, sent_ms, now_ms),
+            Tried::NotSent | Tried::MayHaveRun => self.record_server_failure(server, now_ms),
         }
         let exhausted = attempts >= attempts_max
             || sends > attempts_max.saturating_add(REJECTIONS_MAX) as usize;
--- a/core/src/node/settle.rs
+++ b/core/src/node/settle.rs
@@ -48,9 +48,9 @@
         if !cancelled && healthy {
             self.record_server_success(&service, server, now_ms.saturating_sub(sent_ms), now_ms);
         } else if not_run {
-            self.server_turned_away(server, sent_ms, now_ms);
+            self.record_rejection(server, sent_ms, now_ms);
         } else if !cancelled {
-            self.server_failed(server, now_ms);
+            self.record_server_failure(server, now_ms);
         }
         if not_run {
             self.end_not_run(slot, now_ms);
@@ -81,7 +81,7 @@
     }
 
     /// Records that a settlement is stored by another router or in the log, and lets the last chunk be sent.
-    pub(super) fn settlement_safe(&mut self, attempt: ids::AttemptId) {
+    pub(super) fn mark_settlement_safe(&mut self, attempt: ids::AttemptId) {
         if let Some(unsettled) = self.outbox.unsettled.get_mut(&attempt) {
             unsettled.safe = true;
         }
@@ -89,13 +89,13 @@
     }
 
     /// Records that a settlement is durable in the log.
-    pub(super) fn settlement_durable(&mut self, attempt: ids::AttemptId) {
-        self.settlement_safe(attempt);
+    pub(super) fn mark_settlement_durable(&mut self, attempt: ids::AttemptId) {
+        self.mark_settlement_safe(attempt);
         self.outbox.unsettled.remove(&attempt);
     }
 
     /// Appends an entry to its shard of the log.
-    pub(super) fn append(
+    pub(super) fn append_to_log(
         &mut self,
         entry: log_index::Entry,
         waiter: log_writer::Waiter,
@@ -105,12 +105,12 @@
         let shard = entry.key().shard(self.logs.len() as u32) as usize;
         let Some(log) = self.logs.get_mut(shard) else { return };
         if let Some(done) = log.append(entry, waiter, urgency, now_ms) {
-            self.log_done(done, now_ms);
+            self.handle_appended(done, now_ms);
         }
     }
 
     /// Passes a durable entry to what waits for it: a local request, a peer or the outbox.
-    pub(super) fn log_done(&mut self, done: log_writer::Done, now_ms: u64) {
+    pub(super) fn handle_appended(&mut self, done: log_writer::Done, now_ms: u64) {
         match (done.waiter, done.entry, done.verdict) {
             (log_writer::Waiter::Local(_), log_index::Entry::Claim(claim), Some(verdict)) => {
                 self.claim_decided(&claim, verdict, now_ms);
@@ -122,7 +122,7 @@
                 self.send(peer, message::Message::SettleDurable(settlement.attempt));
             }
             (log_writer::Waiter::Outbox, log_index::Entry::Settle(settlement), _) => {
-                self.settlement_durable(settlement.attempt);
+                self.mark_settlement_durable(settlement.attempt);
             }
             _ => {}
         }
@@ -142,7 +142,7 @@
 
     /// Records that a server failed, and reports its ejection if this causes one. Not a failure while it leaves or
     /// backs off.
-    pub(super) fn server_failed(&mut self, slot: ids::ServerSlot, now_ms: u64) {
+    pub(super) fn record_server_failure(&mut self, slot: ids::ServerSlot, now_ms: u64) {
         if !self.leaves_or_backs_off(slot, now_ms) {
             let ejected_ms = self.servers.failed(slot, now_ms);
             self.report_ejection(slot, ejected_ms);
@@ -151,7 +151,7 @@
 
     /// Records that a server rejected a request that was sent at `sent_ms`, and reports its ejection if this causes
     /// one.
-    pub(super) fn server_turned_away(&mut self, slot: ids::ServerSlot, sent_ms: u64, now_ms: u64) {
+    pub(super) fn record_rejection(&mut self, slot: ids::ServerSlot, sent_ms: u64, now_ms: u64) {
         if !self.leaves_or_backs_off(slot, now_ms) {
             let ejected_ms = self.servers.turned_away(slot, sent_ms, now_ms);
             self.report_ejection(slot, ejected_ms);
@@ -253,7 +253,7 @@
                 true => log_writer::Urgency::Gather,
                 false => log_writer::Urgency::Waited,
             };
-            self.append(entry, log_writer::Waiter::Outbox, urgency, now_ms);
+            self.append_to_log(entry, log_writer::Waiter::Outbox, urgency, now_ms);
         }
     }
 
