--- a/benches/capacity/control.rs
+++ b/benches/capacity/control.rs
@@ -58,7 +58,8 @@
         let each = nanoseconds(|| {
             number += 1;
             let slot = node.admit(wanted(number, 0), 1_000_000);
-            let ending = node::Ending::Ran { consumed_tokens: 1, outcome: None, healthy: true };
+            let ending =
+                node::RequestOutcome::Ran { consumed_tokens: 1, outcome: None, healthy: true };
             node.finish(slot, ending, 1_000_000);
             acknowledge(&mut node);
         });
@@ -208,8 +209,8 @@
     }
 }
 
-fn wanted(key: u64, budget: usize) -> node::Wanted {
-    node::Wanted {
+fn wanted(key: u64, budget: usize) -> node::AdmissionRequest {
+    node::AdmissionRequest {
         attempts_max: u32::MAX,
         fingerprint: None,
         key: ids::RequestKey { high: key, low: key },
--- a/core/benches/routing/strategies.rs
+++ b/core/benches/routing/strategies.rs
@@ -162,12 +162,12 @@
     fn ended(&mut self, ended: &Ended, now_ms: u64) {
         let (router, slot) = self.numbers[&ended.number];
         if ended.broken {
-            self.nodes[router].retry(slot, node::Tried::MayHaveRun, now_ms);
+            self.nodes[router].retry(slot, node::AttemptFailure::MayHaveRun, now_ms);
             self.carry_out(router, now_ms);
             return;
         }
         // A caller that left is no fault of the server.
-        let ending = node::Ending::Ran { consumed_tokens: 1, outcome: None, healthy: true };
+        let ending = node::RequestOutcome::Ran { consumed_tokens: 1, outcome: None, healthy: true };
         self.nodes[router].finish(slot, ending, now_ms);
         self.carry_out(router, now_ms);
     }
@@ -269,8 +269,8 @@
     }
 }
 
-fn wanted(request: &Request, now_ms: u64) -> node::Wanted {
-    node::Wanted {
+fn wanted(request: &Request, now_ms: u64) -> node::AdmissionRequest {
+    node::AdmissionRequest {
         attempts_max: u32::MAX,
         fingerprint: None,
         key: ids::RequestKey { high: request.number as u64, low: 1 },
--- a/core/src/node.rs
+++ b/core/src/node.rs
@@ -78,7 +78,7 @@
 
 #[derive(Debug)]
 struct Request {
-    wanted: Wanted,
+    wanted: AdmissionRequest,
     budget: ids::BudgetSlot,
     attempt: ids::AttemptId,
     stage: Stage,
--- a/core/src/node/admit.rs
+++ b/core/src/node/admit.rs
@@ -1,6 +1,6 @@
 //! From a request to its dispatch: tokens, then a server, then (if unrepeatable) the claim.
 
-use super::{Action, Answer, Node, Reason, Request, Stage, Wanted};
+use super::{Action, AdmissionRequest, Answer, Node, Reason, Request, Stage};
 use crate::node::types::Lifecycle;
 use crate::{config, ids, log_index, log_writer, message, rendezvous, servers};
 use rand::RngExt;
@@ -15,7 +15,7 @@
 
 impl Node {
     /// Takes a request; its answer comes as an action, often at once.
-    pub fn admit(&mut self, wanted: Wanted, now_ms: u64) -> ids::RequestSlot {
+    pub fn admit(&mut self, wanted: AdmissionRequest, now_ms: u64) -> ids::RequestSlot {
         let budget = self.grants.find(&wanted.budget);
         let attempt = ids::AttemptId(self.rng.random());
         let fault = self.fault_before(&wanted, budget, now_ms);
@@ -111,7 +111,7 @@
 
     fn fault_before(
         &self,
-        wanted: &Wanted,
+        wanted: &AdmissionRequest,
         budget: Option<ids::BudgetSlot>,
         now_ms: u64,
     ) -> Option<Reason> {
--- a/core/src/node/retries.rs
+++ b/core/src/node/retries.rs
@@ -1,6 +1,6 @@
 //! Requests whose server returned no answer: retries them on another server, or refuses them with `Retry-After`.
 
-use super::{Node, Reason, Stage, Tried, admit};
+use super::{AttemptFailure, Node, Reason, Stage, admit};
 use crate::{ids, servers};
 use rand::RngExt;
 
@@ -15,7 +15,7 @@
 
 impl Node {
     /// Retries a request, whose server failed before it answered, on another server.
-    pub fn retry(&mut self, slot: ids::RequestSlot, failure: Tried, now_ms: u64) {
+    pub fn retry(&mut self, slot: ids::RequestSlot, failure: AttemptFailure, now_ms: u64) {
         let Some(request) = self.requests.get_mut(slot) else { return };
         let Stage::Running { server, sent_ms, .. } = &request.stage else { return };
         let (server, sent_ms) = (*server, *sent_ms);
@@ -23,14 +23,16 @@
         self.servers.has_read(server, tokens);
         let service = request.wanted.service.clone();
         request.failed_servers.push(server);
-        request.attempts += u32::from(failure == Tried::MayHaveRun);
+        request.attempts += u32::from(failure == AttemptFailure::MayHaveRun);
         let sends = request.failed_servers.len();
         let attempts_max = request.wanted.attempts_max;
         let attempts = request.attempts;
         let fingerprint = request.wanted.fingerprint;
         match failure {
-            Tried::TurnedAway => self.record_rejection(server, sent_ms, now_ms),
-            Tried::NotSent | Tried::MayHaveRun => self.record_server_failure(server, now_ms),
+            AttemptFailure::Rejected => self.record_rejection(server, sent_ms, now_ms),
+            AttemptFailure::NotSent | AttemptFailure::MayHaveRun => {
+                self.record_server_failure(server, now_ms)
+            }
         }
         let exhausted = attempts >= attempts_max
             || sends > attempts_max.saturating_add(REJECTIONS_MAX) as usize;
@@ -40,7 +42,7 @@
         }
         // A request that was not sent is not counted as a retry, so that a crashed server does not use up its service's
         // retries.
-        let was_sent = failure != Tried::NotSent;
+        let was_sent = failure != AttemptFailure::NotSent;
         let routers = self.most_routers;
         if was_sent && !self.retries.entry(service).or_default().try_spend(routers) {
             self.end_retries(slot, Reason::RetriesExhausted, now_ms);
--- a/core/src/node/settle.rs
+++ b/core/src/node/settle.rs
@@ -1,6 +1,6 @@
 //! Ends of requests: charges their cost and makes their settlements durable.
 
-use super::{Answer, Ending, Node, Notice, Stage};
+use super::{Answer, Node, Notice, RequestOutcome, Stage};
 use crate::{ids, log_index, log_writer, message, outbox, rendezvous, servers};
 
 /// Number of attempts to hand a settlement over to a peer after which this router also appends it itself.
@@ -10,7 +10,7 @@
 
 impl Node {
     /// Ends a dispatched request. `Answer::Closed` follows when its settlement is safe.
-    pub fn finish(&mut self, slot: ids::RequestSlot, ending: Ending, now_ms: u64) {
+    pub fn finish(&mut self, slot: ids::RequestSlot, request_outcome: RequestOutcome, now_ms: u64) {
         let Some(request) = self.requests.get_mut(slot) else { return };
         let stage = std::mem::replace(&mut request.stage, Stage::Ending);
         let Stage::Running { reservation, server, sent_ms } = stage else {
@@ -21,15 +21,15 @@
         let unread_tokens = std::mem::take(&mut request.unread_tokens);
         let bound_tokens = reservation.bound_tokens();
         let service = request.wanted.service.clone();
-        let not_run = matches!(ending, Ending::NotRun);
-        let cancelled = matches!(ending, Ending::Cancelled { .. });
-        let (consumed_tokens, outcome, healthy) = match ending {
-            Ending::NotRun => (0, None, false),
-            Ending::Ran { consumed_tokens, outcome, healthy } => {
+        let not_run = matches!(request_outcome, RequestOutcome::NotRun);
+        let cancelled = matches!(request_outcome, RequestOutcome::Cancelled { .. });
+        let (consumed_tokens, outcome, healthy) = match request_outcome {
+            RequestOutcome::NotRun => (0, None, false),
+            RequestOutcome::Ran { consumed_tokens, outcome, healthy } => {
                 (consumed_tokens, outcome, healthy)
             }
-            Ending::Cancelled { consumed_tokens } => (consumed_tokens, None, true),
-            Ending::Unknown => (bound_tokens, None, false),
+            RequestOutcome::Cancelled { consumed_tokens } => (consumed_tokens, None, true),
+            RequestOutcome::Unknown => (bound_tokens, None, false),
         };
         // A server may report more tokens than the request's bound. The caller is not charged for the excess.
         let charged_tokens = consumed_tokens.min(bound_tokens);
--- a/core/src/node/types.rs
+++ b/core/src/node/types.rs
@@ -58,7 +58,7 @@
 
 /// A request for admission, sent by a traffic thread after it has authenticated the caller and evaluated the policy.
 #[derive(Clone, Debug)]
-pub struct Wanted {
+pub struct AdmissionRequest {
     /// The request id, unique within the fleet: the caller's id together with the workspace.
     pub key: ids::RequestKey,
     /// Whether the caller supplied the id, and may therefore repeat the request with it.
@@ -92,7 +92,7 @@
 
 /// How a dispatched request ended, as reported by the traffic thread.
 #[derive(Clone, Debug)]
-pub enum Ending {
+pub enum RequestOutcome {
     /// Nothing was sent, or the server reported that it did not start the request.
     NotRun,
     /// The server ran the request, completely or partially.
@@ -115,11 +115,11 @@
 
 /// How an attempt at a server that returned no answer failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Tried {
+pub enum AttemptFailure {
     /// No byte of the request was sent.
     NotSent,
     /// The server reported that it did not run the request.
-    TurnedAway,
+    Rejected,
     /// The server may have run the request.
     MayHaveRun,
 }
--- a/core/tests/limit_schedules.rs
+++ b/core/tests/limit_schedules.rs
@@ -219,7 +219,7 @@
         let vm = &self.servers[run.server].name;
         let took_ms = now_ms - run.sent_ms;
         router.node.report_limit(vm, run.server_life, said, took_ms, now_ms);
-        let ending = node::Ending::Ran { consumed_tokens: 0, outcome: None, healthy: true };
+        let ending = node::RequestOutcome::Ran { consumed_tokens: 0, outcome: None, healthy: true };
         router.node.finish(run.slot, ending, now_ms);
         self.traffic.fleet.carry_out(run.router);
     }
--- a/core/tests/node.rs
+++ b/core/tests/node.rs
@@ -325,8 +325,8 @@
 }
 
 /// A small request of the first budget.
-fn small(world: &World, number: u64) -> node::Wanted {
-    node::Wanted {
+fn small(world: &World, number: u64) -> node::AdmissionRequest {
+    node::AdmissionRequest {
         key: ids::RequestKey { high: number, low: 0 },
         keyed: false,
         body_hash: 1,
@@ -350,7 +350,7 @@
     let mut world = World::new(Shape { servers: 1, ..Shape::default() }, 1);
     world.run_ms(2_000);
     let now_ms = world.now_ms;
-    let wanted: Vec<node::Wanted> = (0..8).map(|number| small(&world, number)).collect();
+    let wanted: Vec<node::AdmissionRequest> = (0..8).map(|number| small(&world, number)).collect();
     let node = &mut world.routers[0].node;
     let vm = node.servers().iter().next().unwrap().1.vm.clone();
     let slots: Vec<ids::RequestSlot> =
@@ -362,10 +362,10 @@
         // Some answers don't say that the request did not run.
         let ending = match number % 2 {
             0 => {
-                node.retry(slot, node::Tried::TurnedAway, now_ms + 50);
-                node::Ending::NotRun
+                node.retry(slot, node::AttemptFailure::Rejected, now_ms + 50);
+                node::RequestOutcome::NotRun
             }
-            _ => node::Ending::Ran { consumed_tokens: 0, outcome: None, healthy: false },
+            _ => node::RequestOutcome::Ran { consumed_tokens: 0, outcome: None, healthy: false },
         };
         node.finish(slot, ending, now_ms + 50);
     }
@@ -393,7 +393,7 @@
 fn requests_that_a_returning_server_does_not_take_soon_are_refused_at_once() {
     let mut world = World::new(Shape { servers: 1, ..Shape::default() }, 1);
     world.run_ms(2_000);
-    let wanted: Vec<node::Wanted> = (0..10).map(|number| small(&world, number)).collect();
+    let wanted: Vec<node::AdmissionRequest> = (0..10).map(|number| small(&world, number)).collect();
     let now_ms = world.now_ms;
     let node = &mut world.routers[0].node;
     let vm = node.servers().iter().next().unwrap().1.vm.clone();
--- a/core/tests/said_schedules.rs
+++ b/core/tests/said_schedules.rs
@@ -264,9 +264,10 @@
         let age = servers::AnswerAge { sent_ms: now_ms - run.sent_ms, heard_ms: 0 };
         router.node.report_said(&server.name, run.life, &said, age, now_ms);
         if let Manner::TurnsAway { .. } = run.manner {
-            router.node.retry(run.slot, node::Tried::TurnedAway, now_ms);
+            router.node.retry(run.slot, node::AttemptFailure::Rejected, now_ms);
         } else {
-            let ending = node::Ending::Ran { consumed_tokens: 0, outcome: None, healthy: true };
+            let ending =
+                node::RequestOutcome::Ran { consumed_tokens: 0, outcome: None, healthy: true };
             router.node.finish(run.slot, ending, now_ms);
             if let Some(given_ms) = self.waiting.remove(&(place, life, run.slot)) {
                 self.counts.served += 1;
--- a/core/tests/shared_retries.rs
+++ b/core/tests/shared_retries.rs
@@ -13,8 +13,8 @@
 /// Of a hundred requests, so many may be sent again, beside the extra ones of a fleet.
 const RATIO_PERCENT: usize = 20;
 
-fn wanted(key: u64, now_ms: u64) -> node::Wanted {
-    node::Wanted {
+fn wanted(key: u64, now_ms: u64) -> node::AdmissionRequest {
+    node::AdmissionRequest {
         key: ids::RequestKey { high: key, low: 1 },
         keyed: false,
         body_hash: 1,
@@ -58,12 +58,12 @@
                 node::Answer::Dispatch { .. } if again => {
                     retries += 1;
                     let now_ms = fleet.now_ms;
-                    let ending = node::Ending::Unknown;
+                    let ending = node::RequestOutcome::Unknown;
                     fleet.routers[place].node.finish(slot, ending, now_ms);
                 }
                 node::Answer::Dispatch { .. } => {
                     let now_ms = fleet.now_ms;
-                    fleet.routers[place].node.retry(slot, node::Tried::MayHaveRun, now_ms);
+                    fleet.routers[place].node.retry(slot, node::AttemptFailure::MayHaveRun, now_ms);
                 }
                 _ => {}
             }
--- a/core/tests/watch_fleet/traffic.rs
+++ b/core/tests/watch_fleet/traffic.rs
@@ -54,7 +54,7 @@
         Some(handed)
     }
 
-    fn wanted(&mut self) -> node::Wanted {
+    fn wanted(&mut self) -> node::AdmissionRequest {
         self.keys += 1;
         let parts = match self.rng.random_bool(0.5) {
             true => {
@@ -62,7 +62,7 @@
             }
             false => Vec::new(),
         };
-        node::Wanted {
+        node::AdmissionRequest {
             key: ids::RequestKey { high: self.keys, low: 1 },
             keyed: false,
             body_hash: 1,
--- a/core/tests/world/mod.rs
+++ b/core/tests/world/mod.rs
@@ -293,7 +293,7 @@
             return None;
         }
         let key = ids::RequestKey { high: key, low: budget as u64 };
-        let wanted = node::Wanted {
+        let wanted = node::AdmissionRequest {
             attempts_max: u32::MAX,
             fingerprint: None,
             key,
@@ -466,7 +466,7 @@
         let truth = &mut self.truth[given.budget];
         truth.outstanding_tokens -= given.bound_tokens;
         truth.served_tokens += consumed_tokens;
-        let ending = node::Ending::Ran { consumed_tokens, outcome, healthy: true };
+        let ending = node::RequestOutcome::Ran { consumed_tokens, outcome, healthy: true };
         self.routers[at].node.finish(slot, ending, self.now_ms);
         self.carry_out(at);
     }
--- a/src/control.rs
+++ b/src/control.rs
@@ -203,7 +203,7 @@
         if waiter.send(answer).is_err() && dispatched {
             // The caller left while the request waited: nothing was sent.
             let now_ms = self.now_ms();
-            self.node.finish(slot, node::Ending::NotRun, now_ms);
+            self.node.finish(slot, node::RequestOutcome::NotRun, now_ms);
         }
     }
 
--- a/src/control/messages.rs
+++ b/src/control/messages.rs
@@ -10,7 +10,7 @@
 #[rtype(result = "(ids::RequestSlot, Reply)")]
 pub struct Admit {
     /// The request; its deadline is a time left, in milliseconds.
-    pub wanted: node::Wanted,
+    pub wanted: node::AdmissionRequest,
 }
 
 /// Reports the end of a dispatched request. The reply comes when its end is safe.
@@ -20,7 +20,7 @@
     /// The request.
     pub slot: ids::RequestSlot,
     /// How it ended.
-    pub ending: node::Ending,
+    pub ending: node::RequestOutcome,
 }
 
 /// Asks for another server after one failed.
@@ -30,7 +30,7 @@
     /// The request.
     pub slot: ids::RequestSlot,
     /// What became of the try.
-    pub tried: node::Tried,
+    pub tried: node::AttemptFailure,
 }
 
 /// A server said on an answer how loaded it is.
--- a/src/front.rs
+++ b/src/front.rs
@@ -377,13 +377,13 @@
     facts: &policy::Facts,
     id: &str,
     deadline_ms: u64,
-) -> Result<(node::Wanted, u8), Rejection> {
+) -> Result<(node::AdmissionRequest, u8), Rejection> {
     match caller.snapshot.decide(service, facts) {
         policy::Decision::Deny { reason } => {
             Err(Rejection::not_run(StatusCode::FORBIDDEN, "policy_denied", reason))
         }
         policy::Decision::Allow { budget, priority, classes } => {
-            let wanted = node::Wanted {
+            let wanted = node::AdmissionRequest {
                 key: request_key(&caller.workspace.name, id),
                 keyed: true,
                 body_hash: 0,
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -156,7 +156,7 @@
         head: &Head,
         method: &http::Method,
         path: &str,
-    ) -> Result<(node::Wanted, ticket::Cost, u64), Error> {
+    ) -> Result<(node::AdmissionRequest, ticket::Cost, u64), Error> {
         let asked = &head.asked;
         let digest = rendezvous::digest(&asked.id);
         let service = head.route.service(digest);
@@ -171,7 +171,7 @@
         let (high, low) = (digest, rand::random());
         let left = head.deadline.saturating_duration_since(Instant::now());
         let parts = servers::chain(asked.parts.iter().map(|part| (part.id, part.tokens)));
-        let wanted = node::Wanted {
+        let wanted = node::AdmissionRequest {
             key: ids::RequestKey { high, low },
             keyed: false,
             body_hash: 0,
@@ -246,7 +246,7 @@
             let tried = match outcome {
                 Err(_) if given_up_at.is_some() => {
                     given_up_at = None;
-                    node::Tried::MayHaveRun
+                    node::AttemptFailure::MayHaveRun
                 }
                 Err(_) => {
                     ticket.unknown();
@@ -282,17 +282,17 @@
                         Ok(Err(Incomplete::BrokenOff)) => self.run_broken(&call, &place).await,
                         Ok(Err(Incomplete::TooLarge)) => {}
                     }
-                    node::Tried::MayHaveRun
+                    node::AttemptFailure::MayHaveRun
                 }
                 Ok(attempt::Outcome::BrokenOff) => {
                     self.run_broken(&call, &place).await;
-                    node::Tried::MayHaveRun
+                    node::AttemptFailure::MayHaveRun
                 }
-                Ok(attempt::Outcome::Unknown) => node::Tried::MayHaveRun,
-                Ok(attempt::Outcome::TurnedAway) => node::Tried::TurnedAway,
-                Ok(attempt::Outcome::NotSent) => node::Tried::NotSent,
+                Ok(attempt::Outcome::Unknown) => node::AttemptFailure::MayHaveRun,
+                Ok(attempt::Outcome::TurnedAway) => node::AttemptFailure::Rejected,
+                Ok(attempt::Outcome::NotSent) => node::AttemptFailure::NotSent,
             };
-            may_have_run |= tried == node::Tried::MayHaveRun;
+            may_have_run |= tried == node::AttemptFailure::MayHaveRun;
             if may_have_run && !repeatable {
                 ticket.unknown();
                 return Err(refusal::outcome_unknown());
--- a/src/gateway/streaming.rs
+++ b/src/gateway/streaming.rs
@@ -127,7 +127,7 @@
     /// Goes on at another server after the last event that was passed on.
     async fn resume(&mut self, last_id: Option<&str>) -> Option<Incoming> {
         let deadline = time::Instant::from_std(self.call.deadline);
-        let mut tried = node::Tried::MayHaveRun;
+        let mut tried = node::AttemptFailure::MayHaveRun;
         loop {
             let upstream::Admission::Placed(place) = self.ticket.retry(tried).await else {
                 return None;
@@ -143,13 +143,13 @@
                     self.place = place;
                     return Some(answer.into_body());
                 }
-                Ok(attempt::Outcome::NotSent) => tried = node::Tried::NotSent,
-                Ok(attempt::Outcome::TurnedAway) => tried = node::Tried::TurnedAway,
+                Ok(attempt::Outcome::NotSent) => tried = node::AttemptFailure::NotSent,
+                Ok(attempt::Outcome::TurnedAway) => tried = node::AttemptFailure::Rejected,
                 Ok(attempt::Outcome::BrokenOff) => {
-                    tried = node::Tried::MayHaveRun;
+                    tried = node::AttemptFailure::MayHaveRun;
                     gateway.run_broken(&self.call, &place).await;
                 }
-                Ok(_) => tried = node::Tried::MayHaveRun,
+                Ok(_) => tried = node::AttemptFailure::MayHaveRun,
                 Err(_) => return None,
             }
         }
--- a/src/gateway/ticket.rs
+++ b/src/gateway/ticket.rs
@@ -58,7 +58,7 @@
     }
 
     /// Asks for another server.
-    pub async fn retry(&self, tried: node::Tried) -> upstream::Admission {
+    pub async fn retry(&self, tried: node::AttemptFailure) -> upstream::Admission {
         upstream::retry(&self.control, self.slot, tried).await
     }
 
@@ -70,27 +70,31 @@
     /// The server answered; `healthy` tells whether it did so as it should.
     pub fn ran(mut self, healthy: bool) {
         let consumed_tokens = self.cost.whole();
-        self.end(node::Ending::Ran { consumed_tokens, outcome: None, healthy });
+        self.end(node::RequestOutcome::Ran { consumed_tokens, outcome: None, healthy });
     }
 
     /// It certainly did not run.
     pub fn not_run(mut self) {
-        self.end(node::Ending::NotRun);
+        self.end(node::RequestOutcome::NotRun);
     }
 
     /// It may have run; nobody knows how far.
     pub fn unknown(mut self) {
-        self.end(node::Ending::Unknown);
+        self.end(node::RequestOutcome::Unknown);
     }
 
-    fn end(&mut self, ending: node::Ending) {
+    fn end(&mut self, ending: node::RequestOutcome) {
         self.open = false;
         let (outcome, tokens) = match &ending {
-            node::Ending::NotRun => ("not_run", 0),
-            node::Ending::Ran { consumed_tokens, healthy: true, .. } => ("ran", *consumed_tokens),
-            node::Ending::Ran { consumed_tokens, .. } => ("failed", *consumed_tokens),
-            node::Ending::Cancelled { consumed_tokens } => ("client_left", *consumed_tokens),
-            node::Ending::Unknown => ("unknown", self.cost.bound_tokens),
+            node::RequestOutcome::NotRun => ("not_run", 0),
+            node::RequestOutcome::Ran { consumed_tokens, healthy: true, .. } => {
+                ("ran", *consumed_tokens)
+            }
+            node::RequestOutcome::Ran { consumed_tokens, .. } => ("failed", *consumed_tokens),
+            node::RequestOutcome::Cancelled { consumed_tokens } => {
+                ("client_left", *consumed_tokens)
+            }
+            node::RequestOutcome::Unknown => ("unknown", self.cost.bound_tokens),
         };
         log::info!(
             "event=request_ended id={} outcome={outcome} tokens={tokens} bound_tokens={} \
@@ -109,7 +113,7 @@
     fn drop(&mut self) {
         if self.open {
             let consumed_tokens = self.cost.given_up();
-            self.end(node::Ending::Cancelled { consumed_tokens });
+            self.end(node::RequestOutcome::Cancelled { consumed_tokens });
         }
     }
 }
--- a/src/model.rs
+++ b/src/model.rs
@@ -132,18 +132,18 @@
                 Try::TooLate => return self.fail(slot, &progress, deadline_error()).await,
                 Try::Rejected(status, message) => {
                     let error = rejection(status, message);
-                    upstream::finish(&self.control, slot, node::Ending::NotRun).await;
+                    upstream::finish(&self.control, slot, node::RequestOutcome::NotRun).await;
                     return Err(Failure { error });
                 }
-                Try::Broken => node::Tried::MayHaveRun,
+                Try::Broken => node::AttemptFailure::MayHaveRun,
                 Try::BrokenOff => {
                     self.reports.broken(&place, &self.id).await;
-                    node::Tried::MayHaveRun
+                    node::AttemptFailure::MayHaveRun
                 }
-                Try::NotRun => node::Tried::TurnedAway,
-                Try::NotSent => node::Tried::NotSent,
+                Try::NotRun => node::AttemptFailure::Rejected,
+                Try::NotSent => node::AttemptFailure::NotSent,
             };
-            progress.may_have_run |= tried == node::Tried::MayHaveRun;
+            progress.may_have_run |= tried == node::AttemptFailure::MayHaveRun;
             log::info!(
                 "event=engine_failed vm={} attempt={} delivered_tokens={}",
                 place.vm,
@@ -254,7 +254,7 @@
         progress: &Progress,
         healthy: bool,
     ) {
-        let ending = node::Ending::Ran {
+        let ending = node::RequestOutcome::Ran {
             consumed_tokens: progress.consumed_tokens(),
             outcome: None,
             healthy,
@@ -269,7 +269,7 @@
         mut error: api_error::ApiError,
     ) -> Result<(), Failure> {
         if !progress.may_have_run {
-            upstream::finish(&self.control, slot, node::Ending::NotRun).await;
+            upstream::finish(&self.control, slot, node::RequestOutcome::NotRun).await;
             return Err(Failure { error });
         }
         self.settle(slot, progress, false).await;
--- a/src/plain.rs
+++ b/src/plain.rs
@@ -76,20 +76,20 @@
                     let outcome = self.unrepeatable.then(|| record(status, &content_type, &body));
                     let consumed_tokens = self.call_tokens;
                     let healthy = !status.is_server_error();
-                    let ending = node::Ending::Ran { consumed_tokens, outcome, healthy };
+                    let ending = node::RequestOutcome::Ran { consumed_tokens, outcome, healthy };
                     upstream::finish(&self.control, slot, ending).await;
                     let mut response = HttpResponseBuilder::new(status);
                     return response.insert_header(("Content-Type", content_type)).body(body);
                 }
-                Try::NotSent => node::Tried::NotSent,
-                Try::TurnedAway => node::Tried::TurnedAway,
+                Try::NotSent => node::AttemptFailure::NotSent,
+                Try::TurnedAway => node::AttemptFailure::Rejected,
                 Try::Unknown | Try::BrokenOff if self.unrepeatable => {
-                    upstream::finish(&self.control, slot, node::Ending::Unknown).await;
+                    upstream::finish(&self.control, slot, node::RequestOutcome::Unknown).await;
                     return outcome_unknown().response();
                 }
-                Try::Unknown | Try::BrokenOff => node::Tried::MayHaveRun,
+                Try::Unknown | Try::BrokenOff => node::AttemptFailure::MayHaveRun,
             };
-            may_have_run |= tried == node::Tried::MayHaveRun;
+            may_have_run |= tried == node::AttemptFailure::MayHaveRun;
             log::info!("event=server_failed vm={} attempt={}", place.vm, place.attempt.0);
             let mut error = match upstream::retry(&self.control, slot, tried).await {
                 upstream::Admission::Placed(next) if Instant::now() < self.deadline => {
@@ -100,8 +100,8 @@
                 _ => api_error::ApiError::closing(),
             };
             let ending = match may_have_run {
-                true => node::Ending::Unknown,
-                false => node::Ending::NotRun,
+                true => node::RequestOutcome::Unknown,
+                false => node::RequestOutcome::NotRun,
             };
             upstream::finish(&self.control, slot, ending).await;
             if may_have_run {
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -113,7 +113,7 @@
 }
 
 /// Asks the control thread for a placement.
-pub async fn admit(control: &Addr<control::Control>, wanted: node::Wanted) -> Admission {
+pub async fn admit(control: &Addr<control::Control>, wanted: node::AdmissionRequest) -> Admission {
     let Ok((slot, reply)) = control.send(control::Admit { wanted }).await else {
         return Admission::Refused(api_error::ApiError::closing());
     };
@@ -124,7 +124,7 @@
 pub async fn retry(
     control: &Addr<control::Control>,
     slot: ids::RequestSlot,
-    tried: node::Tried,
+    tried: node::AttemptFailure,
 ) -> Admission {
     let reply = control.send(control::Retry { slot, tried }).await;
     admission(slot, control::ask(reply).await)
@@ -134,7 +134,7 @@
 pub async fn finish(
     control: &Addr<control::Control>,
     slot: ids::RequestSlot,
-    ending: node::Ending,
+    ending: node::RequestOutcome,
 ) {
     let reply = control.send(control::Finish { slot, ending }).await;
     control::ask(reply).await;
