--- a/core/src/node/eras.rs
+++ b/core/src/node/eras.rs
@@ -179,7 +179,7 @@
         watching.schedule_announcement();
         for topic in watch::Topic::ALL {
             for number in watching.topic(topic).restart(now_ms) {
-                self.actions.push(Action::CancelWatch { topic, number });
+                self.actions.push(Action::CancelPoll { topic, number });
             }
         }
     }
@@ -231,7 +231,7 @@
         unconfirmed.call_at_ms = now_ms + ERA_CALL_INTERVAL_MS;
         let Some(watching) = &mut self.watching else { return };
         if let Some(call) = watching.servers.start_era_call(now_ms) {
-            self.actions.push(Action::Watch(call));
+            self.actions.push(Action::Poll(call));
         }
     }
 
--- a/core/src/node/notices.rs
+++ b/core/src/node/notices.rs
@@ -201,7 +201,7 @@
         servers: usize,
     },
     /// A poll of the store was given up, as its answer is not expected any more.
-    CallGivenUp {
+    PollGivenUp {
         /// Topic of the poll.
         topic: watch::Topic,
         /// The poll that was given up.
@@ -237,9 +237,9 @@
         for_ms: u64,
     },
     /// This router's role in following the store changed.
-    WatchDuty {
+    WatchRole {
         /// The new role.
-        duty: watch::Duty,
+        role: watch::Duty,
     },
     /// A server failed several times in a row and gets no requests for some time.
     Ejected {
--- a/core/src/node/types.rs
+++ b/core/src/node/types.rs
@@ -243,10 +243,10 @@
         /// Content of the call.
         request: store::Request,
     },
-    /// Polls the store for updates; exactly one [`super::Node::watched`] must follow, unless the poll is cancelled.
-    Watch(watch::Call),
+    /// Polls the store for updates; exactly one [`super::Node::poll_ended`] must follow, unless the poll is cancelled.
+    Poll(watch::Call),
     /// Cancels a poll of the store; its answer is no longer needed.
-    CancelWatch {
+    CancelPoll {
         /// Topic of the poll.
         topic: watch::Topic,
         /// Number of the poll.
--- a/core/src/node/watching.rs
+++ b/core/src/node/watching.rs
@@ -76,7 +76,7 @@
 
 impl Node {
     /// This router's role in following the store; `None` if the shell follows it.
-    pub fn watch_duty(&self) -> Option<watch::Duty> {
+    pub fn watch_role(&self) -> Option<watch::Duty> {
         self.watching.as_ref().map(|watching| watching.role)
     }
 
@@ -90,7 +90,7 @@
     }
 
     /// The polls of a topic that are in flight.
-    pub fn open_calls(&self, topic: watch::Topic, now_ms: u64) -> Vec<watch::OpenCall> {
+    pub fn open_polls(&self, topic: watch::Topic, now_ms: u64) -> Vec<watch::OpenCall> {
         let Some(watching) = self.watching.as_ref() else { return Vec::new() };
         match topic {
             watch::Topic::Configuration => watching.configuration.open_calls(now_ms),
@@ -98,9 +98,9 @@
         }
     }
 
-    /// Handles the end of a poll that was requested with [`Action::Watch`]. The end of a poll that was given up before
+    /// Handles the end of a poll that was requested with [`Action::Poll`]. The end of a poll that was given up before
     /// is only counted.
-    pub fn watched(&mut self, call: watch::Call, outcome: watch::Outcome, now_ms: u64) {
+    pub fn poll_ended(&mut self, call: watch::Call, outcome: watch::Outcome, now_ms: u64) {
         let topic = call.topic;
         let routers = self.members.live_count();
         let Some(watching) = &mut self.watching else { return };
@@ -297,13 +297,13 @@
             let alone = silent_ms >= subscription.overdue_ms();
             let fleet = watch::Fleet { routers, rank, alone };
             if let Some(call) = subscription.due(role, fleet, now_ms, &mut self.rng) {
-                self.actions.push(Action::Watch(call));
+                self.actions.push(Action::Poll(call));
             }
         }
         for (topic, call) in given_up {
             self.count_call(poll_purpose(topic), CallOutcome::GivenUp);
-            self.actions.push(Action::CancelWatch { topic, number: call.number });
-            self.actions.push(Action::Notice(Notice::CallGivenUp { topic, call }));
+            self.actions.push(Action::CancelPoll { topic, number: call.number });
+            self.actions.push(Action::Notice(Notice::PollGivenUp { topic, call }));
         }
         self.announce(now_ms);
         self.push_updates(now_ms);
@@ -334,7 +334,7 @@
         watching.role_checked_ms = now_ms;
         if watching.role != role {
             watching.role = role;
-            self.actions.push(Action::Notice(Notice::WatchDuty { duty: role }));
+            self.actions.push(Action::Notice(Notice::WatchRole { role }));
         }
     }
 
--- a/core/tests/unanswered_calls.rs
+++ b/core/tests/unanswered_calls.rs
@@ -85,13 +85,13 @@
     fleet.routers[place].group = 1;
     fleet.trouble(place);
     fleet.run_until("it watches alone", 120_000, |fleet| {
-        let calls = fleet.routers[place].node.open_calls(watch::Topic::Servers, fleet.now_ms);
+        let calls = fleet.routers[place].node.open_polls(watch::Topic::Servers, fleet.now_ms);
         calls.iter().any(|call| call.wait_ms > 20_000)
     });
     fleet.leave_calls_unanswered(place);
     fleet.routers[place].group = 0;
     fleet.run_until("it listens again", 10_000, |fleet| {
-        fleet.routers[place].node.watch_duty() == Some(watch::Duty::Listener)
+        fleet.routers[place].node.watch_role() == Some(watch::Duty::Listener)
     });
     fleet.routers[place].group = 1;
     fleet.trouble(place);
--- a/core/tests/watch_fleet/mod.rs
+++ b/core/tests/watch_fleet/mod.rs
@@ -280,7 +280,7 @@
 
     pub fn watchers(&self) -> Vec<usize> {
         let watches = |router: &Router| {
-            router.alive && router.node.watch_duty() == Some(watch::Duty::Watcher)
+            router.alive && router.node.watch_role() == Some(watch::Duty::Watcher)
         };
         (0..self.routers.len()).filter(|place| watches(&self.routers[*place])).collect()
     }
@@ -380,7 +380,7 @@
     pub fn carry_out(&mut self, place: usize) {
         for action in self.routers[place].node.take_actions() {
             match action {
-                node::Action::Watch(call) => {
+                node::Action::Poll(call) => {
                     let router = &mut self.routers[place];
                     let unanswered = self.store == Store::Silent;
                     router.waiting.push(Waiting { call, sent_ms: self.now_ms, unanswered });
--- a/core/tests/watch_fleet/store.rs
+++ b/core/tests/watch_fleet/store.rs
@@ -117,7 +117,7 @@
             if let Some(era) = era {
                 node.hear_store_era(era, now_ms);
             }
-            node.watched(call, outcome, now_ms);
+            node.poll_ended(call, outcome, now_ms);
             self.carry_out(place);
         }
     }
--- a/core/tests/watching.rs
+++ b/core/tests/watching.rs
@@ -26,7 +26,7 @@
 #[test]
 fn in_a_small_fleet_every_router_watches() {
     let fleet = settled(8, TIGHT, 1);
-    let duties = fleet.routers.iter().map(|router| router.node.watch_duty());
+    let duties = fleet.routers.iter().map(|router| router.node.watch_role());
     assert!(duties.into_iter().all(|duty| duty == Some(watch::Duty::EveryRouter)));
 }
 
--- a/core/tests/world/mod.rs
+++ b/core/tests/world/mod.rs
@@ -487,8 +487,8 @@
                 }
                 node::Action::ConfigInForce { .. } | node::Action::ServerRestarted { .. } => {}
                 // The world tells routers the platform's news by itself.
-                node::Action::Watch(_)
-                | node::Action::CancelWatch { .. }
+                node::Action::Poll(_)
+                | node::Action::CancelPoll { .. }
                 | node::Action::Announce => unreachable!(),
             }
         }
--- a/src/control.rs
+++ b/src/control.rs
@@ -128,8 +128,8 @@
                         peers.send(&address, envelope);
                     }
                 }
-                node::Action::Watch(call) => self.ask_store(call, context),
-                node::Action::CancelWatch { topic, number } => {
+                node::Action::Poll(call) => self.ask_store(call, context),
+                node::Action::CancelPoll { topic, number } => {
                     self.cancel_watch(topic, number, context);
                 }
                 node::Action::Announce => self.announce(context),
@@ -296,7 +296,7 @@
             control.watches.remove(&(call.topic, call.number));
             control.hear_store_era();
             let now_ms = control.now_ms();
-            control.node.watched(call, outcome, now_ms);
+            control.node.poll_ended(call, outcome, now_ms);
             control.carry_out(context);
         });
         self.watches.insert((call.topic, call.number), context.spawn(done));
--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -206,7 +206,7 @@
         node::ConfigSource::Peer(peer) => peer.to_string(),
     };
     let age_ms = node.age_ms(watch::Topic::Configuration, now_ms);
-    let calls = node.open_calls(watch::Topic::Configuration, now_ms);
+    let calls = node.open_polls(watch::Topic::Configuration, now_ms);
     log::info!(
         "event=config_in_force version={version} source={source} age_ms={} open_calls={} \
          prepaid_tokens={prepaid_tokens}",
--- a/src/telemetry/notices.rs
+++ b/src/telemetry/notices.rs
@@ -64,7 +64,7 @@
         node::Notice::Evacuation { failure_domain, evacuated, servers } => log::info!(
             "event=evacuation failure_domain={failure_domain} evacuated={evacuated} servers={servers}"
         ),
-        node::Notice::CallGivenUp { topic, call } => log::warn!(
+        node::Notice::PollGivenUp { topic, call } => log::warn!(
             "event=call_given_up topic={} evidence={} waited_ms={}",
             topic.as_str(),
             call.evidence.as_str(),
@@ -90,7 +90,7 @@
         node::Notice::ServerHeldBack { vm, for_ms } => {
             log::info!("event=server_held_back vm={vm} for_ms={for_ms}");
         }
-        node::Notice::WatchDuty { duty } => log::info!("event=watch_duty duty={}", duty.as_str()),
+        node::Notice::WatchRole { role } => log::info!("event=watch_duty duty={}", role.as_str()),
         node::Notice::Ejected { vm, ejected_ms } => {
             log::info!("event=server_ejected vm={vm} ejected_ms={ejected_ms}");
         }
