--- a/benches/capacity/control.rs
+++ b/benches/capacity/control.rs
@@ -106,7 +106,7 @@
     node.offer_vms(store::Position::new(0, 1), vms(size.servers), 0);
     node.offer_config(published(size), 0);
     for number in 0..size.members {
-        node.gossip(&gossip(number), 1);
+        node.handle_gossip(&gossip(number), 1);
     }
     let mut now_ms = 1_000;
     for _ in 0..200 {
@@ -253,7 +253,7 @@
             store::Request::Read { .. } => store::Reply::Missing { era: 0 },
             _ => store::Reply::Written { era: 0 },
         };
-        node.store_reply(call, reply, now_ms);
+        node.handle_store_reply(call, reply, now_ms);
     }
 }
 
@@ -264,7 +264,7 @@
         if let message::Message::Settle(settlement) = envelope.message {
             let durable = message::Message::SettleDurable(settlement.attempt);
             let (from, to) = (envelope.to, envelope.from);
-            node.message(message::Envelope { from, to, message: durable }, 1_000_000);
+            node.handle_message(message::Envelope { from, to, message: durable }, 1_000_000);
         }
     }
     node.take_actions();
--- a/benches/capacity/limits.rs
+++ b/benches/capacity/limits.rs
@@ -22,7 +22,7 @@
 /// The bytes of limits in the answer to a probe, and of the whole answer.
 fn datagram_bytes(node: &mut node::Node, now_ms: u64) -> (usize, usize) {
     let ping = message::Gossip { kind: message::GossipKind::Ping, ..control::gossip(0) };
-    node.gossip(&ping, now_ms);
+    node.handle_gossip(&ping, now_ms);
     let mut answers = node.take_actions().into_iter().filter_map(|action| match action {
         node::Action::Gossip { gossip, .. } => Some(gossip),
         _ => None,
--- a/core/benches/routing/strategies.rs
+++ b/core/benches/routing/strategies.rs
@@ -126,7 +126,7 @@
                 match action {
                     node::Action::Store { call, request } => {
                         let reply = answer(&mut self.stores[router], request);
-                        self.nodes[router].store_reply(call, reply, now_ms);
+                        self.nodes[router].handle_store_reply(call, reply, now_ms);
                     }
                     node::Action::Answer { slot, answer } => self.answer(router, slot, answer),
                     _ => {}
--- a/core/src/node/admit.rs
+++ b/core/src/node/admit.rs
@@ -121,7 +121,7 @@
             Lifecycle::Stopping | Lifecycle::Stopped => return Some(Reason::Stopping),
             Lifecycle::Ready => {}
         }
-        if let Some((reason, _)) = self.kept_back(wanted.fingerprint, now_ms) {
+        if let Some((reason, _)) = self.quarantine_refusal(wanted.fingerprint, now_ms) {
             return Some(reason);
         }
         let unpaid = budget.is_none() && wanted.bound_tokens > 0;
@@ -210,7 +210,7 @@
 
     fn dispatch(&mut self, slot: ids::RequestSlot, now_ms: u64) {
         let Some(request) = self.requests.get(slot) else { return };
-        if let Some((reason, _)) = self.kept_back(request.wanted.fingerprint, now_ms) {
+        if let Some((reason, _)) = self.quarantine_refusal(request.wanted.fingerprint, now_ms) {
             // A server crashed under it elsewhere while it waited.
             self.refuse(slot, reason, now_ms);
             return;
@@ -319,8 +319,8 @@
             Reason::Backoff => self.backoff_retry_after_ms(slot, now_ms),
             Reason::Quarantined | Reason::Suspended => {
                 let request = self.requests.get(slot).and_then(|it| it.wanted.fingerprint);
-                let kept_back = self.kept_back(request, now_ms);
-                kept_back.map_or(RETRY_AFTER_SHORT_MS, |(_, left_ms)| left_ms)
+                let quarantine_refusal = self.quarantine_refusal(request, now_ms);
+                quarantine_refusal.map_or(RETRY_AFTER_SHORT_MS, |(_, left_ms)| left_ms)
             }
             _ => RETRY_AFTER_SHORT_MS,
         }
--- a/core/src/node/directives.rs
+++ b/core/src/node/directives.rs
@@ -8,7 +8,7 @@
 
 impl Node {
     /// Applies the directives in the headers of an answer to the state of its server.
-    pub fn report_said(
+    pub fn report_directives(
         &mut self,
         vm: &str,
         life: ids::ServerLife,
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -8,7 +8,7 @@
 
 impl Node {
     /// Handles a message from a peer.
-    pub fn message(&mut self, envelope: message::Envelope, now_ms: u64) {
+    pub fn handle_message(&mut self, envelope: message::Envelope, now_ms: u64) {
         let message::Envelope { from, to, mut message } = envelope;
         if to != self.settings.incarnation {
             // Addressed to an earlier incarnation at this address: what that one did before is not known here.
@@ -87,7 +87,7 @@
     }
 
     /// Handles a datagram from a peer.
-    pub fn gossip(&mut self, gossip: &message::Gossip, now_ms: u64) {
+    pub fn handle_gossip(&mut self, gossip: &message::Gossip, now_ms: u64) {
         match self.max_queued_ms(now_ms) {
             None => self.merge_gossip(gossip, now_ms),
             Some(queued_ms) => {
--- a/core/src/node/platform.rs
+++ b/core/src/node/platform.rs
@@ -38,7 +38,7 @@
 
 impl Node {
     /// Handles the store's reply to a call.
-    pub fn store_reply(&mut self, call: ids::CallId, reply: store::Reply, now_ms: u64) {
+    pub fn handle_store_reply(&mut self, call: ids::CallId, reply: store::Reply, now_ms: u64) {
         let Some(completed) = self.calls.remove(&call) else { return };
         let reply = self.check_reply_era(reply, now_ms);
         match reply {
--- a/core/src/node/quarantine.rs
+++ b/core/src/node/quarantine.rs
@@ -76,7 +76,7 @@
     }
 
     /// Records that a server's address refuses connections, so that the process that listened there has ended.
-    pub fn server_refused(&mut self, server: &quarantine::LifeOf, now_ms: u64) {
+    pub fn connection_refused(&mut self, server: &quarantine::LifeOf, now_ms: u64) {
         if let Some(slot) = self.servers.find_life(&server.vm, server.life) {
             self.servers.refused(slot, now_ms);
         }
@@ -88,12 +88,12 @@
     }
 
     /// Records that a server accepts connections after a run broke off.
-    pub fn server_accepted(&mut self, server: &quarantine::LifeOf) {
+    pub fn connection_accepted(&mut self, server: &quarantine::LifeOf) {
         self.quarantine.runs.accepted(server);
     }
 
     /// Records that a run of a request succeeded, so that the request does not crash servers.
-    pub fn ended_well(&mut self, request: ids::Fingerprint, now_ms: u64) {
+    pub fn run_succeeded(&mut self, request: ids::Fingerprint, now_ms: u64) {
         self.quarantine.runs.ended_well(request);
         let change = self.quarantine.table.clear(request, now_ms);
         self.report_change(request, change, QuarantineSource::GoodEnd, now_ms);
@@ -113,7 +113,7 @@
     }
 
     /// Why a request must not be dispatched now, and for how many milliseconds; `None` if it may be.
-    pub fn kept_back(
+    pub fn quarantine_refusal(
         &self,
         request: Option<ids::Fingerprint>,
         now_ms: u64,
--- a/core/tests/arbitrary_messages.rs
+++ b/core/tests/arbitrary_messages.rs
@@ -76,8 +76,8 @@
     let now_ms = fleet.now_ms;
     let node = &mut fleet.routers[1].node;
     match datagram {
-        message::Datagram::Gossip(gossip) => node.gossip(&gossip, now_ms),
-        message::Datagram::Message(envelope) => node.message(envelope, now_ms),
+        message::Datagram::Gossip(gossip) => node.handle_gossip(&gossip, now_ms),
+        message::Datagram::Message(envelope) => node.handle_message(envelope, now_ms),
     }
     node.tick(now_ms);
     node.take_actions();
--- a/core/tests/digests.rs
+++ b/core/tests/digests.rs
@@ -78,7 +78,7 @@
         let to = fleet.routers[0].node.members().own().id;
         let now_ms = fleet.now_ms;
         let node = &mut fleet.routers[0].node;
-        node.message(message::Envelope { from: ids::Incarnation(77), to, message }, now_ms);
+        node.handle_message(message::Envelope { from: ids::Incarnation(77), to, message }, now_ms);
         assert_eq!(node.config_version(), known);
         let noticed = |action: &node::Action| {
             matches!(action, node::Action::Notice(node::Notice::Unusable(_)))
--- a/core/tests/limit_schedules.rs
+++ b/core/tests/limit_schedules.rs
@@ -523,7 +523,7 @@
     let envelope = message::Envelope { from: id(asker), to: id(place), message };
     let now_ms = fleet.now_ms;
     let node = &mut fleet.routers[place].node;
-    node.message(envelope, now_ms);
+    node.handle_message(envelope, now_ms);
     node.take_actions().iter().any(|action| match action {
         node::Action::Send { envelope, .. } => {
             let message = &envelope.message;
@@ -616,7 +616,7 @@
     let now_ms = fleet.now_ms;
     for router in &mut fleet.routers {
         let age = servers::AnswerAge::default();
-        router.node.report_said("server-0", ids::ServerLife(1), &said, age, now_ms);
+        router.node.report_directives("server-0", ids::ServerLife(1), &said, age, now_ms);
     }
     fleet.run_ms(1_000);
     assert_eq!(granting(&mut fleet), 0);
@@ -640,7 +640,7 @@
         };
         let said = servers::Said { limit_milli_per_s, backoff_ms, ..Default::default() };
         let age = servers::AnswerAge::default();
-        node.report_said(&format!("vm-{place}"), ids::ServerLife(1), &said, age, now_ms);
+        node.report_directives(&format!("vm-{place}"), ids::ServerLife(1), &said, age, now_ms);
     }
     node.take_actions();
     traffic.fleet.routers[1].alive = false;
--- a/core/tests/node.rs
+++ b/core/tests/node.rs
@@ -203,7 +203,7 @@
     let ask = message::Envelope { from, to, message: message::Message::VmsAsk };
     let node = &mut world.routers[0].node;
     node.take_actions();
-    node.message(ask, 100_000);
+    node.handle_message(ask, 100_000);
     let told = node.take_actions().into_iter().find_map(|action| match action {
         node::Action::Send { envelope, .. } => match envelope.message {
             message::Message::Vms { vms, .. } => Some(vms),
@@ -229,7 +229,7 @@
     let gossip = gossip_of_leaving(&world, &server.vm);
     let node = &mut world.routers[0].node;
     node.offer_vms(at(1_001), vec![server.clone()], 2_500);
-    node.gossip(&gossip, 2_600);
+    node.handle_gossip(&gossip, 2_600);
     node.offer_vms_and_lapsed(at(1_002), Vec::<servers::Vm>::new(), vec![server.clone()], 3_000);
     assert!(!used(node), "it left");
 }
@@ -258,7 +258,7 @@
     let server = world.routers[0].node.servers().iter().next().unwrap().1.vm.clone();
     let gossip = gossip_of_leaving(&world, &server.vm);
     let node = &mut world.routers[0].node;
-    node.gossip(&gossip, 2_000);
+    node.handle_gossip(&gossip, 2_000);
     // The store was away, and its list comes more than once while the record may still be back.
     for index in 1_000..1_003 {
         node.offer_vms_and_lapsed(at(index), Vec::new(), vec![server.clone()], 2_000 + index);
@@ -293,7 +293,13 @@
     let chosen = node.servers().iter().find(|(_, server)| server.in_flight == 1);
     let chosen = chosen.unwrap().1.vm.clone();
     assert!(!world.given[given].dispatched, "the claim takes a while");
-    node.report_said(&chosen.vm, chosen.life, &said, servers::AnswerAge::default(), world.now_ms);
+    node.report_directives(
+        &chosen.vm,
+        chosen.life,
+        &said,
+        servers::AnswerAge::default(),
+        world.now_ms,
+    );
     (world, given, chosen.vm)
 }
 
@@ -358,7 +364,7 @@
     let said = servers::Said { backoff_ms: servers::Stated::Value(1_000), ..Default::default() };
     for (number, slot) in slots.into_iter().enumerate() {
         let age = servers::AnswerAge::default();
-        node.report_said(&vm.vm, vm.life, &said, age, now_ms + 50);
+        node.report_directives(&vm.vm, vm.life, &said, age, now_ms + 50);
         // Some answers don't say that the request did not run.
         let ending = match number % 2 {
             0 => {
@@ -398,7 +404,7 @@
     let node = &mut world.routers[0].node;
     let vm = node.servers().iter().next().unwrap().1.vm.clone();
     let said = servers::Said { backoff_ms: servers::Stated::Value(100), ..Default::default() };
-    node.report_said(&vm.vm, vm.life, &said, servers::AnswerAge::default(), now_ms);
+    node.report_directives(&vm.vm, vm.life, &said, servers::AnswerAge::default(), now_ms);
     node.take_actions();
     for wanted in wanted {
         node.admit(wanted, now_ms + 200);
--- a/core/tests/poison_schedules.rs
+++ b/core/tests/poison_schedules.rs
@@ -206,7 +206,7 @@
         if router.alive && router.life == run.life {
             let now_ms = self.fleet.now_ms;
             self.good_ends_ms[run.kind].push(now_ms);
-            router.node.ended_well(self.kinds[run.kind].request, now_ms);
+            router.node.run_succeeded(self.kinds[run.kind].request, now_ms);
         }
     }
 
@@ -230,9 +230,9 @@
                     && server.down_until_ms.is_some()
             });
             if down && self.rng.random_range(0..100) < self.refusals_percent {
-                at.node.server_refused(&broken.server, now_ms);
+                at.node.connection_refused(&broken.server, now_ms);
             } else if !down {
-                at.node.server_accepted(&broken.server);
+                at.node.connection_accepted(&broken.server);
             }
         }
     }
@@ -258,7 +258,7 @@
         let places: Vec<usize> = (0..self.fleet.routers.len()).filter(serves).collect();
         let Some(place) = places.choose(&mut self.rng).copied() else { return };
         let router = &self.fleet.routers[place];
-        if router.node.kept_back(Some(request), now_ms).is_some() {
+        if router.node.quarantine_refusal(Some(request), now_ms).is_some() {
             return;
         }
         let life = router.life;
@@ -426,7 +426,7 @@
     let now_ms = fleet.now_ms;
     let node = &mut fleet.routers[router].node;
     node.run_broken(&broken, now_ms);
-    node.server_refused(&broken.server, now_ms);
+    node.connection_refused(&broken.server, now_ms);
 }
 
 #[test]
--- a/core/tests/said_schedules.rs
+++ b/core/tests/said_schedules.rs
@@ -262,7 +262,7 @@
             }
         }
         let age = servers::AnswerAge { sent_ms: now_ms - run.sent_ms, heard_ms: 0 };
-        router.node.report_said(&server.name, run.life, &said, age, now_ms);
+        router.node.report_directives(&server.name, run.life, &said, age, now_ms);
         if let Manner::TurnsAway { .. } = run.manner {
             router.node.retry(run.slot, node::AttemptFailure::Rejected, now_ms);
         } else {
@@ -561,7 +561,7 @@
             let vm = format!("vm-{place}");
             let age = servers::AnswerAge::default();
             let node = &mut scenario.traffic.fleet.routers[0].node;
-            node.report_said(&vm, ids::ServerLife(1), &said, age, now_ms);
+            node.report_directives(&vm, ids::ServerLife(1), &said, age, now_ms);
         }
         scenario.traffic.fleet.run_until("all know", CONTACT_MS, |fleet| {
             fleet.routers.iter().all(|it| it.node.leavings().iter().count() == leaving)
--- a/core/tests/transfers.rs
+++ b/core/tests/transfers.rs
@@ -85,14 +85,14 @@
     };
     // It has no configuration yet, so it declines; its sender has the tokens back.
     let now_ms = world.now_ms;
-    world.routers[1].node.message(transfer(1), now_ms);
+    world.routers[1].node.handle_message(transfer(1), now_ms);
     world.faults.store_out = false;
     run_until(&mut world, "a ready router", |world| {
         world.routers[1].node.lifecycle() == node::Lifecycle::Ready
     });
     let now_ms = world.now_ms;
-    world.routers[1].node.message(transfer(1), now_ms);
+    world.routers[1].node.handle_message(transfer(1), now_ms);
     assert_eq!(account(&world, 1).received_tokens, 0, "its sender has them back");
-    world.routers[1].node.message(transfer(2), now_ms);
+    world.routers[1].node.handle_message(transfer(2), now_ms);
     assert_eq!(account(&world, 1).received_tokens, GIVEN_TOKENS, "a new one is applied");
 }
--- a/core/tests/watch_fleet/mod.rs
+++ b/core/tests/watch_fleet/mod.rs
@@ -275,7 +275,7 @@
             limits: Vec::new(),
         };
         let now_ms = self.now_ms;
-        self.routers[place].node.gossip(&gossip, now_ms);
+        self.routers[place].node.handle_gossip(&gossip, now_ms);
     }
 
     pub fn watchers(&self) -> Vec<usize> {
@@ -494,10 +494,10 @@
             return;
         }
         match event {
-            Event::Message { envelope, .. } => router.node.message(envelope, self.now_ms),
-            Event::Gossip { gossip, .. } => router.node.gossip(&gossip, self.now_ms),
+            Event::Message { envelope, .. } => router.node.handle_message(envelope, self.now_ms),
+            Event::Gossip { gossip, .. } => router.node.handle_gossip(&gossip, self.now_ms),
             Event::StoreReply { call, reply, .. } => {
-                router.node.store_reply(call, reply, self.now_ms);
+                router.node.handle_store_reply(call, reply, self.now_ms);
             }
         }
         self.carry_out(place);
--- a/core/tests/world/mod.rs
+++ b/core/tests/world/mod.rs
@@ -430,16 +430,16 @@
             }
             Event::StoreReplies { to, life, call, reply } => {
                 if self.routers[to].life == life {
-                    self.routers[to].node.store_reply(call, reply, self.now_ms);
+                    self.routers[to].node.handle_store_reply(call, reply, self.now_ms);
                     self.carry_out(to);
                 }
             }
             Event::Message { to, envelope } => {
-                self.routers[to].node.message(envelope, self.now_ms);
+                self.routers[to].node.handle_message(envelope, self.now_ms);
                 self.carry_out(to);
             }
             Event::Gossip { to, gossip } => {
-                self.routers[to].node.gossip(&gossip, self.now_ms);
+                self.routers[to].node.handle_gossip(&gossip, self.now_ms);
                 self.carry_out(to);
             }
             Event::Served { at, life, slot } => self.served(at, life, slot),
--- a/src/control.rs
+++ b/src/control.rs
@@ -191,7 +191,7 @@
         let done = reply.into_actor(self).map(move |reply, control, context| {
             control.hear_store_era();
             let now_ms = control.now_ms();
-            control.node.store_reply(call, reply, now_ms);
+            control.node.handle_store_reply(call, reply, now_ms);
             control.carry_out(context);
         });
         context.spawn(done);
--- a/src/control/handlers.rs
+++ b/src/control/handlers.rs
@@ -12,7 +12,7 @@
 
     fn handle(&mut self, arrived: peers::Arrived, context: &mut Self::Context) {
         let now_ms = self.now_ms();
-        self.node.message(arrived.0, now_ms);
+        self.node.handle_message(arrived.0, now_ms);
         self.carry_out(context);
     }
 }
@@ -22,7 +22,7 @@
 
     fn handle(&mut self, arrived: peers::GossipArrived, context: &mut Self::Context) {
         let now_ms = self.now_ms();
-        self.node.gossip(&arrived.0, now_ms);
+        self.node.handle_gossip(&arrived.0, now_ms);
         self.carry_out(context);
     }
 }
@@ -82,7 +82,7 @@
             sent_ms: sent.elapsed().as_millis() as u64,
             heard_ms: heard.elapsed().as_millis() as u64,
         };
-        self.node.report_said(&vm, life, &said, age, now_ms);
+        self.node.report_directives(&vm, life, &said, age, now_ms);
         self.carry_out(context);
     }
 }
@@ -102,7 +102,7 @@
 
     fn handle(&mut self, refused: messages::ServerRefused, context: &mut Self::Context) {
         let now_ms = self.now_ms();
-        self.node.server_refused(&refused.0, now_ms);
+        self.node.connection_refused(&refused.0, now_ms);
         self.carry_out(context);
     }
 }
@@ -111,7 +111,7 @@
     type Result = ();
 
     fn handle(&mut self, accepted: messages::ServerAccepted, _: &mut Self::Context) {
-        self.node.server_accepted(&accepted.0);
+        self.node.connection_accepted(&accepted.0);
     }
 }
 
@@ -120,7 +120,7 @@
 
     fn handle(&mut self, ended: messages::EndedWell, context: &mut Self::Context) {
         let now_ms = self.now_ms();
-        self.node.ended_well(ended.0, now_ms);
+        self.node.run_succeeded(ended.0, now_ms);
         self.carry_out(context);
     }
 }
