--- a/core/src/node/copies.rs
+++ b/core/src/node/copies.rs
@@ -77,8 +77,9 @@
                 }
             }
             Err(error) => {
-                let notice =
-                    Notice::Unusable(format!("a peer's copy of ledger shard {shard}: {error}"));
+                let notice = Notice::UnusableValue(format!(
+                    "a peer's copy of ledger shard {shard}: {error}"
+                ));
                 self.actions.push(Action::Notice(notice));
             }
         }
--- a/core/src/node/limits.rs
+++ b/core/src/node/limits.rs
@@ -177,7 +177,7 @@
             return;
         }
         for slot in self.servers.limits_mut().expire(now_ms) {
-            self.end_limit(slot, LimitSource::Lapsed, now_ms);
+            self.end_limit(slot, LimitSource::Expired, now_ms);
         }
         let limited = self.servers.limited_services();
         let services: Vec<String> = limited.into_keys().map(str::to_owned).collect();
--- a/core/src/node/notices.rs
+++ b/core/src/node/notices.rs
@@ -15,13 +15,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineSource {
     /// It detected the crash itself.
-    Seen,
+    Observed,
     /// Another router reported it.
     Peer,
     /// It was read from the platform's store.
     Store,
     /// A run of the request succeeded on this router.
-    GoodEnd,
+    SuccessfulRun,
     /// An operator's command.
     Operator,
 }
@@ -30,10 +30,10 @@
     /// The value of the key `source` in log lines.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Seen => "Seen",
+            Self::Observed => "Seen",
             Self::Peer => "Peer",
             Self::Store => "Store",
-            Self::GoodEnd => "GoodEnd",
+            Self::SuccessfulRun => "GoodEnd",
             Self::Operator => "Operator",
         }
     }
@@ -47,14 +47,14 @@
     /// An answer of the server to another router.
     Peer(ids::Incarnation),
     /// No answer confirmed the limit for too long, so that it expired.
-    Lapsed,
+    Expired,
 }
 
 /// An event for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
     /// The grants of a terminated holder were closed.
-    ClosedDead {
+    TerminatedHolderClosed {
         /// The terminated holder.
         holder: ids::Incarnation,
         /// Tokens that are counted as spent, as their use was not reported.
@@ -119,7 +119,7 @@
     /// This router's grants were written off by another router.
     Fenced,
     /// A value in the store is unusable.
-    Unusable(String),
+    UnusableValue(String),
     /// A holder of a budget did not reply in time; no requests are sent to it for some time.
     HolderSilent {
         /// VM of the holder.
@@ -185,7 +185,7 @@
         header: servers::Header,
     },
     /// A server's record disappeared while the store was unavailable; it is kept for some time.
-    ItemLapsed {
+    RecordLapsed {
         /// VM of the server.
         vm: String,
         /// Duration in milliseconds.
--- a/core/src/node/platform.rs
+++ b/core/src/node/platform.rs
@@ -215,14 +215,14 @@
             }
             ledger_writer::Event::ClosedDead { holder, written_off_tokens, grants } => {
                 self.counters.written_off_tokens += written_off_tokens;
-                let notice = Notice::ClosedDead { holder, written_off_tokens, grants };
+                let notice = Notice::TerminatedHolderClosed { holder, written_off_tokens, grants };
                 self.actions.push(Action::Notice(notice));
             }
             ledger_writer::Event::Holders(holders) => {
                 self.notify_successors(shard as u32, &holders);
             }
             ledger_writer::Event::Unusable(fault) => {
-                self.actions.push(Action::Notice(Notice::Unusable(fault)));
+                self.actions.push(Action::Notice(Notice::UnusableValue(fault)));
             }
         }
     }
--- a/core/src/node/quarantine.rs
+++ b/core/src/node/quarantine.rs
@@ -96,7 +96,7 @@
     pub fn run_succeeded(&mut self, request: ids::Fingerprint, now_ms: u64) {
         self.quarantine.runs.ended_well(request);
         let change = self.quarantine.table.clear(request, now_ms);
-        self.report_change(request, change, QuarantineSource::GoodEnd, now_ms);
+        self.report_change(request, change, QuarantineSource::SuccessfulRun, now_ms);
     }
 
     /// Releases a request from quarantine on all routers, on an operator's command; returns the number of crashes that
@@ -212,7 +212,7 @@
         if self.members.live_count() < self.most_routers {
             self.quarantine.record_sync.want_read();
         }
-        self.report_change(request, change, QuarantineSource::Seen, at_ms);
+        self.report_change(request, change, QuarantineSource::Observed, at_ms);
     }
 
     fn report_change(
--- a/core/src/node/relay.rs
+++ b/core/src/node/relay.rs
@@ -275,7 +275,7 @@
             None => match postcard::to_stdvec(published) {
                 Ok(value) => value,
                 Err(fault) => {
-                    let notice = Notice::Unusable(format!("configuration {version}: {fault}"));
+                    let notice = Notice::UnusableValue(format!("configuration {version}: {fault}"));
                     self.actions.push(Action::Notice(notice));
                     return;
                 }
@@ -313,7 +313,7 @@
                 }
             }
             Err(fault) => {
-                let notice = Notice::Unusable(format!("a peer's configuration: {fault}"));
+                let notice = Notice::UnusableValue(format!("a peer's configuration: {fault}"));
                 self.actions.push(Action::Notice(notice));
             }
         }
--- a/core/src/node/watching.rs
+++ b/core/src/node/watching.rs
@@ -264,7 +264,7 @@
 
     fn retain_lapsed(&mut self, vm: servers::Vm, kept_ms: u64, now_ms: u64) {
         let Some(watching) = &mut self.watching else { return };
-        let notice = Notice::ItemLapsed { vm: vm.vm.clone(), kept_ms };
+        let notice = Notice::RecordLapsed { vm: vm.vm.clone(), kept_ms };
         self.actions.push(Action::Notice(notice));
         watching.lapsed_until_ms.insert(vm.vm.clone(), now_ms + kept_ms);
         self.lapsed.push(vm);
--- a/core/tests/digests.rs
+++ b/core/tests/digests.rs
@@ -81,7 +81,7 @@
         node.handle_message(message::Envelope { from: ids::Incarnation(77), to, message }, now_ms);
         assert_eq!(node.config_version(), known);
         let noticed = |action: &node::Action| {
-            matches!(action, node::Action::Notice(node::Notice::Unusable(_)))
+            matches!(action, node::Action::Notice(node::Notice::UnusableValue(_)))
         };
         assert!(node.take_actions().iter().any(noticed), "it is logged");
     }
--- a/core/tests/external_names.rs
+++ b/core/tests/external_names.rs
@@ -294,10 +294,10 @@
     sources_of_leavings_in_the_dump: json(&[leavings::Source::Record, leavings::Source::Answer])
         => r#"["record","answer"]"#;
     sources_of_quarantines: [
-        node::QuarantineSource::Seen,
+        node::QuarantineSource::Observed,
         node::QuarantineSource::Peer,
         node::QuarantineSource::Store,
-        node::QuarantineSource::GoodEnd,
+        node::QuarantineSource::SuccessfulRun,
         node::QuarantineSource::Operator,
     ].map(node::QuarantineSource::as_str).join(" ") => "Seen Peer Store GoodEnd Operator";
     headers: [servers::Header::Limit, servers::Header::Leaving, servers::Header::Backoff]
--- a/core/tests/world/mod.rs
+++ b/core/tests/world/mod.rs
@@ -480,7 +480,8 @@
                 node::Action::Gossip { address, gossip } => self.send_gossip(at, &address, gossip),
                 node::Action::Answer { slot, answer } => self.answer(at, life, slot, answer),
                 node::Action::Notice(notice) => {
-                    if let node::Notice::ClosedDead { written_off_tokens, .. } = &notice {
+                    if let node::Notice::TerminatedHolderClosed { written_off_tokens, .. } = &notice
+                    {
                         self.written_off_tokens += written_off_tokens;
                     }
                     self.notices.push(notice);
--- a/src/telemetry/notices.rs
+++ b/src/telemetry/notices.rs
@@ -20,7 +20,7 @@
 /// Writes a log line for something the core noticed.
 pub fn log_notice(notice: &node::Notice) {
     match notice {
-        node::Notice::ClosedDead { holder, written_off_tokens, grants } => {
+        node::Notice::TerminatedHolderClosed { holder, written_off_tokens, grants } => {
             log::warn!(
                 "event=dead_holder_closed holder={holder} written_off_tokens={written_off_tokens}"
             );
@@ -36,7 +36,7 @@
             match source {
                 node::LimitSource::Answer => "answer".to_owned(),
                 node::LimitSource::Peer(peer) => peer.to_string(),
-                node::LimitSource::Lapsed => "lapsed".to_owned(),
+                node::LimitSource::Expired => "lapsed".to_owned(),
             }
         ),
         node::Notice::ServerLeaving { vm, life, service, source, from } => log::info!(
@@ -58,7 +58,7 @@
         node::Notice::HeaderUnreadable { vm, header } => {
             log::warn!("event=header_unreadable vm={vm} header={}", header.as_str());
         }
-        node::Notice::ItemLapsed { vm, kept_ms } => {
+        node::Notice::RecordLapsed { vm, kept_ms } => {
             log::info!("event=item_lapsed vm={vm} kept_ms={kept_ms}");
         }
         node::Notice::Evacuation { failure_domain, evacuated, servers } => log::info!(
@@ -119,7 +119,7 @@
             log::error!("event=record_unreadable key={key} fault={}", logging::quoted(fault));
         }
         node::Notice::Fenced => log::error!("event=fenced cause=written_off_by_another_router"),
-        node::Notice::Unusable(fault) => {
+        node::Notice::UnusableValue(fault) => {
             log::error!("event=ledger_unusable fault={}", logging::quoted(fault));
         }
         node::Notice::Overrun { budget, tokens } => {
