--- a/core/src/node/watching.rs
+++ b/core/src/node/watching.rs
@@ -310,7 +310,7 @@
     }
 
     /// Records this router's address in the store, once, for routers that start and reach none of their seeds. Only
-    /// routers that poll do so: all members have their addresses, so a few records are enough.
+    /// routers that poll do so: every member can determine which ones do, so a few records are enough.
     fn announce(&mut self, now_ms: u64) {
         let settled = now_ms >= self.started_ms + MEMBERSHIP_SETTLE_MS;
         let without_peers = self.members.live().next().is_none();
