--- a/benches/capacity/control.rs
+++ b/benches/capacity/control.rs
@@ -58,7 +58,8 @@
         let each = nanoseconds(|| {
             number += 1;
             let slot = node.admit(wanted(number, 0), 1_000_000);
-            let ending = node::Ending::Ran { consumed_tokens: 1, outcome: None, healthy: true };
+            let ending =
+                node::RequestOutcome::Ran { consumed_tokens: 1, outcome: None, healthy: true };
             node.finish(slot, ending, 1_000_000);
             acknowledge(&mut node);
         });
@@ -105,7 +106,7 @@
     node.offer_vms(store::Position::new(0, 1), vms(size.servers), 0);
     node.offer_config(published(size), 0);
     for number in 0..size.members {
-        node.gossip(&gossip(number), 1);
+        node.handle_gossip(&gossip(number), 1);
     }
     let mut now_ms = 1_000;
     for _ in 0..200 {
@@ -208,8 +209,8 @@
     }
 }
 
-fn wanted(key: u64, budget: usize) -> node::Wanted {
-    node::Wanted {
+fn wanted(key: u64, budget: usize) -> node::AdmissionRequest {
+    node::AdmissionRequest {
         attempts_max: u32::MAX,
         fingerprint: None,
         key: ids::RequestKey { high: key, low: key },
@@ -252,7 +253,7 @@
             store::Request::Read { .. } => store::Reply::Missing { era: 0 },
             _ => store::Reply::Written { era: 0 },
         };
-        node.store_reply(call, reply, now_ms);
+        node.handle_store_reply(call, reply, now_ms);
     }
 }
 
@@ -263,7 +264,7 @@
         if let message::Message::Settle(settlement) = envelope.message {
             let durable = message::Message::SettleDurable(settlement.attempt);
             let (from, to) = (envelope.to, envelope.from);
-            node.message(message::Envelope { from, to, message: durable }, 1_000_000);
+            node.handle_message(message::Envelope { from, to, message: durable }, 1_000_000);
         }
     }
     node.take_actions();
--- a/core/src/node.rs
+++ b/core/src/node.rs
@@ -1,5 +1,6 @@
 //! One router's control state: tables, and the functions that process them on each tick.
 //!
+
 //! [`Node`] receives events as method calls and queues the effects as a list of [`Action`]s. Its functions are in the
 //! submodules: `admit` (from a request to its dispatch), `retries`, `tokens` and `queue` (waits for tokens and for
 //! servers), `limits` (rate limits of servers), `said` (what servers state in their answers), `settle` (ends of
@@ -9,6 +10,7 @@
 mod config_and_vms;
 mod confirmations;
 mod counters;
+mod directives;
 mod dump;
 mod era_record;
 mod eras;
@@ -19,17 +21,16 @@
 mod limits;
 mod notices;
 mod outage;
-mod pauses;
 mod peers;
 mod platform;
+mod process_pauses;
 mod quarantine;
-mod questions;
 mod queue;
 mod relay;
 mod retries;
-mod said;
 mod settle;
 mod tokens;
+mod transfer_requests;
 mod types;
 mod watching;
 
@@ -81,7 +82,7 @@
 /// An admitted request.
 #[derive(Debug)]
 struct Request {
-    admission: Wanted,
+    admission: AdmissionRequest,
     budget: ids::BudgetSlot,
     attempt: ids::AttemptId,
     stage: Stage,
@@ -137,9 +138,9 @@
     requests: slotmap::SlotMap<ids::RequestSlot, Request>,
     by_key: collections::HashMap<ids::RequestKey, ids::RequestSlot>,
     by_attempt: collections::HashMap<ids::AttemptId, ids::RequestSlot>,
-    waiting_servers: collections::BTreeSet<queue::Place>,
+    waiting_servers: collections::BTreeSet<queue::QueuePosition>,
     /// How fast the queue of each service drains.
-    queue_drains: collections::HashMap<String, queue::Drain>,
+    queue_drains: collections::HashMap<String, queue::DrainRate>,
     token_searches: collections::HashMap<ids::BudgetSlot, TokenSearch>,
     retries: collections::HashMap<String, retry::Budget>,
     /// The most routers that were live at once since this process started: routers that are cut off still count.
@@ -157,7 +158,7 @@
     backup_age_ms: u64,
     /// Whether no router of this deployment ran before this one and those that started with it.
     is_first_start: bool,
-    pauses: pauses::Pauses,
+    pauses: process_pauses::PauseDetector,
     quarantine: quarantine::Quarantine,
     limits: limits::Sharing,
     /// The subscriptions to the store's topics; `None` where the shell follows the store.
@@ -223,7 +224,7 @@
             confirmations: Default::default(),
             backup_age_ms: grants::DEFAULT_BACKUP_AGE_MS,
             is_first_start: false,
-            pauses: pauses::Pauses::new(now_ms),
+            pauses: process_pauses::PauseDetector::new(now_ms),
             quarantine: Default::default(),
             limits: Default::default(),
             watching,
@@ -301,7 +302,7 @@
 
     /// Runs all periodic work that is due.
     pub fn tick(&mut self, now_ms: u64) {
-        self.tick_pauses(now_ms);
+        self.tick_process_pauses(now_ms);
         self.tick_members(now_ms);
         self.tick_eras(now_ms);
         self.tick_era_record(now_ms);
@@ -310,7 +311,7 @@
         self.tick_watching(now_ms);
         self.tick_rates(now_ms);
         self.tick_waiting_budget(now_ms);
-        self.tick_said(now_ms);
+        self.tick_directives(now_ms);
         self.tick_limits(now_ms);
         self.tick_waiting_servers(now_ms);
         self.tick_waiting_claims(now_ms);
--- a/core/src/node/admit.rs
+++ b/core/src/node/admit.rs
@@ -1,6 +1,6 @@
 //! Admission of requests: reserves tokens, chooses a server, records the claim of an unrepeatable request, dispatches.
 
-use super::{Action, Answer, Node, Reason, Request, Stage, Wanted};
+use super::{Action, AdmissionRequest, Answer, Node, Reason, Request, Stage};
 use crate::node::types::Lifecycle;
 use crate::{config, ids, log_index, log_writer, message, rendezvous, servers};
 use rand::RngExt;
@@ -17,7 +17,7 @@
 
 impl Node {
     /// Admits or refuses a request. The answer is an [`Action::Answer`], often queued before this returns.
-    pub fn admit(&mut self, admission: Wanted, now_ms: u64) -> ids::RequestSlot {
+    pub fn admit(&mut self, admission: AdmissionRequest, now_ms: u64) -> ids::RequestSlot {
         let budget = self.grants.find(&admission.budget);
         let attempt = ids::AttemptId(self.rng.random());
         let refusal_reason = self.admission_refusal(&admission, budget, now_ms);
@@ -41,7 +41,7 @@
         self.by_attempt.insert(attempt, slot);
         self.counters.admitted += 1;
         if !self.try_reserve(slot, now_ms) {
-            self.want_tokens(slot, now_ms);
+            self.request_tokens(slot, now_ms);
         }
         slot
     }
@@ -122,7 +122,7 @@
     /// The reason to refuse a request before any tokens are reserved for it, if there is one.
     fn admission_refusal(
         &self,
-        admission: &Wanted,
+        admission: &AdmissionRequest,
         budget: Option<ids::BudgetSlot>,
         now_ms: u64,
     ) -> Option<Reason> {
@@ -132,7 +132,7 @@
             Lifecycle::Stopping | Lifecycle::Stopped => return Some(Reason::Stopping),
             Lifecycle::Ready => {}
         }
-        if let Some((reason, _)) = self.kept_back(admission.fingerprint, now_ms) {
+        if let Some((reason, _)) = self.quarantine_refusal(admission.fingerprint, now_ms) {
             return Some(reason);
         }
         let budget_missing = budget.is_none() && admission.bound_tokens > 0;
@@ -226,7 +226,7 @@
             *other_attempt_seen_ms = other_attempt_seen_ms.map(|_| now_ms);
         }
         let (entry, waiter) = (log_index::Entry::Claim(claim), log_writer::Waiter::Local(slot));
-        self.append(entry, waiter, log_writer::Urgency::Waited, now_ms);
+        self.append_to_log(entry, waiter, log_writer::Urgency::Waited, now_ms);
     }
 
     fn build_claim(&self, slot: ids::RequestSlot) -> Option<log_index::Claim> {
@@ -238,7 +238,7 @@
     /// Dispatches a request whose claim, if it needs one, is recorded.
     fn dispatch(&mut self, slot: ids::RequestSlot, now_ms: u64) {
         let Some(request) = self.requests.get(slot) else { return };
-        if let Some((reason, _)) = self.kept_back(request.admission.fingerprint, now_ms) {
+        if let Some((reason, _)) = self.quarantine_refusal(request.admission.fingerprint, now_ms) {
             // While it waited, a server crashed while running the same request for another router.
             self.refuse(slot, reason, now_ms);
             return;
@@ -325,7 +325,7 @@
         }
         let release = log_index::Entry::Release { key, attempt };
         let waiter = log_writer::Waiter::Outbox;
-        self.append(release, waiter, log_writer::Urgency::Gather, now_ms);
+        self.append_to_log(release, waiter, log_writer::Urgency::Gather, now_ms);
     }
 
     /// The retry delay returned with a refusal, in milliseconds.
@@ -336,7 +336,7 @@
         now_ms: u64,
     ) -> u64 {
         match reason {
-            Reason::BudgetUnreachable => self.outage.refuse(now_ms),
+            Reason::BudgetUnreachable => self.outage.record_refusal(now_ms),
             Reason::BudgetExhausted => RETRY_AFTER_EXHAUSTED_MS,
             Reason::Overloaded => {
                 let service = self.requests.get(slot).map(|request| &request.admission.service);
@@ -352,8 +352,8 @@
             Reason::Quarantined | Reason::Suspended => {
                 let fingerprint =
                     self.requests.get(slot).and_then(|request| request.admission.fingerprint);
-                let kept_back = self.kept_back(fingerprint, now_ms);
-                kept_back.map_or(RETRY_AFTER_SHORT_MS, |(_, left_ms)| left_ms)
+                let quarantine_refusal = self.quarantine_refusal(fingerprint, now_ms);
+                quarantine_refusal.map_or(RETRY_AFTER_SHORT_MS, |(_, left_ms)| left_ms)
             }
             _ => RETRY_AFTER_SHORT_MS,
         }
--- a/core/src/node/config_and_vms.rs
+++ b/core/src/node/config_and_vms.rs
@@ -108,7 +108,7 @@
         });
         let vms: Vec<servers::Vm> = vms.collect();
         for vm in vms.iter().filter(|vm| vm.state == servers::VmState::Leaving) {
-            self.hear_leaving(&vm.vm, vm.life, leavings::Source::Record, None);
+            self.record_leaving(&vm.vm, vm.life, leavings::Source::Record, None);
         }
         let routers = vms.iter().filter(|vm| vm.service == ROUTER_SERVICE);
         self.members.add_seeds(routers.map(|vm| vm.address.clone()));
@@ -125,7 +125,7 @@
         if self.listed_index == store::Position::START && self.vms.contains_key(&self.settings.vm) {
             self.listed_index = index;
         }
-        self.note_ended_lives(now_ms);
+        self.detect_ended_servers(now_ms);
         self.expire_leaving_servers(now_ms);
         if router_removed {
             // The next router that reads the ledger writes off its grants.
--- a/core/src/node/eras.rs
+++ b/core/src/node/eras.rs
@@ -173,7 +173,7 @@
     fn reset_copies(&mut self, now_ms: u64) {
         self.vms_index = store::Position::START;
         self.evacuations.position = store::Position::START;
-        self.relay.restart_changes(store::Position::START);
+        self.relay.reset_changes(store::Position::START);
         if let Some(watching) = &mut self.watching {
             watch::Topic::ALL.iter().for_each(|topic| watching.topic(*topic).forget_copy());
         }
@@ -183,10 +183,10 @@
     /// Cancels the polls of the previous era, so that everything is read again.
     fn restart_polls(&mut self, now_ms: u64) {
         let Some(watching) = &mut self.watching else { return };
-        watching.announce_again();
+        watching.schedule_announcement();
         for topic in watch::Topic::ALL {
             for number in watching.topic(topic).restart(now_ms) {
-                self.actions.push(Action::CancelWatch { topic, number });
+                self.actions.push(Action::CancelPoll { topic, number });
             }
         }
     }
@@ -204,7 +204,7 @@
             let leaves = vm.state == servers::VmState::Leaving;
             if leaves && self.vms.get(&vm.vm).is_some_and(|listed| listed.life == vm.life) {
                 let source = crate::leavings::Source::Record;
-                self.hear_leaving(&vm.vm, vm.life, source, Some(from));
+                self.record_leaving(&vm.vm, vm.life, source, Some(from));
             }
         }
         let era = digest.era.max(digest.servers.position.era);
@@ -238,7 +238,7 @@
         unconfirmed.call_at_ms = now_ms + ERA_CALL_INTERVAL_MS;
         let Some(watching) = &mut self.watching else { return };
         if let Some(call) = watching.servers.start_era_call(now_ms) {
-            self.actions.push(Action::Watch(call));
+            self.actions.push(Action::Poll(call));
         }
     }
 
@@ -246,7 +246,7 @@
     /// their writers had time to write again, and records missing from the list are kept for a while.
     pub(super) fn prepare_era_change(&mut self, all: &watch::AllServers, now_ms: u64) {
         // The restore may have happened long before this router detected it.
-        self.keep_missing(all, self.eras.restored_after_ms, now_ms);
+        self.retain_missing(all, self.eras.restored_after_ms, now_ms);
         let until_ms = now_ms + REWRITE_WINDOW_MS;
         let eras = &mut self.eras;
         eras.removed.retain(|_, removed| now_ms < removed.at_ms + REMOVED_TTL_MS);
@@ -311,7 +311,7 @@
     pub(super) fn reject_earlier_era(&mut self, topic: watch::Topic, era: u64) -> bool {
         let earlier = self.eras.current.is_some_and(|current| era < current);
         if earlier {
-            self.count_call(watching::purpose(topic), CallOutcome::EarlierEra);
+            self.count_call(watching::poll_purpose(topic), CallOutcome::EarlierEra);
         }
         earlier
     }
--- a/core/src/node/holders.rs
+++ b/core/src/node/holders.rs
@@ -5,7 +5,7 @@
 //! needs no message. Routers with different views of the membership may all act as holders for a while: this splits the
 //! budget, and is safe, since each draws its own grant.
 
-use super::{Action, Lifecycle, Node, Notice, Reason, Request, Stage, questions};
+use super::{Action, Lifecycle, Node, Notice, Reason, Request, Stage, transfer_requests};
 use crate::{grants, ids, members, message, rendezvous};
 
 /// Time after which the next holder is asked if a holder has not answered.
@@ -54,7 +54,7 @@
     /// The unanswered requests of this router.
     sent_requests: std::collections::HashMap<ids::BudgetSlot, PendingTransfer>,
     /// The requests of other routers that wait here.
-    pub(super) received_requests: Vec<questions::Question>,
+    pub(super) received_requests: Vec<transfer_requests::TransferRequest>,
     /// Holders that did not answer, and until when they are skipped.
     skipped_until_ms: std::collections::HashMap<ids::Incarnation, u64>,
     last_number: u64,
@@ -112,7 +112,7 @@
         self.holders.skipped_until_ms.retain(|_, until_ms| now_ms < *until_ms);
         let timed_out = |pending: &PendingTransfer| {
             let timeout_ms = if pending.waits {
-                ANSWER_TIMEOUT_MS + questions::STORE_WAIT_MS
+                ANSWER_TIMEOUT_MS + transfer_requests::STORE_WAIT_MS
             } else {
                 ANSWER_TIMEOUT_MS
             };
@@ -139,7 +139,7 @@
         for budget in repeated {
             self.send_transfer_request(budget, now_ms);
         }
-        self.answer_questions(now_ms);
+        self.answer_transfer_requests(now_ms);
         if now_ms >= self.holders.returned_ms + RETURN_INTERVAL_MS {
             self.holders.returned_ms = now_ms;
             self.return_excess(now_ms);
@@ -252,8 +252,8 @@
         self.token_searches.entry(budget).or_default().direct_draw_until_ms =
             now_ms + DIRECT_DRAW_MS;
         self.grants.account_mut(budget).draws = true;
-        self.sum_shortages();
-        self.poke_ledger_of(budget);
+        self.update_shortages();
+        self.request_ledger_sync(budget);
         self.tick_platform(now_ms);
     }
 
@@ -300,7 +300,7 @@
     /// Refuses all requests that wait for a budget.
     fn refuse_waiting_requests(&mut self, budget: ids::BudgetSlot, reason: Reason, now_ms: u64) {
         let (smallest, _) = self.waiting_tokens(budget);
-        self.note_exhausted(budget, smallest, reason, now_ms);
+        self.record_exhausted(budget, smallest, reason, now_ms);
         let waiting: Vec<ids::RequestSlot> = self
             .requests
             .iter()
@@ -361,7 +361,7 @@
             .collect();
         for (budget, tokens) in returned {
             if let Some(holder) = self.holder_to_ask(budget, &[]) {
-                self.give(holder, budget, tokens, 0, now_ms);
+                self.send_tokens(holder, budget, tokens, 0, now_ms);
                 self.grants.account_mut(budget).note_handed_back(tokens);
             }
         }
--- a/core/src/node/limits.rs
+++ b/core/src/node/limits.rs
@@ -186,7 +186,7 @@
             return;
         }
         for slot in self.servers.limits_mut().expire(now_ms) {
-            self.end_limit(slot, LimitSource::Lapsed, now_ms);
+            self.end_limit(slot, LimitSource::Expired, now_ms);
         }
         let limited = self.servers.limited_services();
         let services: Vec<String> = limited.into_keys().map(str::to_owned).collect();
@@ -197,7 +197,7 @@
         let due = now_ms >= self.limits.pushed_ms + PUSH_INTERVAL_MS;
         if due && self.servers.limits().has_news() {
             self.limits.pushed_ms = now_ms;
-            self.push_to_some(now_ms);
+            self.push_to_random_members(now_ms);
         }
     }
 
@@ -207,7 +207,7 @@
         if waiting == 0 {
             return;
         }
-        let left_ms = self.longest_wait_left_ms(service, now_ms);
+        let left_ms = self.longest_remaining_wait_ms(service, now_ms);
         let within_ms = left_ms.saturating_sub(PERMIT_LEAD_MS);
         let slots = self.limited_slots(service, now_ms);
         let share = |slot: &ids::ServerSlot| {
@@ -305,7 +305,7 @@
         now_ms: u64,
     ) -> servers::PermitsGranted {
         // A router that has just started has not discovered the routers with which the server is shared.
-        let membership_settled = now_ms >= self.started_ms + super::watching::SETTLE_MS;
+        let membership_settled = now_ms >= self.started_ms + super::watching::MEMBERSHIP_SETTLE_MS;
         let is_pacer = self.pacing_router(slot) == Some(self.settings.incarnation);
         let live = self.servers.get(slot).is_some_and(servers::Server::is_live);
         if !membership_settled || !is_pacer || !live {
--- /dev/null
+++ b/core/src/node/transfer_requests.rs
@@ -0,0 +1,171 @@
+//! Transfer requests that a holder of a budget receives from other routers, for budgets that only few routers hold.
+
+use super::{Lifecycle, Node};
+use crate::{ids, ledger_writer, members, message, outbox};
+
+/// Time that a holder waits for the store before it replies, without certainty, that no tokens are available: a slow
+/// store needs a quarter of a second for a call.
+pub(super) const STORE_WAIT_MS: u64 = 300;
+/// Time for which the last read of the ledger is evidence that too little is left. Other routers only draw from the
+/// budget; a payment arrives with a configuration, after which the ledger is read at once.
+const REMAINDER_VALID_MS: u64 = 1_000;
+
+/// A transfer request of another router that waits for tokens.
+#[derive(Debug)]
+pub(super) struct TransferRequest {
+    requester: ids::Incarnation,
+    number: u64,
+    pub(super) budget: ids::BudgetSlot,
+    needed_tokens: u64,
+    wanted_tokens: u64,
+    since_ms: u64,
+}
+
+impl Node {
+    /// Handles a transfer request of another router for a budget with holders: answers it, or queues it until tokens
+    /// are drawn. A repeated request gets the same transfer again.
+    pub(super) fn handle_request_as_holder(
+        &mut self,
+        requester: members::Record,
+        request: message::Message,
+        now_ms: u64,
+    ) {
+        let message::Message::TransferAsk { number, budget, needed_tokens, wanted_tokens, .. } =
+            request
+        else {
+            return;
+        };
+        let id = requester.id;
+        self.members.meet(requester, now_ms);
+        if let Some((transfer, outgoing)) = self.outbox.answer_to(id, number) {
+            self.send_transfer(transfer, outgoing);
+            return;
+        }
+        let ready = self.lifecycle == Lifecycle::Ready;
+        let Some(slot) = self.grants.find(&budget).filter(|_| ready) else {
+            self.send(id, message::Message::TransferNone { number, budget, certain: false });
+            return;
+        };
+        let same_request =
+            |queued: &TransferRequest| queued.requester == id && queued.number == number;
+        if !self.holders.received_requests.iter().any(same_request) {
+            self.holders.received_requests.push(TransferRequest {
+                requester: id,
+                number,
+                budget: slot,
+                needed_tokens,
+                wanted_tokens,
+                since_ms: now_ms,
+            });
+        }
+        self.answer_transfer_requests(now_ms);
+        if self.holders.received_requests.iter().any(same_request) {
+            self.send(id, message::Message::TransferWait { number, budget });
+        }
+    }
+
+    /// The tokens that queued transfer requests need, by budget.
+    pub(super) fn requested_tokens(&self) -> impl Iterator<Item = (ids::BudgetSlot, u64)> {
+        self.holders.received_requests.iter().map(|request| (request.budget, request.needed_tokens))
+    }
+
+    /// Answers the queued transfer requests that can be answered, and requests a sync of the ledger for the others.
+    pub(super) fn answer_transfer_requests(&mut self, now_ms: u64) {
+        if self.holders.received_requests.is_empty() {
+            return;
+        }
+        for request in std::mem::take(&mut self.holders.received_requests) {
+            self.answer_transfer_request(request, now_ms);
+        }
+        if self.holders.received_requests.is_empty() {
+            return;
+        }
+        self.update_shortages();
+        let budgets: Vec<ids::BudgetSlot> =
+            self.holders.received_requests.iter().map(|request| request.budget).collect();
+        for budget in budgets {
+            self.grants.account_mut(budget).draws = true;
+            self.request_ledger_sync(budget);
+        }
+        self.tick_platform(now_ms);
+    }
+
+    fn answer_transfer_request(&mut self, request: TransferRequest, now_ms: u64) {
+        let account = self.grants.account(request.budget);
+        let free_tokens = account.unclaimed_tokens();
+        if free_tokens >= request.needed_tokens && self.lifecycle == Lifecycle::Ready {
+            let tokens = free_tokens.min(request.wanted_tokens.max(request.needed_tokens));
+            self.send_tokens(request.requester, request.budget, tokens, request.number, now_ms);
+            return;
+        }
+        let certain = self.is_remainder_insufficient(
+            request.budget,
+            request.needed_tokens,
+            request.since_ms,
+            now_ms,
+        );
+        let shard = self.ledger_shard(request.budget);
+        let store_unanswered =
+            self.ledgers.get(shard).is_none_or(ledger_writer::Writer::unanswered);
+        let waited = now_ms >= request.since_ms + STORE_WAIT_MS;
+        if certain || store_unanswered || waited || self.lifecycle != Lifecycle::Ready {
+            let budget = self.grants.account(request.budget).name.clone();
+            let number = request.number;
+            self.send(
+                request.requester,
+                message::Message::TransferNone { number, budget, certain },
+            );
+            return;
+        }
+        self.holders.received_requests.push(request);
+    }
+
+    /// Whether the ledger certainly has too little left: it was read since `since_ms` or shortly before, and had
+    /// less than is needed. A sync that ends with enough left began before the shortage was recorded.
+    pub(super) fn is_remainder_insufficient(
+        &self,
+        budget: ids::BudgetSlot,
+        needed_tokens: u64,
+        since_ms: u64,
+        now_ms: u64,
+    ) -> bool {
+        let synced_ms = self.token_searches.get(&budget).map_or(0, |ask| ask.synced_ms);
+        if synced_ms == 0 {
+            return false;
+        }
+        let account = self.grants.account(budget);
+        let left_tokens = account.remaining_tokens.unwrap_or(u64::MAX);
+        let insufficient =
+            left_tokens.saturating_add(account.free_or_locked_tokens()) < needed_tokens;
+        insufficient && (synced_ms >= since_ms || now_ms < synced_ms + REMAINDER_VALID_MS)
+    }
+
+    /// Deducts tokens from this router's account and sends them to a peer, as the reply to its request number
+    /// `answers`.
+    pub(super) fn send_tokens(
+        &mut self,
+        to: ids::Incarnation,
+        budget: ids::BudgetSlot,
+        tokens: u64,
+        answers: u64,
+        now_ms: u64,
+    ) {
+        if self.members.find(to).is_none() || tokens == 0 {
+            return;
+        }
+        let account = self.grants.account_mut(budget);
+        account.sent_tokens += tokens;
+        let budget = account.name.clone();
+        self.counters.transfers_sent += 1;
+        let outgoing =
+            outbox::Outgoing { to, budget, tokens, answers, since_ms: now_ms, sent_ms: now_ms };
+        let number = self.outbox.add_transfer(outgoing.clone());
+        self.send_transfer(number, outgoing);
+    }
+
+    pub(super) fn send_transfer(&mut self, number: u64, outgoing: outbox::Outgoing) {
+        let outbox::Outgoing { to, budget, tokens, answers, .. } = outgoing;
+        let open_from = self.outbox.open_from();
+        self.send(to, message::Message::Transfer { number, open_from, answers, budget, tokens });
+    }
+}
--- a/core/tests/arbitrary_messages.rs
+++ b/core/tests/arbitrary_messages.rs
@@ -76,8 +76,8 @@
     let now_ms = fleet.now_ms;
     let node = &mut fleet.routers[1].node;
     match datagram {
-        message::Datagram::Gossip(gossip) => node.gossip(&gossip, now_ms),
-        message::Datagram::Message(envelope) => node.message(envelope, now_ms),
+        message::Datagram::Gossip(gossip) => node.handle_gossip(&gossip, now_ms),
+        message::Datagram::Message(envelope) => node.handle_message(envelope, now_ms),
     }
     node.tick(now_ms);
     node.take_actions();
@@ -161,5 +161,5 @@
     assert!(count >= 40, "{count} servers are known");
     let alive: Vec<&members::Record> = fleet.routers[1].node.members().live().collect();
     assert_eq!(alive.len(), 5);
-    assert_eq!(fleet.routers[1].node.watch_duty(), Some(watch::Duty::EveryRouter));
+    assert_eq!(fleet.routers[1].node.watch_role(), Some(watch::Duty::EveryRouter));
 }
--- a/core/tests/said_schedules.rs
+++ b/core/tests/said_schedules.rs
@@ -262,11 +262,12 @@
             }
         }
         let age = servers::AnswerAge { sent_ms: now_ms - run.sent_ms, heard_ms: 0 };
-        router.node.report_said(&server.name, run.life, &said, age, now_ms);
+        router.node.report_directives(&server.name, run.life, &said, age, now_ms);
         if let Manner::TurnsAway { .. } = run.manner {
-            router.node.retry(run.slot, node::Tried::TurnedAway, now_ms);
+            router.node.retry(run.slot, node::AttemptFailure::Rejected, now_ms);
         } else {
-            let ending = node::Ending::Ran { consumed_tokens: 0, outcome: None, healthy: true };
+            let ending =
+                node::RequestOutcome::Ran { consumed_tokens: 0, outcome: None, healthy: true };
             router.node.finish(run.slot, ending, now_ms);
             if let Some(given_ms) = self.waiting.remove(&(place, life, run.slot)) {
                 self.counts.served += 1;
@@ -560,7 +561,7 @@
             let vm = format!("vm-{place}");
             let age = servers::AnswerAge::default();
             let node = &mut scenario.traffic.fleet.routers[0].node;
-            node.report_said(&vm, ids::ServerLife(1), &said, age, now_ms);
+            node.report_directives(&vm, ids::ServerLife(1), &said, age, now_ms);
         }
         scenario.traffic.fleet.run_until("all know", CONTACT_MS, |fleet| {
             fleet.routers.iter().all(|it| it.node.leaving_servers().iter().count() == leaving)
--- a/core/tests/watch_fleet/mod.rs
+++ b/core/tests/watch_fleet/mod.rs
@@ -275,12 +275,12 @@
             limits: Vec::new(),
         };
         let now_ms = self.now_ms;
-        self.routers[place].node.gossip(&gossip, now_ms);
+        self.routers[place].node.handle_gossip(&gossip, now_ms);
     }
 
     pub fn watchers(&self) -> Vec<usize> {
         let watches = |router: &Router| {
-            router.alive && router.node.watch_duty() == Some(watch::Duty::Watcher)
+            router.alive && router.node.watch_role() == Some(watch::Duty::Watcher)
         };
         (0..self.routers.len()).filter(|place| watches(&self.routers[*place])).collect()
     }
@@ -380,7 +380,7 @@
     pub fn carry_out(&mut self, place: usize) {
         for action in self.routers[place].node.take_actions() {
             match action {
-                node::Action::Watch(call) => {
+                node::Action::Poll(call) => {
                     let router = &mut self.routers[place];
                     let unanswered = self.store == Store::Silent;
                     router.waiting.push(Waiting { call, sent_ms: self.now_ms, unanswered });
@@ -494,10 +494,10 @@
             return;
         }
         match event {
-            Event::Message { envelope, .. } => router.node.message(envelope, self.now_ms),
-            Event::Gossip { gossip, .. } => router.node.gossip(&gossip, self.now_ms),
+            Event::Message { envelope, .. } => router.node.handle_message(envelope, self.now_ms),
+            Event::Gossip { gossip, .. } => router.node.handle_gossip(&gossip, self.now_ms),
             Event::StoreReply { call, reply, .. } => {
-                router.node.store_reply(call, reply, self.now_ms);
+                router.node.handle_store_reply(call, reply, self.now_ms);
             }
         }
         self.carry_out(place);
--- a/core/tests/world/mod.rs
+++ b/core/tests/world/mod.rs
@@ -293,7 +293,7 @@
             return None;
         }
         let key = ids::RequestKey { high: key, low: budget as u64 };
-        let wanted = node::Wanted {
+        let wanted = node::AdmissionRequest {
             attempts_max: u32::MAX,
             fingerprint: None,
             key,
@@ -430,16 +430,16 @@
             }
             Event::StoreReplies { to, life, call, reply } => {
                 if self.routers[to].life == life {
-                    self.routers[to].node.store_reply(call, reply, self.now_ms);
+                    self.routers[to].node.handle_store_reply(call, reply, self.now_ms);
                     self.carry_out(to);
                 }
             }
             Event::Message { to, envelope } => {
-                self.routers[to].node.message(envelope, self.now_ms);
+                self.routers[to].node.handle_message(envelope, self.now_ms);
                 self.carry_out(to);
             }
             Event::Gossip { to, gossip } => {
-                self.routers[to].node.gossip(&gossip, self.now_ms);
+                self.routers[to].node.handle_gossip(&gossip, self.now_ms);
                 self.carry_out(to);
             }
             Event::Served { at, life, slot } => self.served(at, life, slot),
@@ -466,7 +466,7 @@
         let truth = &mut self.truth[given.budget];
         truth.outstanding_tokens -= given.bound_tokens;
         truth.served_tokens += consumed_tokens;
-        let ending = node::Ending::Ran { consumed_tokens, outcome, healthy: true };
+        let ending = node::RequestOutcome::Ran { consumed_tokens, outcome, healthy: true };
         self.routers[at].node.finish(slot, ending, self.now_ms);
         self.carry_out(at);
     }
@@ -480,15 +480,16 @@
                 node::Action::Gossip { address, gossip } => self.send_gossip(at, &address, gossip),
                 node::Action::Answer { slot, answer } => self.answer(at, life, slot, answer),
                 node::Action::Notice(notice) => {
-                    if let node::Notice::ClosedDead { written_off_tokens, .. } = &notice {
+                    if let node::Notice::TerminatedHolderClosed { written_off_tokens, .. } = &notice
+                    {
                         self.written_off_tokens += written_off_tokens;
                     }
                     self.notices.push(notice);
                 }
                 node::Action::ConfigInForce { .. } | node::Action::ServerRestarted { .. } => {}
                 // The world tells routers the platform's news by itself.
-                node::Action::Watch(_)
-                | node::Action::CancelWatch { .. }
+                node::Action::Poll(_)
+                | node::Action::CancelPoll { .. }
                 | node::Action::Announce => unreachable!(),
             }
         }
--- a/src/control.rs
+++ b/src/control.rs
@@ -128,8 +128,8 @@
                         peers.send(&address, envelope);
                     }
                 }
-                node::Action::Watch(call) => self.ask_store(call, context),
-                node::Action::CancelWatch { topic, number } => {
+                node::Action::Poll(call) => self.ask_store(call, context),
+                node::Action::CancelPoll { topic, number } => {
                     self.cancel_watch(topic, number, context);
                 }
                 node::Action::Announce => self.announce(context),
@@ -191,7 +191,7 @@
         let done = reply.into_actor(self).map(move |reply, control, context| {
             control.hear_store_era();
             let now_ms = control.now_ms();
-            control.node.store_reply(call, reply, now_ms);
+            control.node.handle_store_reply(call, reply, now_ms);
             control.carry_out(context);
         });
         context.spawn(done);
@@ -203,7 +203,7 @@
         if waiter.send(answer).is_err() && dispatched {
             // The caller left while the request waited: nothing was sent.
             let now_ms = self.now_ms();
-            self.node.finish(slot, node::Ending::NotRun, now_ms);
+            self.node.finish(slot, node::RequestOutcome::NotRun, now_ms);
         }
     }
 
@@ -296,7 +296,7 @@
             control.watches.remove(&(call.topic, call.number));
             control.hear_store_era();
             let now_ms = control.now_ms();
-            control.node.watched(call, outcome, now_ms);
+            control.node.poll_ended(call, outcome, now_ms);
             control.carry_out(context);
         });
         self.watches.insert((call.topic, call.number), context.spawn(done));
