--- a/core/src/grants.rs
+++ b/core/src/grants.rs
@@ -1,8 +1,8 @@
-//! What this router may spend: its part of every budget, and what is set apart or used up of it.
+//! The tokens that this router may spend: its grant of each budget, and what is reserved or consumed of it.
 //!
-//! The store's row for this holder is mirrored here (`granted_tokens`); the mirror follows the
-//! store, never a guess about a write whose reply was lost. Tokens that are being returned are taken
-//! out before the write is sent, and come back only once that write certainly did not apply.
+//! An account mirrors this router's grant in the ledger (`granted_tokens`). The mirror changes only with the known state
+//! of the ledger, never by assuming the result of a write whose reply was lost. Tokens that are being returned are
+//! subtracted before the write is sent, and added again only once it is certain that the write had no effect.
 
 mod account;
 mod refill;
@@ -14,25 +14,25 @@
 use crate::{config, ids, ledger, request};
 use std::collections;
 
-/// All budgets of this router.
+/// The accounts of all budgets of this router.
 #[derive(Debug, Default)]
 pub struct Table {
     accounts: slotmap::SlotMap<ids::BudgetSlot, Account>,
     by_name: collections::HashMap<String, ids::BudgetSlot>,
     by_shard: Vec<Vec<ids::BudgetSlot>>,
     backup_age_ms: u64,
-    short: Vec<ids::BudgetSlot>,
+    slots_with_shortage: Vec<ids::BudgetSlot>,
 }
 
 impl Table {
-    /// An empty table over a ledger with this many shards.
+    /// Creates an empty table for a ledger with this many shards.
     pub fn new(shards: u32) -> Self {
         let by_shard = vec![Vec::new(); shards.max(1) as usize];
         Self { by_shard, backup_age_ms: DEFAULT_BACKUP_AGE_MS, ..Self::default() }
     }
 
-    /// Sets the age that a backup of the store has at most when it is restored, in milliseconds, for budgets that are
-    /// declared from now on.
+    /// Sets the greatest age of a backup of the store when it is restored, in milliseconds, for budgets that are declared
+    /// from now on.
     pub fn set_backup_age_ms(&mut self, backup_age_ms: u64) {
         self.backup_age_ms = backup_age_ms;
     }
@@ -42,7 +42,7 @@
         self.declare_prepaid(name, settings, None, now_ms)
     }
 
-    /// Adds a budget or changes its settings and what the configuration says is paid in.
+    /// Adds a budget or changes its settings and the prepaid amount that the configuration sets.
     pub fn declare_prepaid(
         &mut self,
         name: &str,
@@ -73,34 +73,34 @@
         self.by_name.get(name).copied()
     }
 
-    /// The account in a slot.
+    /// Returns the account in a slot.
     pub fn account(&self, slot: ids::BudgetSlot) -> &Account {
         &self.accounts[slot]
     }
 
-    /// The account in a slot, to change it.
+    /// Returns the account in a slot for modification.
     pub fn account_mut(&mut self, slot: ids::BudgetSlot) -> &mut Account {
         &mut self.accounts[slot]
     }
 
-    /// All accounts.
+    /// Iterates over all accounts and their slots.
     pub fn iter(&self) -> impl Iterator<Item = (ids::BudgetSlot, &Account)> {
         self.accounts.iter()
     }
 
-    /// The accounts whose budgets lie in a shard of the ledger.
+    /// The accounts whose budgets are stored in a shard of the ledger.
     pub fn in_shard(&self, shard: u32) -> &[ids::BudgetSlot] {
         self.by_shard.get(shard as usize).map_or(&[], Vec::as_slice)
     }
 
-    /// Notes what waiting requests and questions of other routers lack, by budget, in place of what was
-    /// noted before.
+    /// Replaces the shortages of all budgets by those of waiting requests (`waiting`) and of transfer requests of peers
+    /// (`requested`).
     pub fn note_shortages(
         &mut self,
         waiting: impl Iterator<Item = (ids::BudgetSlot, u64)>,
-        asked: impl Iterator<Item = (ids::BudgetSlot, u64)>,
+        requested: impl Iterator<Item = (ids::BudgetSlot, u64)>,
     ) {
-        for slot in self.short.drain(..) {
+        for slot in self.slots_with_shortage.drain(..) {
             self.accounts[slot].shortage_tokens = 0;
             self.accounts[slot].claimed_tokens = 0;
         }
@@ -108,18 +108,18 @@
             let account = &mut self.accounts[slot];
             account.shortage_tokens = account.shortage_tokens.saturating_add(tokens);
             account.claimed_tokens = account.claimed_tokens.saturating_add(tokens);
-            account.note_need(tokens);
-            self.short.push(slot);
+            account.record_need(tokens);
+            self.slots_with_shortage.push(slot);
         }
-        for (slot, tokens) in asked {
+        for (slot, tokens) in requested {
             let account = &mut self.accounts[slot];
             account.shortage_tokens = account.shortage_tokens.saturating_add(tokens);
-            account.note_need(tokens);
-            self.short.push(slot);
+            account.record_need(tokens);
+            self.slots_with_shortage.push(slot);
         }
     }
 
-    /// Sets tokens apart for a request, if that many are free.
+    /// Reserves tokens for a request; `None` if fewer are free or none may be spent now.
     pub fn reserve(
         &mut self,
         slot: ids::BudgetSlot,
@@ -139,7 +139,7 @@
         Some(request::Reservation::new(slot, bound_tokens))
     }
 
-    /// Undoes a reservation for which nothing was sent.
+    /// Releases the reservation of a request that was not sent to a backend server.
     pub fn release(&mut self, reservation: request::Reservation<request::Held>) {
         let ended = reservation.release();
         if let Some(account) = self.accounts.get_mut(ended.budget) {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Ends a reservation and books what was served, at most what was reserved.
+    /// Ends a reservation and adds the consumed tokens to the account, at most those that were reserved.
     pub fn settle(
         &mut self,
         reservation: request::Reservation<request::Sent>,
@@ -159,7 +159,7 @@
         account.consumed_tokens += consumed_tokens.min(ended.bound_tokens);
     }
 
-    /// Updates every account's spend rate.
+    /// Updates the spend rates of all accounts.
     pub fn measure_rates(&mut self, now_ms: u64) {
         for account in self.accounts.values_mut() {
             account.measure_rate(now_ms);
@@ -173,7 +173,7 @@
         }
     }
 
-    /// What was lowered needs no confirmation by a router that has handed back all it had.
+    /// Clears the wait for a lowered prepaid amount where this router has no tokens of the budget left.
     pub fn confirm_empty(&mut self) {
         for account in self.accounts.values_mut() {
             if !account.holder && !account.has_row && account.free_tokens() == 0 {
@@ -182,8 +182,8 @@
         }
     }
 
-    /// Notes who holds each budget in hand: every one of `routers`, or as many as its settings say;
-    /// `holds` tells whether this router is then among them, `draws` whether it draws nevertheless.
+    /// Sets the holders of each budget: all of `routers`, or as many as its settings allow. In the latter case `holds`
+    /// returns whether this router is a holder. `draws` returns whether this router draws on demand.
     pub fn note_holders(
         &mut self,
         routers: u64,
--- a/core/src/grants/refill.rs
+++ b/core/src/grants/refill.rs
@@ -1,33 +1,34 @@
-//! How fast a holder fills up again after an outage of the store.
+//! Limits how fast a holder rebuilds its headroom after an outage of the store.
 //!
-//! After an outage a holder has nothing in hand. Filled up at once, all of that is lost if the holders die soon
-//! after, and outages that all routers share are often followed by more trouble. So what it may have in hand grows
-//! from a second of spending, by a second each second.
+//! After an outage a holder has no headroom left. If it were rebuilt at once, all of it would be lost if the holders
+//! terminated soon after, and an outage that affects all routers is often followed by further faults. So the headroom is
+//! limited to one second of spending at first, and the limit grows by one second each second.
 
-/// A holder that heard nothing of the ledger for so long and ran low meanwhile went through an outage.
+/// A holder that could not read the ledger for this long, and is low on tokens, is assumed to have been through an outage.
 const OUTAGE_MS: u64 = 3_000;
-/// What a holder may have in hand at once after an outage, in milliseconds of its spending.
-const FIRST_MS: u64 = 1_000;
+/// The limit of the headroom right after an outage, in milliseconds of spending.
+const INITIAL_HEADROOM_MS: u64 = 1_000;
 
-/// A holder's way back from an outage.
+/// The state of a holder's refill after an outage.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Refill {
     read_ms: Option<u64>,
-    since_ms: Option<u64>,
+    refill_started_ms: Option<u64>,
 }
 
 impl Refill {
-    /// Notes that the ledger was read; `low` tells that the holder has little in hand.
-    pub fn note_read(&mut self, low: bool, now_ms: u64) {
-        let silent = self.read_ms.is_some_and(|at_ms| now_ms > at_ms + OUTAGE_MS);
-        if silent && low {
-            self.since_ms = Some(now_ms);
+    /// Records that the ledger was read. `low` is set if the holder is low on tokens.
+    pub fn record_read(&mut self, low: bool, now_ms: u64) {
+        let unreachable = self.read_ms.is_some_and(|at_ms| now_ms > at_ms + OUTAGE_MS);
+        if unreachable && low {
+            self.refill_started_ms = Some(now_ms);
         }
         self.read_ms = Some(now_ms);
     }
 
-    /// The most spending that may be in hand, in milliseconds; `None` where nothing limits it.
-    pub fn most_ms(&self, now_ms: u64) -> Option<u64> {
-        self.since_ms.map(|since_ms| FIRST_MS + now_ms.saturating_sub(since_ms))
+    /// The limit of the headroom in milliseconds of spending; `None` if there was no outage.
+    pub fn headroom_limit_ms(&self, now_ms: u64) -> Option<u64> {
+        self.refill_started_ms
+            .map(|started_ms| INITIAL_HEADROOM_MS + now_ms.saturating_sub(started_ms))
     }
 }
--- a/core/src/grants/reserve.rs
+++ b/core/src/grants/reserve.rs
@@ -1,113 +1,119 @@
-//! How much of a budget is kept in reserve, out of reach of restores of the store.
+//! Determines how much of a budget is kept in reserve, so that a restore of the store cannot lose draws of it.
 
 use super::account;
 use crate::{ids, ledger};
 
-/// The age that a backup of the store has at most when it is restored, where the settings do not say.
+/// The greatest age of a backup of the store when it is restored, unless the settings set another one.
 pub const DEFAULT_BACKUP_AGE_MS: u64 = 30_000;
-/// A holder is idle after it has spent nothing for so long.
+/// A holder is idle after it has spent nothing for this long.
 const IDLE_MS: u64 = 5_000;
-/// Outside the reserve stays one part in so many.
-const DRAWABLE_PART: u64 = 4;
-/// Outside the reserve stays at least what is spent during so many times the age of a backup; there is none before the
-/// budget was known for so long.
-const BACKUP_AGES: u64 = 4;
-/// A reserve of less than one part in so many of the undrawn tokens is not worth its write, nor is such a change.
-const LEAST_PART: u64 = 4;
+/// At least one part in this many of the undrawn tokens stays outside of the reserve.
+const DRAWABLE_DIVISOR: u64 = 4;
+/// The tokens that are spent in this many times the age of a backup stay outside of the reserve at least. Nothing is
+/// reserved before the budget has been declared for that long.
+const DRAWABLE_BACKUP_AGES: u64 = 4;
+/// A reserve or a change of it by less than one part in this many of the undrawn tokens doesn't justify a write.
+const MIN_CHANGE_DIVISOR: u64 = 4;
 
-/// What the ledger showed of a budget beside this router's row.
+/// The undrawn tokens of a budget and its use by other holders, as of the last read of the ledger.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Undrawn {
-    /// What nobody has drawn and no restore has put out of reach.
+    /// The tokens that are neither drawn nor withheld.
     pub tokens: u64,
-    /// What of that may not be drawn yet.
+    /// The part of them that may not be drawn yet.
     pub reserve: ledger::Reserve,
-    /// What the other holders spend a second, as they wrote last.
+    /// The spend rate that the other holders last reported.
     pub others_rate_tokens_per_s: u64,
-    /// Whether all other holders are idle.
+    /// Whether all other holders last reported that they are idle.
     pub others_idle: bool,
-    /// Whether this router's row says that it is idle, or there is no such row.
-    pub reported_idle: bool,
+    /// Whether this router's row is marked as idle or does not exist.
+    pub row_is_idle: bool,
 }
 
 impl Undrawn {
-    /// What `budget` shows to `holder`.
+    /// Reads the state of `budget` from the view of `holder`.
     pub fn new(budget: &ledger::Budget, holder: ids::Incarnation) -> Self {
         let row = budget.grants.get(&holder);
         Self {
             tokens: budget.undrawn_tokens(),
             reserve: budget.reserve,
-            others_rate_tokens_per_s: budget.rate_beside(holder),
-            others_idle: budget.idle_beside(holder),
-            reported_idle: row.is_none_or(|row| row.idle),
+            others_rate_tokens_per_s: budget.others_rate_tokens_per_s(holder),
+            others_idle: budget.others_idle(holder),
+            row_is_idle: row.is_none_or(|row| row.idle),
         }
     }
 
-    /// The reserve that leaves outside what is spent before a lower one can come into effect.
-    fn wanted_reserve_tokens(&self, rate_tokens_per_s: u64, backup_age_ms: u64) -> u64 {
+    /// The reserve for a spend rate. It leaves out the tokens that are spent before a lower reserve can come into effect.
+    fn target_reserve_tokens(&self, rate_tokens_per_s: u64, backup_age_ms: u64) -> u64 {
         let spent_tokens = rate_tokens_per_s.saturating_mul(backup_age_ms) / 1_000;
-        let drawable_tokens =
-            self.tokens.div_ceil(DRAWABLE_PART).max(spent_tokens.saturating_mul(BACKUP_AGES));
+        let drawable_tokens = self
+            .tokens
+            .div_ceil(DRAWABLE_DIVISOR)
+            .max(spent_tokens.saturating_mul(DRAWABLE_BACKUP_AGES));
         let reserve_tokens = self.tokens.saturating_sub(drawable_tokens);
-        if reserve_tokens < self.tokens / LEAST_PART { 0 } else { reserve_tokens }
+        if reserve_tokens < self.tokens / MIN_CHANGE_DIVISOR { 0 } else { reserve_tokens }
     }
 }
 
 impl account::Account {
-    /// Whether a request that this holder cannot cover now could be covered with what is in reserve.
+    /// Whether the reserve, once it may be drawn, can cover a request that the free tokens cannot cover now.
     pub fn is_covered_by_reserve(&self, tokens: u64) -> bool {
         let later_tokens = self.free_or_locked_tokens().saturating_add(self.undrawn.tokens);
         self.undrawn.reserve.tokens > 0 && later_tokens >= tokens
     }
 
-    /// Whether this router has known the budget for long enough to tell how it is used.
-    fn knows_use(&self) -> bool {
-        self.measured_ms >= self.declared_ms + self.backup_age_ms * BACKUP_AGES
+    /// Whether the budget has been declared for long enough to estimate its use.
+    fn has_usage_history(&self) -> bool {
+        self.measured_ms >= self.declared_ms + self.backup_age_ms * DRAWABLE_BACKUP_AGES
     }
 
-    /// Whether nothing of the budget was spent here, or drawn by anyone, for a while.
+    /// Whether the budget has not been spent here, or drawn from by any router, for a while.
     pub fn idle(&self) -> bool {
         let unmeasured = self.spent_tokens() > self.measured_tokens;
         let in_use = unmeasured || self.reserved_tokens > 0 || self.shortage_tokens > 0;
         !in_use && self.measured_ms >= self.spent_ms + IDLE_MS
     }
 
-    /// The reserve that suits what is spent now; `None` while the rate is not known well enough for a higher one.
+    /// The higher reserve for the present spend rate; `None` if the rate is not known well enough or the present reserve
+    /// is not much lower.
     pub fn higher_reserve_tokens(&self) -> Option<u64> {
         let idle = self.idle() && self.undrawn.others_idle;
         let steady = self.rate_tokens_per_s() > 0
             && self.measured_ms >= self.spending_since_ms + self.backup_age_ms;
-        let wanted_tokens =
-            Some(self.wanted_reserve_tokens()).filter(|_| self.knows_use() && (idle || steady));
-        wanted_tokens.filter(|tokens| self.is_worth_a_write(*tokens, self.undrawn.reserve.tokens))
+        let reserve_target_tokens = Some(self.target_reserve_tokens())
+            .filter(|_| self.has_usage_history() && (idle || steady));
+        reserve_target_tokens
+            .filter(|tokens| self.is_significant_change(*tokens, self.undrawn.reserve.tokens))
     }
 
-    /// The lower reserve that suits what is spent now, if it is worth a write.
+    /// The lower reserve for the present spend rate, if the change justifies a write.
     pub fn lower_reserve_tokens(&self) -> Option<u64> {
-        let wanted_tokens = self.wanted_reserve_tokens();
-        let worth_it = self.is_worth_a_write(self.undrawn.reserve.tokens, wanted_tokens);
-        (worth_it && self.undrawn.reserve.next.is_none()).then_some(wanted_tokens)
+        let reserve_target_tokens = self.target_reserve_tokens();
+        let significant =
+            self.is_significant_change(self.undrawn.reserve.tokens, reserve_target_tokens);
+        (significant && self.undrawn.reserve.next.is_none()).then_some(reserve_target_tokens)
     }
 
-    fn wanted_reserve_tokens(&self) -> u64 {
-        // Whoever pauses may soon spend as before.
+    fn target_reserve_tokens(&self) -> u64 {
+        // A pause may be short, so the peak rate is used.
         let own_rate = self.peak_milli_tokens_per_s.div_ceil(1_000);
         let rate = own_rate.saturating_add(self.undrawn.others_rate_tokens_per_s);
-        self.undrawn.wanted_reserve_tokens(rate, self.backup_age_ms)
+        self.undrawn.target_reserve_tokens(rate, self.backup_age_ms)
     }
 
-    /// Whether a write could raise the reserve, or let the last holder that becomes idle do so.
-    pub fn wants_higher_reserve(&self) -> bool {
-        let wanted_tokens = self.wanted_reserve_tokens();
-        let reports_idle = self.knows_use()
+    /// Whether a write should raise the reserve, or report this holder as idle so that the last holder to become idle
+    /// can raise it.
+    pub fn should_raise_reserve(&self) -> bool {
+        let reserve_target_tokens = self.target_reserve_tokens();
+        let should_report_idle = self.has_usage_history()
             && self.idle()
-            && !self.undrawn.reported_idle
-            && self.is_worth_a_write(wanted_tokens, self.undrawn.reserve.tokens);
-        self.holder && (reports_idle || self.higher_reserve_tokens().is_some())
+            && !self.undrawn.row_is_idle
+            && self.is_significant_change(reserve_target_tokens, self.undrawn.reserve.tokens);
+        self.holder && (should_report_idle || self.higher_reserve_tokens().is_some())
     }
 
-    /// Whether a reserve is so much higher than another one that it should replace it.
-    fn is_worth_a_write(&self, higher_tokens: u64, lower_tokens: u64) -> bool {
-        higher_tokens > lower_tokens.saturating_add(self.undrawn.tokens / LEAST_PART)
+    /// Whether a reserve is so much higher than another one that a write is justified.
+    fn is_significant_change(&self, higher_tokens: u64, lower_tokens: u64) -> bool {
+        higher_tokens > lower_tokens.saturating_add(self.undrawn.tokens / MIN_CHANGE_DIVISOR)
     }
 }
--- a/core/src/ledger.rs
+++ b/core/src/ledger.rs
@@ -1,9 +1,9 @@
-//! The ledger as it lies in the platform's store: paid-in tokens and who may spend them.
+//! The ledger in the platform's store: the tokens that were paid in, and the grants of the routers that may spend them.
 //!
-//! One value holds a shard of all budgets. Invariant, per budget:
+//! Each value contains one shard of the budgets. Invariant of each budget:
 //! `granted to live holders + spent by closed holders <= paid in + received by closed holders`.
-//! "Received" and the matching part of "spent" are transfers between holders, which pass the store
-//! by; a transfer that was lost counts as spent and is never received.
+//! "Received" and the matching part of "spent" are transfers between holders, which are not written to the store. A
+//! transfer that was lost counts as spent and is never received.
 
 mod era_record;
 mod recovery;
@@ -17,70 +17,70 @@
 use snafu::{OptionExt, ensure};
 use std::collections;
 
-/// The layout of a shard's value; a router refuses one that it does not know.
+/// The version of the layout of a shard's value. Values of other versions are rejected.
 pub const FORMAT: u32 = 1;
 
-/// What is paid into a budget that nothing limits.
+/// The prepaid amount of an unlimited budget.
 pub const UNLIMITED_TOKENS: u64 = u64::MAX >> 16;
 
-/// All shards' values lie under this prefix.
+/// The prefix of the keys of all shards.
 pub const PREFIX: &str = "doorswitch/ledger/";
 
-/// How many operation ids of payments a budget remembers.
-pub const REMEMBERED_PAYMENTS: usize = 256;
+/// The number of latest payments that a budget keeps in order to apply each operation once.
+pub const PAYMENT_HISTORY_MAX: usize = 256;
 
-/// The writer under which [`Shard::writes`] counts payments; no router has this id.
+/// The writer id under which [`Shard::writes`] counts payments; no router has it.
 const PAYMENTS_WRITER: ids::Incarnation = ids::Incarnation(0);
 
-/// Why a ledger could not be read or changed. Nothing was changed where an error is returned.
+/// An error in reading or changing a shard. Where an error is returned, the shard is unchanged.
 #[derive(Debug, snafu::Snafu)]
 #[allow(missing_docs)]
 pub enum Error {
-    #[snafu(display("ledger value is not readable: {source}"))]
+    #[snafu(display("cannot decode the ledger value: {source}"))]
     Decode { source: serde_json::Error },
-    #[snafu(display("ledger format {found} is not known here (want {FORMAT})"))]
+    #[snafu(display("unsupported ledger format {found} (expected {FORMAT})"))]
     UnknownFormat { found: u32 },
-    #[snafu(display("budget {budget:?} holds figures that contradict each other"))]
+    #[snafu(display("budget {budget:?} has inconsistent token counts"))]
     Corrupt { budget: String },
-    #[snafu(display("budget {budget:?} cannot hold {tokens} more tokens"))]
+    #[snafu(display("paying {tokens} more tokens into budget {budget:?} would overflow it"))]
     Overflow { budget: String, tokens: u64 },
-    #[snafu(display("operation {operation:?} was applied before with another amount"))]
+    #[snafu(display("operation {operation:?} was already applied with a different amount"))]
     OperationReused { operation: String },
 }
 
-/// All budgets of one shard.
+/// One shard of the ledger: some of the budgets, and the holders of grants from them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Shard {
-    /// The layout of this value.
+    /// The version of this value's layout.
     pub format: u32,
     /// The store's era in which this value was written; `None` if an earlier release wrote it.
     #[serde(default)]
     pub era: Option<u64>,
-    /// A version vector: the number of the latest write by each router that this value includes. Orders values across
-    /// restores of the store, which positions do not.
+    /// A version vector: the number of the latest write by each router that this value includes. Unlike positions, it
+    /// orders values across restores of the store.
     #[serde(default)]
     pub writes: collections::BTreeMap<ids::Incarnation, u64>,
-    /// The live holders of any grant in this shard.
+    /// The live holders of grants in this shard.
     pub holders: collections::BTreeMap<ids::Incarnation, Holder>,
     /// The budgets by name (`workspace/budget`).
     pub budgets: collections::BTreeMap<String, Budget>,
-    /// The first era before which draws may be unknown, while tokens are withheld for them.
+    /// The first era before which draws may be unknown; set while tokens are withheld for such draws.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub unconfirmed_since_era: Option<u64>,
-    /// The number of routers for which they are withheld; `None` before that is known.
+    /// The number of silent routers for whose draws tokens are withheld; `None` until it is known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub silent_routers: Option<u64>,
 }
 
-/// Who a holder is: what must be known to tell that it cannot run any more.
+/// The identity of a holder, by which other routers determine whether it has terminated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holder {
-    /// The VM that it runs on.
+    /// The VM on which it runs.
     pub vm: String,
-    /// The address that it listens on for peers; two live processes cannot both have it.
+    /// The address on which it listens for peers. No two running processes can have the same one.
     pub address: String,
-    /// The first index of the platform's list in which it saw its own VM; 0 if it has not. Only a list that
-    /// is no older, and lacks the VM, shows that it is gone.
+    /// The first index of the platform's list of VMs in which it found its own VM; 0 if it has not found it. Only a list
+    /// that is at least as new and lacks the VM proves that the holder has terminated.
     pub listed_index: u64,
     /// The store's era in which that list was read.
     #[serde(default)]
@@ -88,7 +88,7 @@
 }
 
 impl Holder {
-    /// The position of the first list in which the holder saw its own VM.
+    /// The position of the first list in which the holder found its own VM.
     pub fn listed(&self) -> store::Position {
         store::Position { era: self.listed_era, revision: self.listed_index }
     }
@@ -97,22 +97,22 @@
 /// One prepaid budget.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Budget {
-    /// All tokens ever paid in.
+    /// The total number of tokens paid in.
     pub paid_tokens: u64,
-    /// The version of the configuration that said so; 0 if payments do.
+    /// The version of the configuration that set `paid_tokens`; 0 if it is the sum of payments.
     #[serde(default)]
     pub paid_version: u64,
-    /// The latest payments, so that each operation applies once.
+    /// The latest payments, kept to apply each operation once.
     pub payments: Vec<Payment>,
-    /// What live holders may spend.
+    /// The grants of live holders.
     pub grants: collections::BTreeMap<ids::Incarnation, Grant>,
-    /// What closed holders consumed, gave to others or lost.
+    /// Tokens that closed holders consumed, sent to others or lost.
     pub closed_spent_tokens: u64,
-    /// What closed holders had received from others.
+    /// Tokens that closed holders received from others.
     pub closed_received_tokens: u64,
-    /// What closed holders reported as served.
+    /// Tokens that closed holders reported as consumed.
     pub closed_consumed_tokens: u64,
-    /// What holders that died may not have spent, but is counted as spent.
+    /// Tokens that terminated holders may not have spent, but that count as spent.
     pub written_off_tokens: u64,
     /// The totals of closed holders at the start of the store's era.
     #[serde(default, skip_serializing_if = "ClosedTotals::is_zero")]
@@ -120,7 +120,7 @@
     /// Undrawn tokens that may not be drawn yet, so that a restore of the store cannot lose draws of them.
     #[serde(default, skip_serializing_if = "Reserve::is_none")]
     pub reserve: Reserve,
-    /// Undrawn tokens whose spending a restore of the store may have lost.
+    /// Undrawn tokens that may have been spent, with the record of it lost in a restore of the store.
     #[serde(default, skip_serializing_if = "Withheld::is_none")]
     pub withheld: Withheld,
 }
@@ -132,7 +132,7 @@
     pub spent_tokens: u64,
     /// Tokens that they received from others.
     pub received_tokens: u64,
-    /// Tokens that they reported as served.
+    /// Tokens that they reported as consumed.
     pub consumed_tokens: u64,
     /// Tokens that were written off.
     pub written_off_tokens: u64,
@@ -141,59 +141,59 @@
 /// A payment that was applied.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Payment {
-    /// The operator's id for it.
+    /// The operator's id of the payment.
     pub operation: String,
-    /// How much it paid in.
+    /// The number of tokens paid in.
     pub tokens: u64,
 }
 
-/// One holder's part of one budget.
+/// A holder's grant from a budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// What the holder has drawn and not returned.
+    /// Tokens that the holder has drawn and not returned.
     pub granted_tokens: u64,
-    /// What it had served when it last wrote.
+    /// Tokens that the holder had spent when it last wrote.
     pub consumed_tokens: u64,
-    /// What it had free for new requests when it last wrote.
+    /// Tokens that were free for new requests when the holder last wrote.
     #[serde(default)]
     pub free_tokens: u64,
-    /// What it spent a second when it last wrote, averaged.
+    /// The averaged spend rate when the holder last wrote.
     #[serde(default)]
     pub rate_tokens_per_s: u64,
-    /// Whether it had spent nothing for a while when it last wrote.
+    /// Whether the holder was idle when it last wrote: it had spent nothing for a while.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub idle: bool,
 }
 
-/// A grant whose holder cannot run any more.
+/// A grant whose holder has terminated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DeadGrant {
-    /// The budget.
+    /// The name of the budget.
     pub budget: String,
-    /// What its holder last wrote of it.
+    /// The grant as its holder last wrote it.
     pub grant: Grant,
 }
 
 impl DeadGrant {
-    /// What is counted as spent without a report of it.
+    /// The tokens that count as spent although the holder has not reported them as consumed.
     pub fn written_off_tokens(&self) -> u64 {
         self.grant.unreported_tokens()
     }
 }
 
-/// A holder's last word on one budget.
+/// The totals with which a holder closes its grant from a budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Closing {
-    /// What it served, and what it must count as served.
+    /// Tokens that it consumed, including those that must be counted as consumed.
     pub consumed_tokens: u64,
-    /// What it gave to other holders.
+    /// Tokens that it sent to other holders.
     pub sent_tokens: u64,
-    /// What it was given by other holders.
+    /// Tokens that it received from other holders.
     pub received_tokens: u64,
 }
 
 impl Grant {
-    /// What its holder has not reported as served.
+    /// The granted tokens that the holder has not reported as consumed.
     fn unreported_tokens(&self) -> u64 {
         self.granted_tokens.saturating_sub(self.consumed_tokens)
     }
@@ -214,26 +214,26 @@
 }
 
 impl Shard {
-    /// Reads a shard from the store's value.
+    /// Decodes a shard from the store's value, and checks its layout version and token counts.
     pub fn decode(value: &[u8]) -> Result<Self, Error> {
         let shard: Self =
             serde_json::from_slice(value).map_err(|source| Error::Decode { source })?;
         ensure!(shard.format == FORMAT, UnknownFormatSnafu { found: shard.format });
         for (name, budget) in &shard.budgets {
-            // A configuration may lower what was paid in below what was granted.
-            let sound = budget.paid_version > 0 || budget.remaining_tokens().is_some();
-            ensure!(sound, CorruptSnafu { budget: name.as_str() });
+            // A configuration may lower the prepaid amount below the granted tokens.
+            let consistent = budget.paid_version > 0 || budget.remaining_tokens().is_some();
+            ensure!(consistent, CorruptSnafu { budget: name.as_str() });
         }
         Ok(shard)
     }
 
-    /// The value for the store.
+    /// Encodes the shard for the store.
     pub fn encode(&self) -> Vec<u8> {
         // A tree of maps, strings and integers cannot fail to serialize.
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Adds `tokens` to a budget, once for each operation id. Returns whether it was new.
+    /// Adds `tokens` to a budget, once for each operation id. Returns whether the operation was new.
     pub fn pay(&mut self, name: &str, operation: &str, tokens: u64) -> Result<bool, Error> {
         let budget = self.budgets.entry(name.to_owned()).or_default();
         if let Some(known) = budget.payments.iter().find(|known| known.operation == operation) {
@@ -243,14 +243,14 @@
         let paid = budget.paid_tokens.checked_add(tokens).filter(|sum| *sum <= i64::MAX as u64);
         budget.paid_tokens = paid.context(OverflowSnafu { budget: name, tokens })?;
         budget.payments.push(Payment { operation: operation.to_owned(), tokens });
-        let excess = budget.payments.len().saturating_sub(REMEMBERED_PAYMENTS);
+        let excess = budget.payments.len().saturating_sub(PAYMENT_HISTORY_MAX);
         budget.payments.drain(..excess);
         let payments = self.writes.get(&PAYMENTS_WRITER).map_or(0, |count| *count);
-        self.note_write(PAYMENTS_WRITER, payments + 1);
+        self.set_write_count(PAYMENTS_WRITER, payments + 1);
         Ok(true)
     }
 
-    /// Takes over what a configuration says is paid in, if it is newer than the last that did.
+    /// Sets the prepaid amount of a configuration, if its version is higher than the last one that was applied.
     pub fn set_prepaid(&mut self, name: &str, tokens: u64, version: u64) {
         let known = self.budgets.get(name).map_or(0, |budget| budget.paid_version);
         if version > known {
@@ -260,7 +260,7 @@
         }
     }
 
-    /// Grants up to `tokens` of what may be drawn to `holder`; returns how much.
+    /// Grants up to `tokens` of the drawable tokens to `holder`; returns the number of tokens granted.
     pub fn draw(&mut self, name: &str, holder: ids::Incarnation, tokens: u64) -> u64 {
         let Some(budget) = self.budgets.get_mut(name) else { return 0 };
         let drawn = tokens.min(budget.drawable_tokens());
@@ -270,7 +270,7 @@
         drawn
     }
 
-    /// Takes `tokens` of a holder's grant back; returns how much it was.
+    /// Returns up to `tokens` of a holder's grant to the budget; the result is the number of tokens returned.
     pub fn give_back(&mut self, name: &str, holder: ids::Incarnation, tokens: u64) -> u64 {
         let grant = self.budgets.get_mut(name).and_then(|budget| budget.grants.get_mut(&holder));
         let Some(grant) = grant else { return 0 };
@@ -279,7 +279,7 @@
         returned
     }
 
-    /// Closes a holder's grant on its own word. Its unspent tokens remain for others.
+    /// Closes a holder's grant with the totals that it reports. Its unspent tokens can be drawn by others.
     pub fn close(&mut self, name: &str, holder: ids::Incarnation, closing: Closing) {
         let Some(budget) = self.budgets.get_mut(name) else { return };
         if budget.grants.remove(&holder).is_none() {
@@ -291,14 +291,13 @@
         budget.closed_consumed_tokens += closing.consumed_tokens;
     }
 
-    /// Closes all grants of a holder that cannot run any more, counting them as spent in full.
-    /// Returns the tokens written off.
+    /// Closes all grants of a terminated holder, counting them as spent in full. Returns the number of tokens written off.
     pub fn write_off(&mut self, holder: ids::Incarnation) -> u64 {
         self.holders.remove(&holder);
         self.budgets.values_mut().map(|budget| budget.write_off(holder)).sum()
     }
 
-    /// What a holder has in this shard.
+    /// Returns the grants of a holder in this shard.
     pub fn grants_of(&self, holder: ids::Incarnation) -> Vec<DeadGrant> {
         let grants = self.budgets.iter().filter_map(|(name, budget)| {
             let grant = *budget.grants.get(&holder)?;
@@ -307,15 +306,15 @@
         grants.collect()
     }
 
-    /// Forgets holders that hold nothing in this shard.
-    pub fn forget_empty_holders(&mut self) {
+    /// Removes holders that have no grants in this shard.
+    pub fn remove_empty_holders(&mut self) {
         let budgets = &self.budgets;
         self.holders.retain(|id, _| budgets.values().any(|budget| budget.grants.contains_key(id)));
     }
 }
 
 impl Budget {
-    /// What no holder has drawn; `None` if the figures contradict each other.
+    /// The tokens that no holder has drawn; `None` if the token counts are inconsistent.
     pub fn remaining_tokens(&self) -> Option<u64> {
         let mut left = self.paid_tokens.checked_add(self.closed_received_tokens)?;
         for grant in self.grants.values() {
@@ -324,23 +323,23 @@
         left.checked_sub(self.closed_spent_tokens)
     }
 
-    /// What live holders had free for new requests when they last wrote.
+    /// The tokens that live holders had free for new requests when they last wrote.
     pub fn held_tokens(&self) -> u64 {
         self.grants.values().map(|grant| grant.free_tokens).sum()
     }
 
-    /// Whether all other holders are idle.
-    pub fn idle_beside(&self, holder: ids::Incarnation) -> bool {
+    /// Whether all holders but `holder` are idle.
+    pub fn others_idle(&self, holder: ids::Incarnation) -> bool {
         self.grants.iter().all(|(id, grant)| *id == holder || grant.idle)
     }
 
-    /// What the other holders spend a second.
-    pub fn rate_beside(&self, holder: ids::Incarnation) -> u64 {
+    /// The spend rate of all holders but `holder`.
+    pub fn others_rate_tokens_per_s(&self, holder: ids::Incarnation) -> u64 {
         let others = self.grants.iter().filter(|(id, _)| **id != holder);
         others.map(|(_, grant)| grant.rate_tokens_per_s).sum()
     }
 
-    /// What holders reported as served, live and closed.
+    /// The tokens that live and closed holders reported as consumed.
     pub fn reported_consumed_tokens(&self) -> u64 {
         let live: u64 = self.grants.values().map(|grant| grant.consumed_tokens).sum();
         live + self.closed_consumed_tokens
@@ -356,12 +355,12 @@
     }
 }
 
-/// The key of a shard's value.
+/// Returns the key of a shard's value in the store.
 pub fn key(shard: u32) -> String {
     format!("{PREFIX}{shard}")
 }
 
-/// The shard that holds a budget (FNV-1a over its name).
+/// Returns the shard of a budget (FNV-1a of its name).
 pub fn shard_of(budget: &str, shards: u32) -> u32 {
     let hash = budget.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
--- a/core/src/ledger/recovery.rs
+++ b/core/src/ledger/recovery.rs
@@ -16,13 +16,13 @@
         self.written_era() < found.era
     }
 
-    /// The store's era in which this value was written. Releases that did not note it knew no restored store.
+    /// The store's era in which this value was written. Releases that wrote no era ran before any restore, so theirs is 0.
     pub fn written_era(&self) -> u64 {
         self.era.unwrap_or(0)
     }
 
-    /// Returns the recovered value, or `None` if the value needs no change, given the value read at `found` and the
-    /// latest state that this router saw. If the value is of an earlier era and strictly later than that state, or this
+    /// Returns the recovered value, or `None` if this value, which was read at `found`, needs no change. `last_seen` is the
+    /// latest state that this router saw. If this value is of an earlier era and strictly later than that state, or the
     /// router saw none, it starts the current era only once the recovery window is over.
     pub fn recover(
         &self,
@@ -63,15 +63,16 @@
         other.writes.iter().all(|(writer, count)| self.writes.get(writer) >= Some(count))
     }
 
-    /// Writers of which the two states include different writes, and this state the latest one.
+    /// The writers of which this state includes later writes than the other one.
     fn later_writers(&self, other: &Self) -> collections::BTreeSet<ids::Incarnation> {
         let later =
             |(writer, count): &(&ids::Incarnation, &u64)| other.writes.get(writer) < Some(count);
         self.writes.iter().filter(later).map(|(writer, _)| *writer).collect()
     }
 
-    /// Sets the version vector entry of a writer, which numbers its own writes.
-    pub fn note_write(&mut self, writer: ids::Incarnation, count: u64) {
+    /// Sets the version vector entry of a writer to the number of its latest write. If there are too many entries, those
+    /// of writers without grants are removed.
+    pub fn set_write_count(&mut self, writer: ids::Incarnation, count: u64) {
         self.writes.insert(writer, count);
         if self.writes.len() > WRITERS_MAX {
             let holders = &self.holders;
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Merges what a later state of the lost history adds to the state with which this era started.
+    /// Merges the changes of a state of the lost history, which are missing from the state with which this era started.
     fn merge(&self, lost: &Self) -> Self {
         let mut merged = self.clone();
         for (holder, known) in &lost.holders {
@@ -124,6 +125,7 @@
 }
 
 impl Budget {
+    /// The present totals of the closed holders.
     fn closed_totals(&self) -> ClosedTotals {
         ClosedTotals {
             spent_tokens: self.closed_spent_tokens,
@@ -133,8 +135,8 @@
         }
     }
 
-    /// Merges a state of the lost history, which is `of_earlier_era` if this one is of a later era.
-    /// `is_later` and `is_earlier` tell of which holders this state has a later or an earlier row.
+    /// Merges a state of the lost history; `of_earlier_era` is set if it is of an earlier era than this state. `is_later`
+    /// and `is_earlier` return whether this state has a later or an earlier row of a holder than the other one.
     fn merge(
         &mut self,
         lost: &Self,
@@ -143,18 +145,20 @@
         is_earlier: impl Fn(ids::Incarnation) -> bool,
     ) {
         let before = self.clone();
-        self.merge_figures(lost, is_later, is_earlier);
+        self.merge_counters(lost, is_later, is_earlier);
         let (own, lost) = (before.withheld, lost.withheld);
         if of_earlier_era {
-            // Recovered draws need not be withheld any more, and recovered payments may have been drawn as well.
+            // Tokens of recovered draws need no longer be withheld. Recovered payments are withheld, because they may have
+            // been drawn as well.
             self.withheld.lost_tokens = own.lost_tokens.max(lost.lost_tokens);
-            self.keep_undrawn(&before);
+            self.preserve_undrawn_tokens(&before);
         } else {
             self.withheld = own.max(lost);
         }
     }
 
-    fn merge_figures(
+    /// Merges payments, totals of closed holders and grants.
+    fn merge_counters(
         &mut self,
         lost: &Self,
         is_later: impl Fn(ids::Incarnation) -> bool,
@@ -179,8 +183,8 @@
         self.closed_consumed_tokens += added(lost_closed.consumed_tokens, before.consumed_tokens);
         self.written_off_tokens += added(lost_closed.written_off_tokens, before.written_off_tokens);
         self.closed_before = before.max(lost_closed);
-        // Only a holder writes its own row, so the row of its latest write is the one that holds, also if it returned
-        // tokens by that.
+        // Only the holder writes its row, so the row of its latest write is the valid one, even if it returned tokens and
+        // the granted amount is lower.
         for (holder, lost) in &lost.grants {
             let grant = self.grants.entry(*holder).or_insert(*lost);
             if is_earlier(*holder) {
--- a/core/src/ledger/reserve.rs
+++ b/core/src/ledger/reserve.rs
@@ -1,25 +1,25 @@
-//! Tokens of a budget that cannot be drawn: those that a restore of the store must not lose, and those whose
-//! spending a restore may have lost.
+//! Tokens of a budget that cannot be drawn: the reserve, and tokens that are withheld because a restore of the store may
+//! have lost draws of them.
 //!
-//! A reserve bounds what a restore can lose. It is raised at once, and lowered only after the lower value has been in
-//! the store for longer than the age of any backup. So no more is drawn after a backup was taken than the undrawn
-//! tokens above the least reserve in that backup.
+//! The reserve limits the draws that a restore can lose. It is raised at once, and lowered only after the lower value has
+//! been in the store for longer than the age of any backup. So the draws since a backup was taken never exceed the
+//! undrawn tokens above the least reserve in that backup.
 
 use super::{Budget, Shard, UNLIMITED_TOKENS};
 use crate::ids;
 use serde::{Deserialize, Serialize};
 
-/// Of the reserve in a backup, what stays in reserve in the era that restored it: one part in this many.
-const ERA_RESERVE_PART: u64 = 4;
+/// One part in this many of the reserve in a backup stays in reserve in the era that restored it.
+const ERA_RESERVE_DIVISOR: u64 = 4;
 
-/// Of the undrawn tokens, what a router may have drawn that the others do not know of: one part in this many. It is twice
-/// what a router spends of such draws, for tokens that were returned meanwhile.
-const SILENT_PART: u64 = 4;
+/// One part in this many of the undrawn tokens is withheld for each silent router, for draws that the others have no copy
+/// of. It is twice what a router spends of such draws, because tokens may have been returned meanwhile.
+const SILENT_ROUTER_DIVISOR: u64 = 4;
 
 /// Undrawn tokens that may not be drawn yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reserve {
-    /// How many.
+    /// The number of tokens in reserve.
     pub tokens: u64,
     /// A lower reserve that is not in effect yet.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -29,30 +29,31 @@
 /// A lower reserve, in effect once it has been in the store for longer than the age of any backup.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NextReserve {
-    /// The reserve.
+    /// The number of tokens in reserve once it is in effect.
     pub tokens: u64,
-    /// Who wrote it.
+    /// The router that wrote it.
     pub writer: ids::Incarnation,
     /// The number of that write among those of the writer.
     pub write: u64,
 }
 
-/// Undrawn tokens that are out of reach because spending of them may have been lost.
+/// Undrawn tokens that cannot be drawn, because they may have been spent and the record of it lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Withheld {
-    /// Tokens that can be drawn again once every router that could have drawn them has recovered what it knew.
+    /// Tokens that can be drawn again once every router that could have drawn them has written back the states that it
+    /// saw.
     pub unconfirmed_tokens: u64,
-    /// Tokens of which nobody is left who could tell. Only an operator releases them.
+    /// Tokens whose possible draws no running router can report any more. Only an operator can release them.
     pub lost_tokens: u64,
 }
 
 impl Reserve {
-    /// Whether the budget has none.
+    /// Whether there is no reserve, and no lower one pending.
     pub fn is_none(&self) -> bool {
         *self == Self::default()
     }
 
-    /// The least reserve that may come into effect.
+    /// The lower one of the present reserve and the pending one.
     fn least_tokens(&self) -> u64 {
         self.next.map_or(self.tokens, |next| next.tokens.min(self.tokens))
     }
@@ -64,7 +65,7 @@
         *self == Self::default()
     }
 
-    /// All withheld tokens.
+    /// The total number of withheld tokens.
     pub fn tokens(&self) -> u64 {
         self.unconfirmed_tokens.saturating_add(self.lost_tokens)
     }
@@ -78,17 +79,17 @@
 }
 
 impl Budget {
-    /// What no holder has drawn and no restore has put out of reach; 0 if the figures contradict each other.
+    /// The tokens that are neither drawn nor withheld; 0 if the token counts are inconsistent.
     pub fn undrawn_tokens(&self) -> u64 {
         self.remaining_tokens().unwrap_or(0).saturating_sub(self.withheld.tokens())
     }
 
-    /// What may be drawn now.
+    /// The tokens that may be drawn now.
     pub fn drawable_tokens(&self) -> u64 {
         self.undrawn_tokens().saturating_sub(self.reserve.tokens)
     }
 
-    /// Withholds all undrawn tokens but `kept_tokens`, unless nothing limits the budget.
+    /// Withholds all undrawn tokens but `kept_tokens`, unless the budget is unlimited.
     fn withhold_all_but(&mut self, kept_tokens: u64) {
         if self.paid_tokens >= UNLIMITED_TOKENS {
             return;
@@ -98,34 +99,35 @@
         self.withheld = Withheld { unconfirmed_tokens: withheld_tokens - lost_tokens, lost_tokens };
     }
 
-    /// Withholds what a change of the figures has added to the undrawn tokens, or releases as much as it took off, given
-    /// the budget before it. What was paid in less is not released.
-    pub(crate) fn keep_undrawn(&mut self, before: &Budget) {
+    /// Adjusts the withheld tokens after a change, so that the undrawn tokens stay as in `before`, the budget before the
+    /// change. Only a decrease of the paid-in amount lowers them.
+    pub(crate) fn preserve_undrawn_tokens(&mut self, before: &Budget) {
         let paid_less_tokens = before.paid_tokens.saturating_sub(self.paid_tokens);
         self.withhold_all_but(before.undrawn_tokens().saturating_sub(paid_less_tokens));
     }
 
-    /// Begins an era that restored this budget from `backup`, `eras` eras after that was written: withholds what may
-    /// have been drawn since.
+    /// Begins an era that restored this budget from `backup`, which was written `eras` eras before: withholds the tokens
+    /// that may have been drawn since.
     pub(super) fn begin_era(&mut self, backup: Option<&Budget>, eras: u64) {
         let mut reserve_tokens = backup.map_or(0, |backup| backup.reserve.least_tokens());
         for _ in 1..eras {
-            reserve_tokens = after_allowance(reserve_tokens);
+            reserve_tokens = reserve_after_allowance(reserve_tokens);
             if reserve_tokens == 0 {
                 break;
             }
         }
         let reserve_tokens = reserve_tokens.min(self.remaining_tokens().unwrap_or(0));
         self.withhold_all_but(reserve_tokens);
-        self.reserve = Reserve { tokens: after_allowance(reserve_tokens), next: None };
+        self.reserve = Reserve { tokens: reserve_after_allowance(reserve_tokens), next: None };
     }
 }
 
 impl Shard {
-    /// Makes what is withheld drawable but for what `silent` routers may have drawn without the knowledge of the others.
-    /// If nobody is left who could tell, the rest is lost.
-    pub fn apply_verdict(&mut self, silent: Option<u64>, is_final: bool) {
-        // Later, less is undrawn than when these routers may have drawn.
+    /// Makes withheld tokens drawable, except those that `silent` routers may have drawn without the others having a copy.
+    /// If `is_final`, no router is left that could report such draws, and the rest is recorded as lost.
+    pub fn apply_recovery_decision(&mut self, silent: Option<u64>, is_final: bool) {
+        // Only a lower number is applied. The bound depends on the undrawn tokens, and later there are fewer of them than
+        // when these routers may have drawn.
         let fewer = |silent: &u64| self.silent_routers.is_none_or(|known| *silent < known);
         let silent = silent.filter(fewer);
         self.silent_routers = silent.or(self.silent_routers);
@@ -134,7 +136,8 @@
         }
         for budget in self.budgets.values_mut() {
             if let Some(silent) = silent {
-                let part_tokens = budget.remaining_tokens().unwrap_or(0).div_ceil(SILENT_PART);
+                let part_tokens =
+                    budget.remaining_tokens().unwrap_or(0).div_ceil(SILENT_ROUTER_DIVISOR);
                 let most_tokens = part_tokens.saturating_mul(silent);
                 let withheld = &mut budget.withheld;
                 withheld.unconfirmed_tokens = withheld.unconfirmed_tokens.min(most_tokens);
@@ -147,7 +150,7 @@
     }
 }
 
-/// What is left of a reserve that an era may have drawn from at once.
-fn after_allowance(reserve_tokens: u64) -> u64 {
-    reserve_tokens / ERA_RESERVE_PART
+/// The part of a reserve that stays in reserve after an era that may have drawn the rest at once.
+fn reserve_after_allowance(reserve_tokens: u64) -> u64 {
+    reserve_tokens / ERA_RESERVE_DIVISOR
 }
--- a/core/src/ledger_writer.rs
+++ b/core/src/ledger_writer.rs
@@ -1,8 +1,8 @@
 //! Reads, changes and writes one shard of the ledger by compare-and-swap.
 //!
-//! One call is in flight at a time. All that this router wants of the shard's budgets goes into one
-//! write. After a write with no reply the shard is read again: only an index that moved on proves
-//! that the write cannot apply any more.
+//! A sync is one read-modify-write of the shard. One call is in flight at a time, and one write contains this router's
+//! changes to all budgets of the shard. After a write without a reply the shard is read again: only a later index proves
+//! that the write can no longer take effect.
 
 mod accounts;
 mod copies;
@@ -14,29 +14,30 @@
 use crate::{backoff, grants, ids, ledger, store};
 use std::{collections, fmt};
 
-/// How often the accounts are looked through while nothing is urgent.
-const LOOK_EVERY_MS: u64 = 100;
+/// The interval at which the accounts are checked for changes while no sync is requested.
+const CHECK_INTERVAL_MS: u64 = 100;
 const BACKOFF_BASE_MS: u64 = 20;
 const BACKOFF_LIMIT_MS: u64 = 5_000;
 
-/// What the writer must know of its router.
+/// The state of the router that a writer needs.
 #[allow(missing_debug_implementations)]
 pub struct Context<'a> {
-    /// The present time.
+    /// The current time.
     pub now_ms: u64,
-    /// This router's life.
+    /// This router's incarnation.
     pub holder: ids::Incarnation,
-    /// What the ledger shows of this router.
+    /// This router's entry among the holders of the ledger.
     pub description: &'a ledger::Holder,
-    /// How many routers share what remains.
+    /// The number of routers that share the remaining tokens.
     pub routers: u64,
-    /// The router stops: close what is settled.
+    /// Whether the router is stopping, so that grants without running requests are closed.
     pub stopping: bool,
-    /// Tells whether a holder can certainly not run any more.
+    /// Returns whether a holder has certainly terminated.
     pub gone: &'a dyn Fn(ids::Incarnation, &ledger::Holder) -> bool,
-    /// Whether other routers had time to write what they know back to a restored store.
+    /// Whether other routers have had time to write the states that they saw back to a restored store.
     pub recovery_window_over: bool,
-    /// Nothing is drawn before this time, so that after a restore other routers can first write back what they know.
+    /// Nothing is drawn before this time, so that after a restore other routers can first write back the states that they
+    /// saw.
     pub draw_not_before_ms: u64,
 }
 
@@ -58,37 +59,37 @@
     pub sets_era_marker: bool,
 }
 
-/// What happened, for logs and for what waits on it.
+/// A result of a sync, for logs and for requests that wait for tokens.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The accounts follow a newer state of the store.
+    /// The accounts were updated from a newer state of the ledger.
     Followed,
     /// A write drew tokens or closed grants, so other routers should get a copy of the value.
     GrantsChanged,
-    /// Another router counted this live one as gone: it may draw no more.
+    /// Another router wrote off the grants of this running router, which may no longer draw tokens.
     WrittenOff,
-    /// A dead holder's grants were closed.
+    /// The grants of a terminated holder were closed.
     ClosedDead {
-        /// The dead holder.
+        /// The terminated holder.
         holder: ids::Incarnation,
-        /// What was counted as spent without a report of it.
+        /// The tokens that count as spent although the holder has not reported them as consumed.
         written_off_tokens: u64,
-        /// The grants.
+        /// The grants that were closed.
         grants: Vec<ledger::DeadGrant>,
     },
-    /// These other lives hold grants in the shard, at these addresses.
+    /// The other incarnations of routers with grants in the shard, and their addresses.
     Holders(Vec<(ids::Incarnation, String)>),
-    /// The value in the store is unusable; nothing is drawn.
+    /// The value in the store is unusable, for this reason; nothing is drawn.
     Unusable(String),
 }
 
-/// What was found out of draws that may be unknown since a restore of the store.
+/// A decision on draws that a restore of the store may have lost, from the routers that have recovered theirs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Verdict {
-    /// How many routers may have drawn what the others do not know of; each of them only a part. `None` if too many may
-    /// have for that.
+    /// The number of silent routers, which may have made draws that the other routers have no copy of. Each of them may
+    /// have spent only a part of the undrawn tokens. `None` if there are too many for this bound.
     pub silent: Option<u64>,
-    /// Whether nobody is left who could tell what they have drawn.
+    /// Whether no router is left that could still report those draws.
     pub is_final: bool,
 }
 
@@ -99,12 +100,12 @@
     }
 }
 
-/// What becomes of tokens that the configuration pays in.
+/// Whether tokens that the configuration pays in may be drawn.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Payments {
-    /// It is not known whether the store was restored lately: nothing is paid in.
+    /// It is not known whether the store was restored recently: nothing is paid in.
     Undecided,
-    /// The store was restored lately, so they may have been paid in and drawn before.
+    /// The store was restored recently, so they may have been paid in and drawn before the restore.
     Withheld,
     /// They may be drawn.
     #[default]
@@ -118,130 +119,130 @@
     Writing { call: ids::CallId, base_index: store::Position, draft: Box<ledger::Shard> },
 }
 
-/// The writer of one shard.
+/// Syncs this router's accounts with one shard of the ledger.
 #[derive(Debug)]
 pub struct Writer {
     shard: u32,
     state: State,
-    /// A write at this index has no known end.
-    unsettled_index: Option<store::Position>,
+    /// The index at which a write was sent whose result is not known.
+    unresolved_write_index: Option<store::Position>,
     backoff: backoff::Backoff,
     not_before_ms: u64,
-    reported_ms: u64,
+    last_sync_ms: u64,
     seen_index: store::Position,
-    looked_ms: u64,
-    dead_in_draft: Vec<Event>,
-    urgent: bool,
-    /// The round at hand was asked for: if it fails, another one follows.
-    asked_for: bool,
+    checked_ms: u64,
+    terminated_in_draft: Vec<Event>,
+    sync_requested: bool,
+    /// Whether the present sync was requested, so that another one follows if it fails.
+    current_sync_requested: bool,
     stale: bool,
-    /// The latest state that this router saw, with an index of the era in which it was written.
+    /// The latest state that this router read or wrote, with an index of the era in which it was written.
     last_seen: Option<(store::Position, ledger::Shard)>,
-    /// The last reply showed that the store holds this state, so the next write needs no read.
+    /// Whether the last reply showed that `last_seen` is the value in the store, so that the next write needs no read.
     last_seen_is_current: bool,
-    /// The latest state received from other routers.
+    /// The latest state received from other routers, with its position.
     peer_copy: Option<(store::Position, ledger::Shard)>,
-    /// Own accounts with tokens that were being returned when the store was restored: the account, its granted tokens
-    /// and the returned ones. Whether that write was applied is unknown, so the return is repeated.
+    /// The accounts with tokens that were being returned when the store was restored, as slot, granted tokens and
+    /// returning tokens. Whether that write was applied is not known, so the return is repeated.
     interrupted_returns: Vec<(ids::BudgetSlot, u64, u64)>,
-    /// The number of drafts so far; identifies this router's writes in [`ledger::Shard::writes`].
+    /// The number of drafts so far. It identifies this router's writes in [`ledger::Shard::writes`].
     draft_count: u64,
-    /// Writes in a row that another router's write came before.
-    overtaken: u32,
-    /// The unusable value that was reported.
+    /// The number of writes in a row that failed because another router had written the shard first.
+    overtaken_writes: u32,
+    /// The index of the last unusable value that was reported, so that it is reported once.
     unusable_index: Option<store::Position>,
-    /// What becomes of tokens that the configuration pays in.
+    /// Whether tokens that the configuration pays in may be drawn.
     payments: Payments,
-    /// Lower reserves that are not in effect yet, by budget, and since when the store has held them.
+    /// Lower reserves that are not in effect yet, by budget, and when each was first seen in the store.
     next_reserves: collections::BTreeMap<String, (ledger::NextReserve, u64)>,
-    /// Budgets of which an operator releases what is withheld.
+    /// Budgets whose withheld tokens an operator has released.
     released: collections::BTreeSet<String>,
-    /// Draws of which too few other routers are known to have a copy, the oldest first.
-    uncopied: Vec<copies::Uncopied>,
-    /// When copies were sent last.
+    /// Draws that too few other routers are known to have a copy of, the oldest first.
+    unreplicated: Vec<copies::UnreplicatedDraw>,
+    /// When copies were last sent.
     copies_sent_ms: u64,
     /// When the call in flight was started.
     call_started_ms: u64,
-    /// When the last call was started that showed the shard in an era, by era.
-    reads_ms: collections::BTreeMap<u64, u64>,
-    /// What became of the draws that may be unknown since a restore, as found out in an era.
+    /// When the last call was started whose reply had a state of the shard in an era, by era.
+    read_times_ms: collections::BTreeMap<u64, u64>,
+    /// The latest recovery decision and the era for which it was made.
     verdict: Option<(u64, Verdict)>,
 }
 
 impl Writer {
-    /// A writer that has read nothing yet.
+    /// Creates a writer that has not read its shard yet.
     pub fn new(shard: u32) -> Self {
         Self {
             shard,
             state: State::Idle,
-            unsettled_index: None,
+            unresolved_write_index: None,
             backoff: backoff::Backoff::new(BACKOFF_BASE_MS, BACKOFF_LIMIT_MS),
             not_before_ms: 0,
-            reported_ms: 0,
+            last_sync_ms: 0,
             seen_index: store::Position::START,
-            looked_ms: 0,
-            dead_in_draft: Vec::new(),
-            urgent: false,
-            asked_for: false,
+            checked_ms: 0,
+            terminated_in_draft: Vec::new(),
+            sync_requested: false,
+            current_sync_requested: false,
             stale: true,
             last_seen: None,
             last_seen_is_current: false,
             peer_copy: None,
             interrupted_returns: Vec::new(),
             draft_count: 0,
-            overtaken: 0,
+            overtaken_writes: 0,
             unusable_index: None,
             payments: Payments::default(),
             next_reserves: Default::default(),
             released: Default::default(),
-            uncopied: Vec::new(),
+            unreplicated: Vec::new(),
             copies_sent_ms: 0,
             call_started_ms: 0,
-            reads_ms: Default::default(),
+            read_times_ms: Default::default(),
             verdict: None,
         }
     }
 
-    /// Asks for a fresh read, because a request waits or a holder may be gone.
+    /// Requests a sync as soon as possible, because a request waits for tokens or a holder may have terminated.
     pub fn poke(&mut self) {
-        self.urgent = true;
+        self.sync_requested = true;
     }
 
-    /// Whether a call is in flight or has no known end.
+    /// Whether a call is in flight or the result of a write is not known.
     pub fn busy(&self) -> bool {
-        !matches!(self.state, State::Idle) || self.unsettled_index.is_some()
+        !matches!(self.state, State::Idle) || self.unresolved_write_index.is_some()
     }
 
-    /// Whether the last call got no answer.
+    /// Whether the last call failed or its result is not known.
     pub fn unanswered(&self) -> bool {
         self.stale && self.backoff.failures() > 0
     }
 
-    /// How many calls failed since one succeeded.
+    /// The number of calls that failed since the last one that succeeded.
     pub fn failures(&self) -> u32 {
         self.backoff.failures()
     }
 
-    /// Whether `due` is worth asking: a cheap look first, since this is asked each tick.
+    /// Whether `due` must be evaluated. This is a cheap check that runs first, on every tick.
     pub fn may_be_due(&self, now_ms: u64) -> bool {
-        let pressing = self.urgent || self.unsettled_index.is_some();
-        let looks = pressing || now_ms >= self.looked_ms + LOOK_EVERY_MS;
-        looks && matches!(self.state, State::Idle) && now_ms >= self.not_before_ms
+        let required = self.sync_requested || self.unresolved_write_index.is_some();
+        let check_due = required || now_ms >= self.checked_ms + CHECK_INTERVAL_MS;
+        check_due && matches!(self.state, State::Idle) && now_ms >= self.not_before_ms
     }
 
-    /// Whether there is something to read or write now.
+    /// Whether a sync is due now.
     pub fn due(&mut self, table: &grants::Table, context: &Context<'_>) -> bool {
         if !self.may_be_due(context.now_ms) {
             return false;
         }
-        if self.urgent || self.unsettled_index.is_some() {
+        if self.sync_requested || self.unresolved_write_index.is_some() {
             return true;
         }
-        self.looked_ms = context.now_ms;
-        let since_ms = context.now_ms.saturating_sub(self.reported_ms);
+        self.checked_ms = context.now_ms;
+        let since_ms = context.now_ms.saturating_sub(self.last_sync_ms);
         let mut accounts = table.in_shard(self.shard).iter().map(|slot| table.account(*slot));
         if self.stale {
-            // Whoever neither holds nor draws of a shard has no need to know it.
+            // A router that neither holds nor draws from a budget of the shard needs no current state of it.
             return accounts.any(|account| account.holder || account.draws || account.has_row);
         }
         accounts.any(|account| {
@@ -250,19 +251,19 @@
         })
     }
 
-    /// Starts a round: by a write, if it is known what lies there and something is to be changed, or
-    /// else by reading the shard.
+    /// Starts a sync: with a write, if the value in the store is known and a change is due, otherwise with a read of the
+    /// shard. Returns the call of the store to make.
     pub fn start(
         &mut self,
         call: ids::CallId,
         table: &mut grants::Table,
         context: &Context<'_>,
     ) -> store::Request {
-        self.asked_for = std::mem::take(&mut self.urgent);
+        self.current_sync_requested = std::mem::take(&mut self.sync_requested);
         self.call_started_ms = context.now_ms;
         let key = ledger::key(self.shard);
         let current = std::mem::take(&mut self.last_seen_is_current);
-        let usable = current && !self.stale && self.unsettled_index.is_none();
+        let usable = current && !self.stale && self.unresolved_write_index.is_none();
         if let Some((base_index, shard)) = self.last_seen.take_if(|_| usable) {
             let draft = self.draft(&shard, base_index.era, table, context);
             let changed = draft != shard;
@@ -283,7 +284,7 @@
         store::Request::Read { key }
     }
 
-    /// Records the call by which the write that `reply` returned goes out.
+    /// Sets the id of the call that sends the write which [`Writer::reply`] returned.
     pub fn writing(&mut self, call: ids::CallId) {
         if let State::Writing { call: slot, .. } = &mut self.state {
             *slot = call;
--- a/core/src/ledger_writer/accounts.rs
+++ b/core/src/ledger_writer/accounts.rs
@@ -4,8 +4,8 @@
 use crate::{grants, ledger};
 
 impl Writer {
-    /// Notes since when the store has held each lower reserve that is not in effect yet.
-    fn note_next_reserves(&mut self, shard: &ledger::Shard, now_ms: u64) {
+    /// Records when each lower reserve that is not in effect yet was first seen in the store.
+    fn track_next_reserves(&mut self, shard: &ledger::Shard, now_ms: u64) {
         let pending = shard.budgets.iter().filter_map(|(name, budget)| {
             let next = budget.reserve.next?;
             let known = self.next_reserves.get(name).filter(|(known, _)| *known == next);
@@ -22,7 +22,7 @@
         })
     }
 
-    /// Whether a written state raises or closes grants of this router, or closes those of dead holders.
+    /// Whether a written state raises or closes grants of this router, or closes those of terminated holders.
     pub(super) fn grants_changed(
         &self,
         shard: &ledger::Shard,
@@ -38,10 +38,12 @@
                 None => account.has_row,
             }
         });
-        changed || !self.dead_in_draft.is_empty()
+        changed || !self.terminated_in_draft.is_empty()
     }
 
-    pub(super) fn follow(
+    /// Updates the accounts from a state of the shard and returns the resulting events. `definite` means that no earlier
+    /// write can still take effect. If this router was written off, the accounts after the missing row are not updated.
+    pub(super) fn apply_shard(
         &mut self,
         shard: &ledger::Shard,
         definite: bool,
@@ -62,25 +64,25 @@
             }
             account.closed |= account.has_row && row.is_none() && context.stopping;
             let granted_tokens = account.granted_tokens;
-            account.follow_store(row, definite);
+            account.apply_row(row, definite);
             if account.granted_tokens > granted_tokens {
                 drawn.push((slot, account.granted_tokens - granted_tokens));
             }
             account.awaits_recovery &= !is_of_current_era;
             let known = budget.is_some();
             let budget = budget.unwrap_or(&absent);
-            account.note_budget(budget, context.holder);
+            account.update_from_budget(budget, context.holder);
             account.paid_tokens = budget.paid_tokens;
             account.closed_spent_tokens = budget.closed_spent_tokens;
             account.written_off_tokens = budget.written_off_tokens;
-            account.note_ledger_read(context.now_ms);
+            account.record_ledger_read(context.now_ms);
             account.rows = budget.grants.len() as u64;
             if known && budget.paid_version >= account.confirm_version {
                 account.confirm_version = 0;
             }
         }
-        self.note_draws(shard, drawn, context.holder, context.now_ms);
-        self.note_next_reserves(shard, context.now_ms);
+        self.record_draws(shard, drawn, context.holder, context.now_ms);
+        self.track_next_reserves(shard, context.now_ms);
         let others = shard.holders.iter().filter(|(id, _)| **id != context.holder);
         let others: Vec<_> = others.map(|(id, holder)| (*id, holder.address.clone())).collect();
         if !others.is_empty() {
--- a/core/src/ledger_writer/copies.rs
+++ b/core/src/ledger_writer/copies.rs
@@ -1,21 +1,22 @@
-//! Tracks which draws other routers have a copy of.
+//! Tracks which of this router's draws other routers have a copy of.
 //!
-//! A restore of the store may lose a draw, and this router may be unavailable afterwards. So of its draws that too few
-//! others know of, and that are not older than any backup, it spends only a part of what is undrawn: the others can
-//! withhold that much for it.
+//! A restore of the store may lose a draw, and this router may be unavailable afterwards. So of the draws that too few
+//! other routers have a copy of, and that a backup may lack, it spends at most a part of the undrawn tokens: the other
+//! routers can withhold that much for it.
 
 use super::Writer;
 use crate::{grants, ids, ledger};
 use std::collections;
 
-/// Of the undrawn tokens, a router spends at most one part in so many while too few others know of its draws.
-const UNCOPIED_PART: u64 = 8;
-/// The time between two copies of the same draws.
-const RESEND_MS: u64 = 250;
+/// While too few others have a copy of a router's draws, it spends at most one part in this many of the undrawn tokens
+/// from them.
+const UNREPLICATED_DIVISOR: u64 = 8;
+/// The interval at which copies of the same draws are sent again.
+const COPY_RESEND_INTERVAL_MS: u64 = 250;
 
-/// Draws of which too few other routers are known to have a copy.
+/// The draws of one write that too few other routers are known to have a copy of.
 #[derive(Debug)]
-pub(super) struct Uncopied {
+pub(super) struct UnreplicatedDraw {
     /// The number of the write among those of this router.
     write: u64,
     drawn: Vec<(ids::BudgetSlot, u64)>,
@@ -24,8 +25,8 @@
 }
 
 impl Writer {
-    /// Notes what a state of the shard raises this router's grants by.
-    pub(super) fn note_draws(
+    /// Records by how many tokens a state of the shard raises this router's grants.
+    pub(super) fn record_draws(
         &mut self,
         shard: &ledger::Shard,
         drawn: Vec<(ids::BudgetSlot, u64)>,
@@ -35,44 +36,45 @@
         if !drawn.is_empty() {
             let write = shard.writes.get(&holder).map_or(0, |count| *count);
             let copied_to = collections::BTreeSet::new();
-            self.uncopied.push(Uncopied { write, drawn, drawn_ms: now_ms, copied_to });
+            self.unreplicated.push(UnreplicatedDraw { write, drawn, drawn_ms: now_ms, copied_to });
         }
     }
 
-    /// Notes that a router has a copy that includes this router's writes up to `write`.
+    /// Records that a router has a copy that includes this router's writes up to `write`.
     pub fn copied(&mut self, router: ids::Incarnation, write: u64) {
-        for uncopied in self.uncopied.iter_mut().filter(|it| it.write <= write) {
-            uncopied.copied_to.insert(router);
+        for draw in self.unreplicated.iter_mut().filter(|draw| draw.write <= write) {
+            draw.copied_to.insert(router);
         }
     }
 
-    /// Forgets draws that `copies` routers know of, or that are older than any backup, and locks in the accounts what may
-    /// not be spent before.
+    /// Stops tracking draws that `copies` routers have a copy of or that every backup contains. Locks the tokens of the
+    /// other draws in the accounts, but for the part that may be spent.
     pub fn lock_uncopied(&mut self, table: &mut grants::Table, copies: usize, now_ms: u64) {
         let slots = table.in_shard(self.shard).to_vec();
         let Some(first) = slots.first() else { return };
         let backup_age_ms = table.account(*first).backup_age_ms;
-        self.uncopied
-            .retain(|it| it.copied_to.len() < copies && now_ms <= it.drawn_ms + backup_age_ms);
+        self.unreplicated.retain(|draw| {
+            draw.copied_to.len() < copies && now_ms <= draw.drawn_ms + backup_age_ms
+        });
         for slot in slots {
-            let drawn = self.uncopied.iter().flat_map(|it| &it.drawn);
-            let uncopied_tokens: u64 =
+            let drawn = self.unreplicated.iter().flat_map(|draw| &draw.drawn);
+            let unreplicated_tokens: u64 =
                 drawn.filter(|(drawn, _)| *drawn == slot).map(|(_, tokens)| tokens).sum();
             let account = table.account_mut(slot);
-            let spendable_tokens = account.undrawn.tokens / UNCOPIED_PART;
-            account.locked_tokens = uncopied_tokens.saturating_sub(spendable_tokens);
+            let spendable_tokens = account.undrawn.tokens / UNREPLICATED_DIVISOR;
+            account.locked_tokens = unreplicated_tokens.saturating_sub(spendable_tokens);
         }
     }
 
-    /// Whether any draws are tracked.
+    /// Whether any draws are tracked because too few other routers have a copy of them.
     pub fn has_uncopied(&self) -> bool {
-        !self.uncopied.is_empty()
+        !self.unreplicated.is_empty()
     }
 
-    /// Routers that have a copy of all draws, if some more routers should be sent one now.
+    /// Returns the routers that have a copy of all draws, if copies should be sent to more routers now.
     pub fn copies_due(&mut self, now_ms: u64) -> Option<collections::BTreeSet<ids::Incarnation>> {
-        let latest = self.uncopied.last()?;
-        if now_ms < self.copies_sent_ms + RESEND_MS {
+        let latest = self.unreplicated.last()?;
+        if now_ms < self.copies_sent_ms + COPY_RESEND_INTERVAL_MS {
             return None;
         }
         self.copies_sent_ms = now_ms;
--- a/core/src/ledger_writer/draft.rs
+++ b/core/src/ledger_writer/draft.rs
@@ -1,10 +1,10 @@
-//! What a round makes of the shard: dead holders closed, surplus returned, grants drawn.
+//! Drafts the next value of the shard: closes grants of terminated holders, returns surplus tokens and draws grants.
 
 use super::{Context, Event, Payments, Writer};
 use crate::{grants, ids, ledger};
 
 impl Writer {
-    /// What the shard should become: dead holders closed, surplus returned, grants drawn.
+    /// Returns the value that this router wants to write in place of `shard`; equal to `shard` if nothing changes.
     pub(super) fn draft(
         &mut self,
         shard: &ledger::Shard,
@@ -13,11 +13,11 @@
         context: &Context<'_>,
     ) -> ledger::Shard {
         let mut draft = shard.clone();
-        self.dead_in_draft.clear();
+        self.terminated_in_draft.clear();
         let slots = table.in_shard(self.shard).iter();
         self.draft_payments(&mut draft, slots.map(|slot| table.account(*slot)));
         if let Some(verdict) = self.verdict(era).filter(|_| shard.era == Some(era)) {
-            draft.apply_verdict(verdict.silent, verdict.is_final);
+            draft.apply_recovery_decision(verdict.silent, verdict.is_final);
         }
         for name in &self.released {
             if let Some(budget) = draft.budgets.get_mut(name) {
@@ -29,30 +29,30 @@
                 let grants = draft.grants_of(*id);
                 let written_off_tokens = draft.write_off(*id);
                 let closed = Event::ClosedDead { holder: *id, written_off_tokens, grants };
-                self.dead_in_draft.push(closed);
+                self.terminated_in_draft.push(closed);
             }
         }
-        let mut holds = false;
+        let mut has_grant = false;
         for slot in table.in_shard(self.shard).to_vec() {
             let account = table.account_mut(slot);
             self.draft_account(&mut draft, account, context);
             let budget = draft.budgets.get(&account.name);
-            holds |= budget.is_some_and(|budget| budget.grants.contains_key(&context.holder));
+            has_grant |= budget.is_some_and(|budget| budget.grants.contains_key(&context.holder));
         }
-        if holds {
+        if has_grant {
             draft.holders.insert(context.holder, context.description.clone());
         }
-        draft.forget_empty_holders();
+        draft.remove_empty_holders();
         if draft != *shard {
             draft.era = Some(era);
             self.draft_count += 1;
-            draft.note_write(context.holder, self.draft_count);
+            draft.set_write_count(context.holder, self.draft_count);
         }
         draft
     }
 
-    /// Takes over what the configuration says is paid in. What it says soon after a restore may have been paid in before
-    /// that, and been drawn.
+    /// Applies the prepaid amounts of the configuration. Soon after a restore they are withheld, because they may have
+    /// been paid in before it, and been drawn.
     fn draft_payments<'a>(
         &self,
         draft: &mut ledger::Shard,
@@ -69,14 +69,14 @@
                     let before = draft.budgets.get(&account.name).cloned().unwrap_or_default();
                     draft.set_prepaid(&account.name, prepaid.tokens, prepaid.version);
                     if let Some(budget) = draft.budgets.get_mut(&account.name) {
-                        budget.keep_undrawn(&before);
+                        budget.preserve_undrawn_tokens(&before);
                     }
                 }
             }
         }
     }
 
-    /// Raises the reserve at once where less is spent, and lowers it in two steps where more is.
+    /// Raises the reserve at once if the spend rate has fallen, and lowers it in two steps if the rate has risen.
     fn draft_reserve(
         &self,
         budget: &mut ledger::Budget,
@@ -100,6 +100,7 @@
         }
     }
 
+    /// Drafts the changes to this router's grant from one budget.
     fn draft_account(
         &self,
         draft: &mut ledger::Shard,
@@ -107,17 +108,17 @@
         context: &Context<'_>,
     ) {
         let name = account.name.clone();
-        // While an earlier write may still apply, `returning_tokens` stays out of reach.
-        let settled = self.unsettled_index.is_none();
+        // While an earlier write may still take effect, `returning_tokens` stays unavailable and no more are returned.
+        let resolved = self.unresolved_write_index.is_none();
         if let Some(budget) = draft.budgets.get_mut(&name) {
-            account.note_budget(budget, context.holder);
+            account.update_from_budget(budget, context.holder);
             if context.may_draw() && !context.stopping {
                 self.draft_reserve(budget, account, context);
-                account.note_budget(budget, context.holder);
+                account.update_from_budget(budget, context.holder);
             }
         }
         if context.stopping {
-            if settled {
+            if resolved {
                 draft_stop(draft, account, context.holder);
             }
             return;
@@ -126,24 +127,24 @@
             return;
         }
         let remaining = account.remaining_tokens.unwrap_or(0);
-        let sharers = match account.settings.holders {
+        let sharing_routers = match account.settings.holders {
             0 => context.routers,
             _ => account.routers,
         };
-        // A round of an idle account only raises its reserve. What is drawn beside that would be lost with this router.
+        // A sync of an idle account only raises its reserve. Tokens drawn in it would be lost if this router terminated.
         let drawn = match context.may_draw() && !account.idle() {
-            true => account.draw_tokens(remaining, sharers),
+            true => account.draw_tokens(remaining, sharing_routers),
             false => 0,
         };
         if drawn > 0 {
             draft.draw(&name, context.holder, drawn);
-        } else if settled {
+        } else if resolved {
             let surplus = account.surplus_tokens();
             account.returning_tokens += draft.give_back(&name, context.holder, surplus);
         }
         let Some(budget) = draft.budgets.get_mut(&name) else { return };
         if account.received_tokens > 0 && account.settings.holders == 0 {
-            // Tokens from another holder are closed through this row, even if it drew none.
+            // Tokens received from another holder are accounted for when this grant is closed, even if it drew none.
             budget.grants.entry(context.holder).or_default();
         }
         if let Some(grant) = budget.grants.get_mut(&context.holder) {
@@ -155,8 +156,8 @@
     }
 }
 
-/// What a router that stops changes: its grant is closed, or, while a request of it still runs, all is
-/// returned that the request cannot cost. The request may outlast the stop, and with it the process.
+/// Drafts the changes of a stopping router: closes its grant or, while a request still runs, returns all tokens that the
+/// request cannot consume. They are returned early because the request may run longer than the router is given to stop.
 fn draft_stop(draft: &mut ledger::Shard, account: &mut grants::Account, holder: ids::Incarnation) {
     let name = account.name.clone();
     if account.reserved_tokens == 0 {
--- a/core/src/ledger_writer/replies.rs
+++ b/core/src/ledger_writer/replies.rs
@@ -1,20 +1,21 @@
-//! Processes the store's replies to a writer's calls.
+//! Handles the store's replies to a writer's calls.
 
 use super::{BACKOFF_LIMIT_MS, Context, Event, Payments, State, Write, Writer};
 use crate::{grants, ids, ledger, store};
 use rand::rngs;
 
-/// After so many the writer backs off before it writes again.
-const OVERTAKEN_MAX: u32 = 3;
+/// After this many writes in a row that lost to another router's, the writer backs off before it writes again.
+const OVERTAKEN_WRITES_MAX: u32 = 3;
 const BACKOFF_LIMIT_MIN_MS: u64 = 400;
 const BACKOFF_LIMIT_PER_ROUTER_MS: u64 = 6;
-/// What is said of a value that the store cannot have encoded.
-const UNDECODABLE: &str = "the value is not encoded as the store encodes values";
-/// What is said of a value that was there: a ledger that began anew would spend again what was spent.
-const REMOVED: &str = "the value was removed";
+/// The fault reported for a value that is not in the store's encoding.
+const UNDECODABLE_FAULT: &str = "the value is not encoded as the store encodes values";
+/// The fault reported for a value that existed before. If the shard started again from nothing, tokens that were spent
+/// could be spent again.
+const REMOVED_FAULT: &str = "the value was removed";
 
 impl Writer {
-    /// Takes a reply; returns the next call to make, if there is one, and what happened.
+    /// Handles a reply. Returns the write to send next, if there is one, and the events.
     pub fn reply(
         &mut self,
         call: ids::CallId,
@@ -25,18 +26,27 @@
     ) -> (Option<Write>, Vec<Event>) {
         match std::mem::replace(&mut self.state, State::Idle) {
             State::Reading(expected) if expected == call => {
-                self.on_read(reply, table, context, rng)
+                self.handle_read_reply(reply, table, context, rng)
             }
             State::Writing { call: expected, base_index, draft } if expected == call => match reply
             {
-                store::Reply::Overtaken { index, value } if self.overtaken < OVERTAKEN_MAX => {
-                    self.overtaken += 1;
-                    self.unsettled_index = self.unsettled_index.or(Some(base_index));
-                    self.on_read(store::Reply::Found { index, value }, table, context, rng)
+                store::Reply::Overtaken { index, value }
+                    if self.overtaken_writes < OVERTAKEN_WRITES_MAX =>
+                {
+                    self.overtaken_writes += 1;
+                    self.unresolved_write_index = self.unresolved_write_index.or(Some(base_index));
+                    self.handle_read_reply(
+                        store::Reply::Found { index, value },
+                        table,
+                        context,
+                        rng,
+                    )
+                }
+                reply => {
+                    (None, self.handle_write_reply(reply, base_index, *draft, table, context, rng))
                 }
-                reply => (None, self.on_written(reply, base_index, *draft, table, context, rng)),
             },
-            // A late reply to a call that was given up.
+            // A late reply to an abandoned call is ignored.
             other => {
                 self.state = other;
                 (None, Vec::new())
@@ -44,23 +54,24 @@
         }
     }
 
-    /// Nothing is drawn of a shard that cannot be read, and nothing is written over it: what it holds was paid for, and
-    /// may be mended. Holders go on with the grants that they have.
-    fn unusable(
+    /// Reports a value that cannot be used, once for each index. Nothing is drawn from the shard and its value is not
+    /// overwritten, because its tokens were paid for and an operator may repair it. Holders go on with the grants that
+    /// they have.
+    fn report_unusable(
         &mut self,
         index: store::Position,
         fault: &str,
         context: &Context<'_>,
         rng: &mut rngs::StdRng,
     ) -> Vec<Event> {
-        self.fail(context, rng);
+        self.record_failure(context, rng);
         match self.unusable_index.replace(index) {
             Some(reported) if reported == index => Vec::new(),
             _ => vec![Event::Unusable(fault.to_owned())],
         }
     }
 
-    fn on_read(
+    fn handle_read_reply(
         &mut self,
         reply: store::Reply,
         table: &mut grants::Table,
@@ -73,37 +84,38 @@
                 if self.seen_index.revision > 0
                     && (era == self.seen_index.era || self.last_seen.is_none()) =>
             {
-                return (None, self.unusable(self.seen_index, REMOVED, context, rng));
+                return (None, self.report_unusable(self.seen_index, REMOVED_FAULT, context, rng));
             }
             store::Reply::Missing { era } => {
-                return self.on_missing(era, table, context, rng);
+                return self.handle_missing(era, table, context, rng);
             }
             store::Reply::Undecodable { index } => {
-                return (None, self.unusable(index, UNDECODABLE, context, rng));
+                return (None, self.report_unusable(index, UNDECODABLE_FAULT, context, rng));
             }
             _ => {
-                self.fail(context, rng);
+                self.record_failure(context, rng);
                 return (None, Vec::new());
             }
         };
         self.seen_index = index;
-        self.note_read(index.era);
+        self.record_read(index.era);
         let shard = match ledger::Shard::decode(&value) {
             Ok(shard) => shard,
             Err(error) => {
-                return (None, self.unusable(index, &error.to_string(), context, rng));
+                return (None, self.report_unusable(index, &error.to_string(), context, rng));
             }
         };
-        let definite = self.unsettled_index.is_none_or(|base| is_settled(base, index, &shard));
+        let definite =
+            self.unresolved_write_index.is_none_or(|base| is_resolved(base, index, &shard));
         let changed_shard = self.recover(&shard, index, table, context);
         let recovered = changed_shard.as_ref().unwrap_or(&shard);
         let is_of_current_era = shard.written_era() == index.era;
-        let mut events = self.follow(recovered, definite, is_of_current_era, table, context);
+        let mut events = self.apply_shard(recovered, definite, is_of_current_era, table, context);
         if events.contains(&Event::WrittenOff) {
             return (None, events);
         }
         if definite {
-            self.unsettled_index = None;
+            self.unresolved_write_index = None;
         }
         self.stale = false;
         self.backoff.reset();
@@ -111,11 +123,11 @@
             true => recovered.clone(),
             false => self.draft(recovered, index.era, table, context),
         };
-        if draft == shard && self.unsettled_index.is_none() {
-            self.remember(index, shard);
-            self.succeed(context.now_ms);
+        if draft == shard && self.unresolved_write_index.is_none() {
+            self.store_last_seen(index, shard);
+            self.record_success(context.now_ms);
             if !context.may_draw() {
-                self.urgent |= self.asked_for;
+                self.sync_requested |= self.current_sync_requested;
                 self.not_before_ms = context.draw_not_before_ms;
             }
             events.push(Event::Followed);
@@ -138,27 +150,27 @@
         Write { expected_index: base_index, value, sets_era_marker }
     }
 
-    /// There is no ledger yet: it begins with what the configuration says is paid in, if that says so.
-    fn on_missing(
+    /// Handles a missing value: drafts the first one, with the prepaid amounts of the configuration.
+    fn handle_missing(
         &mut self,
         era: u64,
         table: &mut grants::Table,
         context: &Context<'_>,
         rng: &mut rngs::StdRng,
     ) -> (Option<Write>, Vec<Event>) {
-        self.note_read(era);
+        self.record_read(era);
         if self.payments == Payments::Undecided {
-            self.fail(context, rng);
+            self.record_failure(context, rng);
             return (None, Vec::new());
         }
-        self.succeed(context.now_ms);
+        self.record_success(context.now_ms);
         self.stale = false;
         let index = store::Position { era, revision: 0 };
         let first_era = self.latest_before(era).map_or(era, |(position, _)| position.era);
         let empty = ledger::Shard { era: Some(first_era), ..ledger::Shard::default() };
         let changed_shard = self.recover(&empty, index, table, context);
         let recovered = changed_shard.as_ref().unwrap_or(&empty);
-        let mut events = self.follow(recovered, true, changed_shard.is_none(), table, context);
+        let mut events = self.apply_shard(recovered, true, changed_shard.is_none(), table, context);
         if events.contains(&Event::WrittenOff) {
             return (None, events);
         }
@@ -170,7 +182,7 @@
         (Some(self.write(index, draft, era > 0)), events)
     }
 
-    fn on_written(
+    fn handle_write_reply(
         &mut self,
         reply: store::Reply,
         base_index: store::Position,
@@ -182,62 +194,62 @@
         match reply {
             store::Reply::Written { .. } | store::Reply::WrittenAt { .. } => {
                 if let Some(era) = reply.era() {
-                    self.note_read(era);
+                    self.record_read(era);
                 }
                 let is_of_current_era = reply.era().is_none_or(|era| draft.written_era() == era);
                 match reply {
                     store::Reply::WrittenAt { index } => {
                         self.seen_index = index;
-                        self.remember(index, draft.clone());
+                        self.store_last_seen(index, draft.clone());
                     }
                     // The reply has no index, so the state is stored with the index of the one that it replaced.
                     _ => self.last_seen = Some((base_index, draft.clone())),
                 }
-                self.overtaken = 0;
-                self.unsettled_index = None;
+                self.overtaken_writes = 0;
+                self.unresolved_write_index = None;
                 let withholds = |budget: &ledger::Budget| !budget.withheld.is_none();
                 self.released.retain(|name| draft.budgets.get(name).is_some_and(withholds));
                 if is_of_current_era {
                     self.interrupted_returns.clear();
                 }
-                self.reported_ms = context.now_ms;
-                self.succeed(context.now_ms);
+                self.last_sync_ms = context.now_ms;
+                self.record_success(context.now_ms);
                 let changed = self.grants_changed(&draft, table, context);
-                let mut events = self.follow(&draft, true, is_of_current_era, table, context);
+                let mut events = self.apply_shard(&draft, true, is_of_current_era, table, context);
                 events.extend(changed.then_some(Event::GrantsChanged));
-                events.append(&mut self.dead_in_draft);
+                events.append(&mut self.terminated_in_draft);
                 events.push(Event::Followed);
                 events
             }
             store::Reply::Conflict
             | store::Reply::Overtaken { .. }
             | store::Reply::Undecodable { .. } => {
-                self.overtaken = 0;
-                // This write lost; an earlier one with no reply may be what it lost to.
-                self.unsettled_index = self.unsettled_index.or(Some(base_index));
-                self.urgent = true;
+                self.overtaken_writes = 0;
+                // This write had no effect. The write that it lost to may be an earlier one of this router without a reply.
+                self.unresolved_write_index = self.unresolved_write_index.or(Some(base_index));
+                self.sync_requested = true;
                 let delay = self.backoff.next_delay_ms(rng);
                 self.not_before_ms = context.now_ms + delay;
                 Vec::new()
             }
             _ => {
-                self.unsettled_index = Some(base_index);
-                self.fail(context, rng);
+                self.unresolved_write_index = Some(base_index);
+                self.record_failure(context, rng);
                 Vec::new()
             }
         }
     }
 
-    fn succeed(&mut self, now_ms: u64) {
+    fn record_success(&mut self, now_ms: u64) {
         self.backoff.reset();
         self.not_before_ms = now_ms;
-        self.reported_ms = now_ms;
+        self.last_sync_ms = now_ms;
     }
 
-    fn fail(&mut self, context: &Context<'_>, rng: &mut rngs::StdRng) {
+    fn record_failure(&mut self, context: &Context<'_>, rng: &mut rngs::StdRng) {
         self.stale = true;
-        self.urgent |= self.asked_for;
-        // A small fleet comes back soon after an outage; a large one must not crowd the store.
+        self.sync_requested |= self.current_sync_requested;
+        // A small fleet retries soon after an outage; a large one must not overload the store.
         let limit_ms = context.routers.saturating_mul(BACKOFF_LIMIT_PER_ROUTER_MS);
         self.backoff.set_limit_ms(limit_ms.clamp(BACKOFF_LIMIT_MIN_MS, BACKOFF_LIMIT_MS));
         self.not_before_ms = context.now_ms + self.backoff.next_delay_ms(rng);
@@ -246,7 +258,7 @@
 
 /// Whether a write at `base` without a known result can no longer take effect, given the shard read at `index`. A write
 /// of an earlier era is refused once the shard has been written in the current one.
-fn is_settled(base: store::Position, index: store::Position, shard: &ledger::Shard) -> bool {
+fn is_resolved(base: store::Position, index: store::Position, shard: &ledger::Shard) -> bool {
     match base.era == index.era {
         true => index > base,
         false => index > base && shard.written_era() == index.era,
--- a/core/src/ledger_writer/restores.rs
+++ b/core/src/ledger_writer/restores.rs
@@ -1,27 +1,27 @@
-//! Recovers the shard after a restore of the store, from the latest state that this router saw or received.
+//! Recovers the shard after a restore of the store, from the latest state that this router read, wrote or received.
 
 use super::{Context, Payments, State, Verdict, Writer};
 use crate::{grants, ids, ledger, store};
 
-/// The number of eras of which the last read is kept.
-const READS_KEPT: usize = 16;
+/// The number of eras for which the time of the last read is kept.
+const READ_TIMES_MAX: usize = 16;
 
 impl Writer {
     /// Resets the writer after a restore of the store: abandons the call in flight and schedules the recovery of the
     /// last seen state.
     pub fn restored(&mut self, era: u64, table: &grants::Table) {
         if let State::Writing { base_index, .. } = std::mem::replace(&mut self.state, State::Idle) {
-            self.unsettled_index = self.unsettled_index.or(Some(base_index));
+            self.unresolved_write_index = self.unresolved_write_index.or(Some(base_index));
         }
         self.last_seen_is_current = false;
         self.next_reserves.clear();
         self.stale = true;
-        self.overtaken = 0;
+        self.overtaken_writes = 0;
         self.backoff.reset();
         self.not_before_ms = 0;
         let known = self.last_seen.iter().chain(&self.peer_copy);
-        self.urgent |= known.into_iter().any(|(position, _)| position.era < era);
-        if self.unsettled_index.is_some() && self.interrupted_returns.is_empty() {
+        self.sync_requested |= known.into_iter().any(|(position, _)| position.era < era);
+        if self.unresolved_write_index.is_some() && self.interrupted_returns.is_empty() {
             let accounts =
                 table.in_shard(self.shard).iter().map(|slot| (*slot, table.account(*slot)));
             let returning = accounts.filter(|(_, account)| account.returning_tokens > 0);
@@ -32,74 +32,74 @@
         }
     }
 
-    /// Stores a state of the shard that another router wrote. If it is of an earlier era than `era`, the store may have
-    /// lost it, so a read is scheduled.
+    /// Merges a state of the shard that another router wrote into the peer copy. If it is of an earlier era than `era`, the
+    /// store may have lost it, so a sync is requested.
     pub fn take_peer_copy(&mut self, position: store::Position, shard: ledger::Shard, era: u64) {
         let copy = match self.peer_copy.take() {
             Some((_, copy)) if shard.includes(&copy) => (position, shard),
             Some((known, copy)) => (known.min(position), shard.combine(copy)),
             None => (position, shard),
         };
-        self.urgent |= position.era < era;
+        self.sync_requested |= position.era < era;
         self.peer_copy = Some(copy);
     }
 
-    /// Sets what becomes of tokens that the configuration pays in.
+    /// Sets whether tokens that the configuration pays in may be drawn.
     pub fn set_payments(&mut self, payments: Payments) {
         self.payments = payments;
     }
 
-    /// Releases what is withheld of a budget, on an operator's word.
+    /// Releases the withheld tokens of a budget, as an operator requested, and requests a sync.
     pub fn release(&mut self, budget: &str) {
         self.released.insert(budget.to_owned());
-        self.urgent = true;
+        self.sync_requested = true;
     }
 
-    /// Sets what was found out, in `era`, of draws that may be unknown.
+    /// Sets the recovery decision for `era`, and requests a sync if it is a new one.
     pub fn decide(&mut self, era: u64, verdict: Verdict) {
         if self.verdict.replace((era, verdict)) != Some((era, verdict)) {
-            self.urgent = true;
+            self.sync_requested = true;
         }
     }
 
-    /// The first era before which draws may be unknown; `None` if nothing is withheld for them in `era`.
+    /// The first era before which draws may be unknown; `None` if no tokens are withheld for such draws in `era`.
     pub fn unconfirmed_since_era(&self, era: u64) -> Option<u64> {
         let (_, shard) = self.last_seen.as_ref()?;
         shard.unconfirmed_since_era.filter(|_| shard.written_era() == era)
     }
 
-    /// What was found out in `era`.
+    /// The recovery decision for `era`, if there is one.
     pub fn verdict(&self, era: u64) -> Option<Verdict> {
         self.verdict.filter(|(of_era, _)| *of_era == era).map(|(_, verdict)| verdict)
     }
 
-    /// Whether the shard, as this router read it in `era`, includes all that this router knew of it.
+    /// Whether the shard, as this router read it in `era`, includes every state that this router saw or received before.
     pub fn has_recovered(&self, era: u64) -> bool {
         let Some((position, seen)) = &self.last_seen else { return self.peer_copy.is_none() };
         let included =
             |copy: &(store::Position, ledger::Shard)| copy.0.era == era || seen.includes(&copy.1);
-        let settled = self.interrupted_returns.is_empty() && self.unsettled_index.is_none();
+        let resolved = self.interrupted_returns.is_empty() && self.unresolved_write_index.is_none();
         let current = position.era == era && seen.written_era() == era;
-        current && settled && self.peer_copy.iter().all(included)
+        current && resolved && self.peer_copy.iter().all(included)
     }
 
-    /// Whether the shard was read since the last restore, or concerns no budget that this router holds.
+    /// Whether the shard was read since the last restore, or this router is the holder of no budget in it.
     pub fn has_read_all(&self, table: &grants::Table) -> bool {
         let mut accounts = table.in_shard(self.shard).iter().map(|slot| table.account(*slot));
         !self.stale || !accounts.any(|account| account.holder)
     }
 
-    /// Notes that a reply showed the shard in an era.
-    pub(super) fn note_read(&mut self, era: u64) {
-        self.reads_ms.insert(era, self.call_started_ms);
-        if self.reads_ms.len() > READS_KEPT {
-            self.reads_ms.pop_first();
+    /// Records the start time of the call whose reply had a state of the shard in `era`.
+    pub(super) fn record_read(&mut self, era: u64) {
+        self.read_times_ms.insert(era, self.call_started_ms);
+        if self.read_times_ms.len() > READ_TIMES_MAX {
+            self.read_times_ms.pop_first();
         }
     }
 
-    /// When the last call was started that showed the shard before `era`.
+    /// The start time of the last call whose reply had a state of the shard before `era`.
     pub fn read_before_ms(&self, era: u64) -> Option<u64> {
-        self.reads_ms.range(..era).next_back().map(|(_, at_ms)| *at_ms)
+        self.read_times_ms.range(..era).next_back().map(|(_, at_ms)| *at_ms)
     }
 
     /// The latest state of the shard that this router read or wrote.
@@ -137,7 +137,7 @@
         }
         let mut recovered = recovered.filter(|recovered| recovered != shard)?;
         self.draft_count += 1;
-        recovered.note_write(context.holder, self.draft_count);
+        recovered.set_write_count(context.holder, self.draft_count);
         Some(recovered)
     }
 
@@ -150,20 +150,20 @@
     ) {
         for (slot, granted_tokens, tokens) in &self.interrupted_returns {
             let name = &table.account(*slot).name;
-            let row = shard.budgets.get(name).and_then(|it| it.grants.get(&context.holder));
+            let row = shard.budgets.get(name).and_then(|budget| budget.grants.get(&context.holder));
             if row.is_some_and(|row| row.granted_tokens == *granted_tokens) {
                 let before = shard.budgets.get(name).cloned().unwrap_or_default();
                 shard.give_back(name, context.holder, *tokens);
                 // If the interrupted return was applied, these tokens may have been drawn again.
                 if let Some(budget) = shard.budgets.get_mut(name) {
-                    budget.keep_undrawn(&before);
+                    budget.preserve_undrawn_tokens(&before);
                 }
             }
         }
     }
 
     /// Stores a state of the shard as the last seen one, unless it was written in an earlier era.
-    pub(super) fn remember(&mut self, index: store::Position, shard: ledger::Shard) {
+    pub(super) fn store_last_seen(&mut self, index: store::Position, shard: ledger::Shard) {
         self.last_seen_is_current = shard.written_era() == index.era;
         if self.last_seen_is_current {
             self.last_seen = Some((index, shard));
