--- a/core/src/ledger_writer.rs
+++ b/core/src/ledger_writer.rs
@@ -85,7 +85,7 @@
 
 /// A decision on draws that a restore of the store may have lost, from the routers that have recovered theirs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Verdict {
+pub struct RecoveryDecision {
     /// The number of silent routers, which may have made draws that the other routers have no copy of. Each of them may
     /// have spent only a part of the undrawn tokens. `None` if there are too many for this bound.
     pub silent: Option<u64>,
@@ -93,7 +93,7 @@
     pub is_final: bool,
 }
 
-impl fmt::Display for Verdict {
+impl fmt::Display for RecoveryDecision {
     /// The value of the key `verdict` in log lines.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Verdict {{ silent: {:?}, is_final: {} }}", self.silent, self.is_final)
@@ -166,7 +166,7 @@
     /// When the last call was started whose reply had a state of the shard in an era, by era.
     read_times_ms: collections::BTreeMap<u64, u64>,
     /// The latest recovery decision and the era for which it was made.
-    verdict: Option<(u64, Verdict)>,
+    recovery_decision: Option<(u64, RecoveryDecision)>,
 }
 
 impl Writer {
@@ -199,7 +199,7 @@
             copies_sent_ms: 0,
             call_started_ms: 0,
             read_times_ms: Default::default(),
-            verdict: None,
+            recovery_decision: None,
         }
     }
 
--- a/core/src/ledger_writer/draft.rs
+++ b/core/src/ledger_writer/draft.rs
@@ -16,8 +16,8 @@
         self.terminated_in_draft.clear();
         let slots = table.in_shard(self.shard).iter();
         self.draft_payments(&mut draft, slots.map(|slot| table.account(*slot)));
-        if let Some(verdict) = self.verdict(era).filter(|_| shard.era == Some(era)) {
-            draft.apply_recovery_decision(verdict.silent, verdict.is_final);
+        if let Some(decision) = self.recovery_decision(era).filter(|_| shard.era == Some(era)) {
+            draft.apply_recovery_decision(decision.silent, decision.is_final);
         }
         for name in &self.released {
             if let Some(budget) = draft.budgets.get_mut(name) {
--- a/core/src/ledger_writer/restores.rs
+++ b/core/src/ledger_writer/restores.rs
@@ -1,6 +1,6 @@
 //! Recovers the shard after a restore of the store, from the latest state that this router read, wrote or received.
 
-use super::{Context, Payments, State, Verdict, Writer};
+use super::{Context, Payments, RecoveryDecision, State, Writer};
 use crate::{grants, ids, ledger, store};
 
 /// The number of eras for which the time of the last read is kept.
@@ -56,8 +56,8 @@
     }
 
     /// Sets the recovery decision for `era`, and requests a sync if it is a new one.
-    pub fn decide(&mut self, era: u64, verdict: Verdict) {
-        if self.verdict.replace((era, verdict)) != Some((era, verdict)) {
+    pub fn set_recovery_decision(&mut self, era: u64, decision: RecoveryDecision) {
+        if self.recovery_decision.replace((era, decision)) != Some((era, decision)) {
             self.sync_requested = true;
         }
     }
@@ -69,8 +69,8 @@
     }
 
     /// The recovery decision for `era`, if there is one.
-    pub fn verdict(&self, era: u64) -> Option<Verdict> {
-        self.verdict.filter(|(of_era, _)| *of_era == era).map(|(_, verdict)| verdict)
+    pub fn recovery_decision(&self, era: u64) -> Option<RecoveryDecision> {
+        self.recovery_decision.filter(|(of_era, _)| *of_era == era).map(|(_, decision)| decision)
     }
 
     /// Whether the shard, as this router read it in `era`, includes every state that this router saw or received before.
--- a/core/src/node/confirmations.rs
+++ b/core/src/node/confirmations.rs
@@ -62,8 +62,8 @@
         let long = now_ms > self.confirmations.since_ms + SETTLE_MS;
         for (shard, since_era) in shards {
             let Some(verdict) = self.verdict(shard, since_era, &others, long) else { continue };
-            if self.ledgers[shard as usize].verdict(era) != Some(verdict) {
-                self.ledgers[shard as usize].decide(era, verdict);
+            if self.ledgers[shard as usize].recovery_decision(era) != Some(verdict) {
+                self.ledgers[shard as usize].set_recovery_decision(era, verdict);
                 self.actions.push(Action::Notice(Notice::RecoveryDecided { shard, era, verdict }));
             }
         }
@@ -77,7 +77,7 @@
         since_era: u64,
         others: &collections::BTreeSet<String>,
         long: bool,
-    ) -> Option<ledger_writer::Verdict> {
+    ) -> Option<ledger_writer::RecoveryDecision> {
         let own = self.recovered(shard, since_era);
         if own == message::Recovered::Nothing {
             return None;
@@ -89,7 +89,8 @@
         let answered = all.iter().all(|it| it.is_some_and(|it| it != message::Recovered::Nothing));
         let is_final = long && answered && silent > 0;
         let silent = Some(silent).filter(|silent| *silent <= self.silent_max());
-        (is_final || silent.is_some()).then_some(ledger_writer::Verdict { silent, is_final })
+        (is_final || silent.is_some())
+            .then_some(ledger_writer::RecoveryDecision { silent, is_final })
     }
 
     /// Releases what is withheld of a budget since restores of the store, on an operator's word; only tells if `dry_run`.
--- a/core/src/node/notices.rs
+++ b/core/src/node/notices.rs
@@ -69,7 +69,7 @@
         /// The store's era.
         era: u64,
         /// What was found out.
-        verdict: ledger_writer::Verdict,
+        verdict: ledger_writer::RecoveryDecision,
     },
     /// A server started again under its name.
     ServerRestarted(servers::Restarted),
