--- a/core/src/ledger_writer.rs
+++ b/core/src/ledger_writer.rs
@@ -204,7 +204,7 @@
     }
 
     /// Requests a sync as soon as possible, because a request waits for tokens or a holder may have terminated.
-    pub fn poke(&mut self) {
+    pub fn request_sync(&mut self) {
         self.sync_requested = true;
     }
 
--- a/core/src/node/adopt.rs
+++ b/core/src/node/adopt.rs
@@ -66,7 +66,7 @@
                 account.holder || account.has_row
             };
             if slots.any(held) {
-                ledger.poke();
+                ledger.request_sync();
             }
         }
     }
@@ -126,7 +126,7 @@
         self.forget_leavings(now_ms);
         if router_gone {
             // What it held is written off by whoever reads the ledger next.
-            self.ledgers.iter_mut().for_each(ledger_writer::Writer::poke);
+            self.ledgers.iter_mut().for_each(ledger_writer::Writer::request_sync);
         }
         self.become_ready();
     }
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -78,7 +78,7 @@
             }
             message::Message::LeftBehind { shard } => {
                 if let Some(ledger) = self.ledgers.get_mut(shard as usize) {
-                    ledger.poke();
+                    ledger.request_sync();
                 }
             }
         }
--- a/core/src/node/tokens.rs
+++ b/core/src/node/tokens.rs
@@ -61,7 +61,7 @@
     pub(super) fn poke_ledger_of(&mut self, budget: ids::BudgetSlot) {
         let shard = self.ledger_shard(budget);
         if let Some(ledger) = self.ledgers.get_mut(shard) {
-            ledger.poke();
+            ledger.request_sync();
         }
     }
 
--- a/core/tests/ledger_bad_values.rs
+++ b/core/tests/ledger_bad_values.rs
@@ -15,7 +15,7 @@
     let mut events = Vec::new();
     for number in [501, 502] {
         let call = ids::CallId(number);
-        bench.writer.poke();
+        bench.writer.request_sync();
         let request = bench.start(call);
         assert!(matches!(request, store::Request::Read { .. }), "{request:?} writes over it");
         let (sent, told) = bench.reply(call, reply.clone());
--- a/core/tests/ledger_rounds.rs
+++ b/core/tests/ledger_rounds.rs
@@ -213,7 +213,7 @@
     let mut rng = StdRng::seed_from_u64(1);
     let description = description();
     assert!(!writer.due(&table, &context(&description, 1_000, false)), "it holds nothing");
-    writer.poke();
+    writer.request_sync();
     let mut now_ms = 1_000;
     for number in 1..4 {
         assert!(writer.due(&table, &context(&description, now_ms, false)), "round {number}");
