--- a/core/src/ledger_writer.rs
+++ b/core/src/ledger_writer.rs
@@ -33,7 +33,7 @@
     /// Whether the router is stopping, so that grants without running requests are closed.
     pub stopping: bool,
     /// Returns whether a holder has certainly terminated.
-    pub gone: &'a dyn Fn(ids::Incarnation, &ledger::Holder) -> bool,
+    pub is_terminated: &'a dyn Fn(ids::Incarnation, &ledger::Holder) -> bool,
     /// Whether other routers have had time to write the states that they saw back to a restored store.
     pub recovery_window_over: bool,
     /// Nothing is drawn before this time, so that after a restore other routers can first write back the states that they
@@ -63,13 +63,13 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum Event {
     /// The accounts were updated from a newer state of the ledger.
-    Followed,
+    AccountsUpdated,
     /// A write drew tokens or closed grants, so other routers should get a copy of the value.
     GrantsChanged,
     /// Another router wrote off the grants of this running router, which may no longer draw tokens.
     WrittenOff,
     /// The grants of a terminated holder were closed.
-    ClosedDead {
+    TerminatedHolderClosed {
         /// The terminated holder.
         holder: ids::Incarnation,
         /// The tokens that count as spent although the holder has not reported them as consumed.
@@ -284,8 +284,8 @@
         store::Request::Read { key }
     }
 
-    /// Sets the id of the call that sends the write which [`Writer::reply`] returned.
-    pub fn writing(&mut self, call: ids::CallId) {
+    /// Sets the id of the call that sends the write which [`Writer::handle_reply`] returned.
+    pub fn set_write_call(&mut self, call: ids::CallId) {
         if let State::Writing { call: slot, .. } = &mut self.state {
             *slot = call;
         }
--- a/core/src/ledger_writer/copies.rs
+++ b/core/src/ledger_writer/copies.rs
@@ -41,7 +41,7 @@
     }
 
     /// Records that a router has a copy that includes this router's writes up to `write`.
-    pub fn copied(&mut self, router: ids::Incarnation, write: u64) {
+    pub fn record_copy(&mut self, router: ids::Incarnation, write: u64) {
         for draw in self.unreplicated.iter_mut().filter(|draw| draw.write <= write) {
             draw.copied_to.insert(router);
         }
@@ -49,7 +49,12 @@
 
     /// Stops tracking draws that `copies` routers have a copy of or that every backup contains. Locks the tokens of the
     /// other draws in the accounts, but for the part that may be spent.
-    pub fn lock_uncopied(&mut self, table: &mut grants::Table, copies: usize, now_ms: u64) {
+    pub fn lock_unreplicated_draws(
+        &mut self,
+        table: &mut grants::Table,
+        copies: usize,
+        now_ms: u64,
+    ) {
         let slots = table.in_shard(self.shard).to_vec();
         let Some(first) = slots.first() else { return };
         let backup_age_ms = table.account(*first).backup_age_ms;
@@ -67,7 +72,7 @@
     }
 
     /// Whether any draws are tracked because too few other routers have a copy of them.
-    pub fn has_uncopied(&self) -> bool {
+    pub fn has_unreplicated_draws(&self) -> bool {
         !self.unreplicated.is_empty()
     }
 
--- a/core/src/ledger_writer/draft.rs
+++ b/core/src/ledger_writer/draft.rs
@@ -25,10 +25,11 @@
             }
         }
         for (id, holder) in &shard.holders {
-            if *id != context.holder && (context.gone)(*id, holder) {
+            if *id != context.holder && (context.is_terminated)(*id, holder) {
                 let grants = draft.grants_of(*id);
                 let written_off_tokens = draft.write_off(*id);
-                let closed = Event::ClosedDead { holder: *id, written_off_tokens, grants };
+                let closed =
+                    Event::TerminatedHolderClosed { holder: *id, written_off_tokens, grants };
                 self.terminated_in_draft.push(closed);
             }
         }
--- a/core/src/ledger_writer/replies.rs
+++ b/core/src/ledger_writer/replies.rs
@@ -16,7 +16,7 @@
 
 impl Writer {
     /// Handles a reply. Returns the write to send next, if there is one, and the events.
-    pub fn reply(
+    pub fn handle_reply(
         &mut self,
         call: ids::CallId,
         reply: store::Reply,
@@ -130,7 +130,7 @@
                 self.sync_requested |= self.current_sync_requested;
                 self.not_before_ms = context.draw_not_before_ms;
             }
-            events.push(Event::Followed);
+            events.push(Event::AccountsUpdated);
             return (None, events);
         }
         let sets_era_marker = shard.is_restored(index);
@@ -176,7 +176,7 @@
         }
         let draft = self.draft(recovered, era, table, context);
         if draft == empty {
-            events.push(Event::Followed);
+            events.push(Event::AccountsUpdated);
             return (None, events);
         }
         (Some(self.write(index, draft, era > 0)), events)
@@ -218,7 +218,7 @@
                 let mut events = self.apply_shard(&draft, true, is_of_current_era, table, context);
                 events.extend(changed.then_some(Event::GrantsChanged));
                 events.append(&mut self.terminated_in_draft);
-                events.push(Event::Followed);
+                events.push(Event::AccountsUpdated);
                 events
             }
             store::Reply::Conflict
--- a/core/src/ledger_writer/restores.rs
+++ b/core/src/ledger_writer/restores.rs
@@ -9,7 +9,7 @@
 impl Writer {
     /// Resets the writer after a restore of the store: abandons the call in flight and schedules the recovery of the
     /// last seen state.
-    pub fn restored(&mut self, era: u64, table: &grants::Table) {
+    pub fn reset_after_restore(&mut self, era: u64, table: &grants::Table) {
         if let State::Writing { base_index, .. } = std::mem::replace(&mut self.state, State::Idle) {
             self.unresolved_write_index = self.unresolved_write_index.or(Some(base_index));
         }
@@ -34,7 +34,7 @@
 
     /// Merges a state of the shard that another router wrote into the peer copy. If it is of an earlier era than `era`, the
     /// store may have lost it, so a sync is requested.
-    pub fn take_peer_copy(&mut self, position: store::Position, shard: ledger::Shard, era: u64) {
+    pub fn merge_peer_copy(&mut self, position: store::Position, shard: ledger::Shard, era: u64) {
         let copy = match self.peer_copy.take() {
             Some((_, copy)) if shard.includes(&copy) => (position, shard),
             Some((known, copy)) => (known.min(position), shard.combine(copy)),
--- a/core/src/node/copies.rs
+++ b/core/src/node/copies.rs
@@ -11,15 +11,15 @@
 impl Node {
     /// Unlocks draws that enough other routers have a copy of, and sends copies again that were not stored.
     pub(super) fn tick_copies(&mut self, now_ms: u64) {
-        if !self.ledgers.iter().any(ledger_writer::Writer::has_uncopied) {
+        if !self.ledgers.iter().any(ledger_writer::Writer::has_unreplicated_draws) {
             return;
         }
         let copies = LEDGER_COPIES.min(self.members.other_addresses());
         for shard in 0..self.ledgers.len() {
-            if !self.ledgers[shard].has_uncopied() {
+            if !self.ledgers[shard].has_unreplicated_draws() {
                 continue;
             }
-            self.ledgers[shard].lock_uncopied(&mut self.grants, copies, now_ms);
+            self.ledgers[shard].lock_unreplicated_draws(&mut self.grants, copies, now_ms);
             if let Some(copied_to) = self.ledgers[shard].copies_due(now_ms) {
                 self.send_ledger_copies(shard, &copied_to);
             }
@@ -71,7 +71,7 @@
         match ledger::Shard::decode(value) {
             Ok(copy) => {
                 let write = copy.writes.get(&from).copied();
-                ledger.take_peer_copy(position, copy, era);
+                ledger.merge_peer_copy(position, copy, era);
                 if let Some(write) = write.filter(|_| position.era >= era) {
                     self.send(from, message::Message::LedgerCopyStored { shard, write });
                 }
--- a/core/src/node/eras.rs
+++ b/core/src/node/eras.rs
@@ -145,7 +145,7 @@
             self.quarantine.store_restored(now_ms, &mut self.rng);
             self.eras.restored_ms = Some(now_ms);
             let grants = &self.grants;
-            self.ledgers.iter_mut().for_each(|ledger| ledger.restored(era, grants));
+            self.ledgers.iter_mut().for_each(|ledger| ledger.reset_after_restore(era, grants));
             self.grants.await_recovery();
             self.relay.push_due = true;
         }
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -64,7 +64,7 @@
             }
             message::Message::LedgerCopyStored { shard, write } => {
                 if let Some(ledger) = self.ledgers.get_mut(shard as usize) {
-                    ledger.copied(from, write);
+                    ledger.record_copy(from, write);
                 }
                 self.tick_copies(now_ms);
                 self.tick_waiting_budget(now_ms);
--- a/core/src/node/platform.rs
+++ b/core/src/node/platform.rs
@@ -165,7 +165,7 @@
             description,
             routers: self.members.live_count(),
             stopping: self.stopping(),
-            gone,
+            is_terminated: gone,
             recovery_window_over: self.recovery_window_over(now_ms),
             draw_not_before_ms: self.draw_not_before_ms(),
         }
@@ -179,11 +179,16 @@
         let description = self.ledger_holder();
         let gone = self.gone();
         let context = self.ledger_context(&description, &gone, now_ms);
-        let (write, events) =
-            self.ledgers[shard].reply(call, reply, &mut self.grants, &context, &mut self.rng);
+        let (write, events) = self.ledgers[shard].handle_reply(
+            call,
+            reply,
+            &mut self.grants,
+            &context,
+            &mut self.rng,
+        );
         if let Some(ledger_writer::Write { expected_index, value, sets_era_marker }) = write {
             let call = self.call(Purpose::Ledger(shard));
-            self.ledgers[shard].writing(call);
+            self.ledgers[shard].set_write_call(call);
             // A write that follows its read is paid for without waiting: the read was the limit.
             self.writes.try_take(now_ms);
             let key = ledger::key(shard as u32);
@@ -198,7 +203,7 @@
 
     fn ledger_event(&mut self, shard: usize, event: ledger_writer::Event, now_ms: u64) {
         match event {
-            ledger_writer::Event::Followed => {
+            ledger_writer::Event::AccountsUpdated => {
                 self.note_followed(shard, now_ms);
                 self.tick_waiting_budget(now_ms);
                 self.answer_questions(now_ms);
@@ -212,7 +217,7 @@
                     self.actions.push(Action::Notice(Notice::Fenced));
                 }
             }
-            ledger_writer::Event::ClosedDead { holder, written_off_tokens, grants } => {
+            ledger_writer::Event::TerminatedHolderClosed { holder, written_off_tokens, grants } => {
                 self.counters.written_off_tokens += written_off_tokens;
                 let notice = Notice::ClosedDead { holder, written_off_tokens, grants };
                 self.actions.push(Action::Notice(notice));
--- a/core/tests/ledger_bench/mod.rs
+++ b/core/tests/ledger_bench/mod.rs
@@ -44,7 +44,7 @@
         description,
         routers: 1,
         stopping,
-        gone: &|_, _| false,
+        is_terminated: &|_, _| false,
         recovery_window_over: true,
         draw_not_before_ms: 0,
     }
@@ -88,7 +88,7 @@
         let description = description();
         let context = context(&description, self.now_ms, self.stopping);
         let (write, events) =
-            self.writer.reply(call, reply, &mut self.table, &context, &mut self.rng);
+            self.writer.handle_reply(call, reply, &mut self.table, &context, &mut self.rng);
         self.calls += 1;
         let call = ids::CallId(1_000 + self.calls);
         let sent = write.map(|write| Sent {
@@ -97,7 +97,7 @@
             value: write.value,
         });
         if sent.is_some() {
-            self.writer.writing(call);
+            self.writer.set_write_call(call);
         }
         (sent, events)
     }
--- a/core/tests/ledger_rounds.rs
+++ b/core/tests/ledger_rounds.rs
@@ -220,11 +220,17 @@
         let call = ids::CallId(number);
         let asked = context(&description, now_ms, false);
         writer.start(call, &mut table, &asked);
-        writer.reply(call, store::Reply::Unknown, &mut table, &asked, &mut rng);
+        writer.handle_reply(call, store::Reply::Unknown, &mut table, &asked, &mut rng);
         now_ms += 5_000;
     }
     let asked = context(&description, now_ms, false);
     writer.start(ids::CallId(4), &mut table, &asked);
-    writer.reply(ids::CallId(4), store::Reply::Missing { era: 0 }, &mut table, &asked, &mut rng);
+    writer.handle_reply(
+        ids::CallId(4),
+        store::Reply::Missing { era: 0 },
+        &mut table,
+        &asked,
+        &mut rng,
+    );
     assert!(!writer.due(&table, &context(&description, now_ms + 5_000, false)), "it was answered");
 }
