--- a/core/src/grants/account.rs
+++ b/core/src/grants/account.rs
@@ -394,8 +394,8 @@
     }
 
     /// The totals with which this router closes its grant.
-    pub fn closing(&self) -> ledger::Closing {
-        ledger::Closing {
+    pub fn final_totals(&self) -> ledger::FinalTotals {
+        ledger::FinalTotals {
             consumed_tokens: self.consumed_tokens,
             sent_tokens: self.sent_tokens,
             received_tokens: self.received_tokens,
--- a/core/src/ledger.rs
+++ b/core/src/ledger.rs
@@ -167,14 +167,14 @@
 
 /// A grant whose holder has terminated.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct DeadGrant {
+pub struct WrittenOffGrant {
     /// The name of the budget.
     pub budget: String,
     /// The grant as its holder last wrote it.
     pub grant: Grant,
 }
 
-impl DeadGrant {
+impl WrittenOffGrant {
     /// The tokens that count as spent although the holder has not reported them as consumed.
     pub fn written_off_tokens(&self) -> u64 {
         self.grant.unreported_tokens()
@@ -183,7 +183,7 @@
 
 /// The totals with which a holder closes its grant from a budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Closing {
+pub struct FinalTotals {
     /// Tokens that it consumed, including those that must be counted as consumed.
     pub consumed_tokens: u64,
     /// Tokens that it sent to other holders.
@@ -271,7 +271,7 @@
     }
 
     /// Returns up to `tokens` of a holder's grant to the budget; the result is the number of tokens returned.
-    pub fn give_back(&mut self, name: &str, holder: ids::Incarnation, tokens: u64) -> u64 {
+    pub fn return_tokens(&mut self, name: &str, holder: ids::Incarnation, tokens: u64) -> u64 {
         let grant = self.budgets.get_mut(name).and_then(|budget| budget.grants.get_mut(&holder));
         let Some(grant) = grant else { return 0 };
         let returned = tokens.min(grant.granted_tokens);
@@ -280,15 +280,15 @@
     }
 
     /// Closes a holder's grant with the totals that it reports. Its unspent tokens can be drawn by others.
-    pub fn close(&mut self, name: &str, holder: ids::Incarnation, closing: Closing) {
+    pub fn close(&mut self, name: &str, holder: ids::Incarnation, totals: FinalTotals) {
         let Some(budget) = self.budgets.get_mut(name) else { return };
         if budget.grants.remove(&holder).is_none() {
             return;
         }
-        let spent = closing.consumed_tokens.saturating_add(closing.sent_tokens);
+        let spent = totals.consumed_tokens.saturating_add(totals.sent_tokens);
         budget.closed_spent_tokens = budget.closed_spent_tokens.saturating_add(spent);
-        budget.closed_received_tokens += closing.received_tokens;
-        budget.closed_consumed_tokens += closing.consumed_tokens;
+        budget.closed_received_tokens += totals.received_tokens;
+        budget.closed_consumed_tokens += totals.consumed_tokens;
     }
 
     /// Closes all grants of a terminated holder, counting them as spent in full. Returns the number of tokens written off.
@@ -298,10 +298,10 @@
     }
 
     /// Returns the grants of a holder in this shard.
-    pub fn grants_of(&self, holder: ids::Incarnation) -> Vec<DeadGrant> {
+    pub fn grants_of(&self, holder: ids::Incarnation) -> Vec<WrittenOffGrant> {
         let grants = self.budgets.iter().filter_map(|(name, budget)| {
             let grant = *budget.grants.get(&holder)?;
-            Some(DeadGrant { budget: name.clone(), grant })
+            Some(WrittenOffGrant { budget: name.clone(), grant })
         });
         grants.collect()
     }
--- a/core/src/ledger_writer.rs
+++ b/core/src/ledger_writer.rs
@@ -75,7 +75,7 @@
         /// The tokens that count as spent although the holder has not reported them as consumed.
         written_off_tokens: u64,
         /// The grants that were closed.
-        grants: Vec<ledger::DeadGrant>,
+        grants: Vec<ledger::WrittenOffGrant>,
     },
     /// The other incarnations of routers with grants in the shard, and their addresses.
     Holders(Vec<(ids::Incarnation, String)>),
--- a/core/src/ledger_writer/draft.rs
+++ b/core/src/ledger_writer/draft.rs
@@ -141,7 +141,7 @@
             draft.draw(&name, context.holder, drawn);
         } else if resolved {
             let surplus = account.surplus_tokens();
-            account.returning_tokens += draft.give_back(&name, context.holder, surplus);
+            account.returning_tokens += draft.return_tokens(&name, context.holder, surplus);
         }
         let Some(budget) = draft.budgets.get_mut(&name) else { return };
         if account.received_tokens > 0 && account.settings.holders == 0 {
@@ -162,8 +162,8 @@
 fn draft_stop(draft: &mut ledger::Shard, account: &mut grants::Account, holder: ids::Incarnation) {
     let name = account.name.clone();
     if account.reserved_tokens == 0 {
-        draft.close(&name, holder, account.closing());
+        draft.close(&name, holder, account.final_totals());
         return;
     }
-    account.returning_tokens += draft.give_back(&name, holder, account.returnable_tokens());
+    account.returning_tokens += draft.return_tokens(&name, holder, account.returnable_tokens());
 }
--- a/core/src/ledger_writer/restores.rs
+++ b/core/src/ledger_writer/restores.rs
@@ -153,7 +153,7 @@
             let row = shard.budgets.get(name).and_then(|budget| budget.grants.get(&context.holder));
             if row.is_some_and(|row| row.granted_tokens == *granted_tokens) {
                 let before = shard.budgets.get(name).cloned().unwrap_or_default();
-                shard.give_back(name, context.holder, *tokens);
+                shard.return_tokens(name, context.holder, *tokens);
                 // If the interrupted return was applied, these tokens may have been drawn again.
                 if let Some(budget) = shard.budgets.get_mut(name) {
                     budget.preserve_undrawn_tokens(&before);
--- a/core/src/node/notices.rs
+++ b/core/src/node/notices.rs
@@ -60,7 +60,7 @@
         /// Tokens that are counted as spent without a report.
         written_off_tokens: u64,
         /// The grants.
-        grants: Vec<ledger::DeadGrant>,
+        grants: Vec<ledger::WrittenOffGrant>,
     },
     /// It was found out what becomes of tokens that were withheld since a restore.
     RecoveryDecided {
--- a/core/tests/ledger.rs
+++ b/core/tests/ledger.rs
@@ -177,12 +177,12 @@
             let (holder, tokens) = (ids::Incarnation(u64::from(holder % 5)), u64::from(tokens));
             match kind % 4 {
                 0 | 1 => { shard.draw("w/main", holder, tokens); }
-                2 => { shard.give_back("w/main", holder, tokens); }
+                2 => { shard.return_tokens("w/main", holder, tokens); }
                 _ if tokens % 2 == 0 => { shard.write_off(holder); }
                 _ => {
                     let granted = shard.budgets["w/main"].grants.get(&holder);
                     let consumed_tokens = granted.map_or(0, |grant| grant.granted_tokens / 2);
-                    let closing = ledger::Closing { consumed_tokens, ..Default::default() };
+                    let closing = ledger::FinalTotals { consumed_tokens, ..Default::default() };
                     shard.close("w/main", holder, closing);
                 }
             }
--- a/src/telemetry/notices.rs
+++ b/src/telemetry/notices.rs
@@ -4,7 +4,7 @@
 use doorswitch_core::{ids, ledger, node};
 
 /// Writes a log line for a grant that was written off.
-fn log_dead_grant(holder: ids::Incarnation, dead: &ledger::DeadGrant) {
+fn log_dead_grant(holder: ids::Incarnation, dead: &ledger::WrittenOffGrant) {
     log::warn!(
         "event=grant_written_off holder={holder} budget={} written_off_tokens={} granted_tokens={} \
          reported_tokens={} free_tokens={} rate_tokens_per_s={}",
