--- a/core/src/grants.rs
+++ b/core/src/grants.rs
@@ -95,7 +95,7 @@
 
     /// Replaces the shortages of all budgets by those of waiting requests (`waiting`) and of transfer requests of peers
     /// (`requested`).
-    pub fn note_shortages(
+    pub fn set_shortages(
         &mut self,
         waiting: impl Iterator<Item = (ids::BudgetSlot, u64)>,
         requested: impl Iterator<Item = (ids::BudgetSlot, u64)>,
@@ -184,14 +184,14 @@
 
     /// Sets the holders of each budget: all of `routers`, or as many as its settings allow. In the latter case `holds`
     /// returns whether this router is a holder. `draws` returns whether this router draws on demand.
-    pub fn note_holders(
+    pub fn set_holders(
         &mut self,
         routers: u64,
         holds: impl Fn(&Account) -> bool,
         draws: impl Fn(ids::BudgetSlot) -> bool,
     ) {
         for (slot, account) in &mut self.accounts {
-            account.draws = draws(slot);
+            account.draws_on_demand = draws(slot);
             account.holder = account.settings.holders == 0 || holds(account);
             account.routers = match account.settings.holders {
                 0 => routers,
--- a/core/src/grants/account.rs
+++ b/core/src/grants/account.rs
@@ -106,7 +106,7 @@
     /// Whether this router is a holder: one that keeps headroom of the budget.
     pub holder: bool,
     /// Whether this router draws on demand, for waiting requests, although it is not a holder.
-    pub draws: bool,
+    pub draws_on_demand: bool,
     /// The spend rate of the other holders, as of the last read of the ledger.
     pub others_rate_tokens_per_s: u64,
     rate_milli_tokens_per_s: u64,
@@ -156,7 +156,7 @@
             awaits_recovery: false,
             routers: 1,
             holder: settings.holders == 0,
-            draws: false,
+            draws_on_demand: false,
             others_rate_tokens_per_s: 0,
             rate_milli_tokens_per_s: 0,
             refill: refill::Refill::default(),
@@ -311,7 +311,7 @@
     /// Near the end of a budget each router draws only a part of the rest, so that no router keeps all of it unused; for
     /// a waiting request it may draw all.
     pub fn draw_tokens(&self, remaining_tokens: u64, routers: u64) -> u64 {
-        if !self.wants_draw() {
+        if !self.needs_draw() {
             return 0;
         }
         let high = match self.settings.held_percent {
@@ -339,8 +339,8 @@
     }
 
     /// Whether too few tokens are free. A draw exceeds this threshold, so that refills are infrequent.
-    pub fn wants_draw(&self) -> bool {
-        if !self.holder && !self.draws {
+    pub fn needs_draw(&self) -> bool {
+        if !self.holder && !self.draws_on_demand {
             return false;
         }
         let target = match self.settings.held_percent {
@@ -413,7 +413,7 @@
     }
 
     /// Records that tokens were sent to the holder of the budget. They don't count towards the spend rate.
-    pub fn note_handed_back(&mut self, tokens: u64) {
+    pub fn record_sent_to_holder(&mut self, tokens: u64) {
         self.measured_tokens = self.measured_tokens.saturating_add(tokens);
     }
 
--- a/core/src/ledger_writer.rs
+++ b/core/src/ledger_writer.rs
@@ -243,7 +243,8 @@
         let mut accounts = table.in_shard(self.shard).iter().map(|slot| table.account(*slot));
         if self.stale {
             // A router that neither holds nor draws from a budget of the shard needs no current state of it.
-            return accounts.any(|account| account.holder || account.draws || account.has_row);
+            return accounts
+                .any(|account| account.holder || account.draws_on_demand || account.has_row);
         }
         accounts.any(|account| {
             due::is_due(account, since_ms, context)
--- a/core/src/ledger_writer/due.rs
+++ b/core/src/ledger_writer/due.rs
@@ -34,10 +34,10 @@
         0 => REFILL_INTERVAL_MS,
         _ => SHARE_REFILL_INTERVAL_MS,
     };
-    (account.wants_draw() && !empty && since_ms >= refill_ms)
+    (account.needs_draw() && !empty && since_ms >= refill_ms)
         || (account.surplus_tokens() > 0 && since_ms >= refill_ms)
         || (account.overdrawn && account.surplus_tokens() > 0)
         || ((unreported || lacks_row) && since_ms >= REPORT_INTERVAL_MS)
         || (account.should_raise_reserve() && since_ms >= REFILL_INTERVAL_MS)
-        || (account.wants_draw() && since_ms >= EMPTY_CHECK_INTERVAL_MS)
+        || (account.needs_draw() && since_ms >= EMPTY_CHECK_INTERVAL_MS)
 }
--- a/core/src/node/holders.rs
+++ b/core/src/node/holders.rs
@@ -75,7 +75,7 @@
             let direct = self.asks.get(&budget).is_some_and(|ask| now_ms < ask.direct_until_ms);
             direct || self.holders.questions.iter().any(|question| question.budget == budget)
         };
-        self.grants.note_holders(routers, holds, draws);
+        self.grants.set_holders(routers, holds, draws);
     }
 
     /// Goes on with what waits for a holder's answer.
@@ -209,7 +209,7 @@
 
     fn draw_directly(&mut self, budget: ids::BudgetSlot, now_ms: u64) {
         self.asks.entry(budget).or_default().direct_until_ms = now_ms + DIRECT_MS;
-        self.grants.account_mut(budget).draws = true;
+        self.grants.account_mut(budget).draws_on_demand = true;
         self.sum_shortages();
         self.poke_ledger_of(budget);
         self.tick_platform(now_ms);
@@ -313,7 +313,7 @@
         for (budget, tokens) in over {
             if let Some(holder) = self.holder_to_ask(budget, &[]) {
                 self.give(holder, budget, tokens, 0, now_ms);
-                self.grants.account_mut(budget).note_handed_back(tokens);
+                self.grants.account_mut(budget).record_sent_to_holder(tokens);
             }
         }
     }
--- a/core/src/node/questions.rs
+++ b/core/src/node/questions.rs
@@ -82,7 +82,7 @@
         let budgets: Vec<ids::BudgetSlot> =
             self.holders.questions.iter().map(|question| question.budget).collect();
         for budget in budgets {
-            self.grants.account_mut(budget).draws = true;
+            self.grants.account_mut(budget).draws_on_demand = true;
             self.poke_ledger_of(budget);
         }
         self.tick_platform(now_ms);
--- a/core/src/node/tokens.rs
+++ b/core/src/node/tokens.rs
@@ -155,7 +155,7 @@
         let waiting = self.requests.values().filter(|it| matches!(it.stage, Stage::WaitingBudget));
         let lacking = waiting.map(|request| (request.budget, request.wanted.bound_tokens));
         let asked: Vec<(ids::BudgetSlot, u64)> = self.asked_tokens().collect();
-        self.grants.note_shortages(lacking, asked.into_iter());
+        self.grants.set_shortages(lacking, asked.into_iter());
     }
 }
 
--- a/core/tests/ledger_rounds.rs
+++ b/core/tests/ledger_rounds.rs
@@ -185,9 +185,9 @@
     let mut draws = 0;
     for need in 0..200 {
         let account = table.account_mut(budget);
-        account.draws = true;
+        account.draws_on_demand = true;
         account.shortage_tokens = 1_000;
-        if account.wants_draw() {
+        if account.needs_draw() {
             let drawn_tokens = account.draw_tokens(left_tokens, 1);
             assert!(drawn_tokens >= 1_000);
             account.granted_tokens += drawn_tokens;
