--- a/core/src/grants.rs
+++ b/core/src/grants.rs
@@ -182,17 +182,17 @@
         }
     }
 
-    /// Sets the holders of each budget: all of `routers`, or as many as its settings allow. In the latter case `holds`
-    /// returns whether this router is a holder. `draws` returns whether this router draws on demand.
+    /// Sets the holders of each budget: all of `routers`, or as many as its settings allow. In the latter case `is_holder`
+    /// returns whether this router is a holder. `draws_on_demand` returns whether this router draws on demand.
     pub fn set_holders(
         &mut self,
         routers: u64,
-        holds: impl Fn(&Account) -> bool,
-        draws: impl Fn(ids::BudgetSlot) -> bool,
+        is_holder: impl Fn(&Account) -> bool,
+        draws_on_demand: impl Fn(ids::BudgetSlot) -> bool,
     ) {
         for (slot, account) in &mut self.accounts {
-            account.draws_on_demand = draws(slot);
-            account.holder = account.settings.holders == 0 || holds(account);
+            account.draws_on_demand = draws_on_demand(slot);
+            account.holder = account.settings.holders == 0 || is_holder(account);
             account.routers = match account.settings.holders {
                 0 => routers,
                 holders => holders.min(routers).max(account.rows),
--- a/core/src/grants/account.rs
+++ b/core/src/grants/account.rs
@@ -175,8 +175,9 @@
         if self.closed {
             return 0;
         }
-        let held = self.granted_tokens.saturating_add(self.received_tokens);
-        held.saturating_sub(self.returning_tokens)
+        let available = self.granted_tokens.saturating_add(self.received_tokens);
+        available
+            .saturating_sub(self.returning_tokens)
             .saturating_sub(self.locked_tokens)
             .saturating_sub(self.sent_tokens)
             .saturating_sub(self.consumed_tokens)
@@ -319,10 +320,10 @@
             _ => self.target_tokens(),
         };
         let high = high.max(self.extra_draw_tokens());
-        let held = self.free_or_locked_tokens();
-        let lacking = high.saturating_add(self.shortage_tokens).saturating_sub(held);
+        let available = self.free_or_locked_tokens();
+        let lacking = high.saturating_add(self.shortage_tokens).saturating_sub(available);
         let fair = remaining_tokens / routers.max(1).saturating_mul(2);
-        let needed = self.shortage_tokens.saturating_sub(held);
+        let needed = self.shortage_tokens.saturating_sub(available);
         lacking.min(fair.max(needed)).min(remaining_tokens)
     }
 
@@ -446,8 +447,8 @@
         let kept = self.rate_milli_tokens_per_s.saturating_mul(window_ms - weight_ms) / window_ms;
         self.rate_milli_tokens_per_s =
             kept.saturating_add(rate.saturating_mul(weight_ms) / window_ms);
-        let faded = self.peak_milli_tokens_per_s.saturating_mul(elapsed_ms) / PEAK_DECAY_MS;
-        let peak = self.peak_milli_tokens_per_s.saturating_sub(faded);
+        let decay = self.peak_milli_tokens_per_s.saturating_mul(elapsed_ms) / PEAK_DECAY_MS;
+        let peak = self.peak_milli_tokens_per_s.saturating_sub(decay);
         self.peak_milli_tokens_per_s = peak.max(self.rate_milli_tokens_per_s);
         if self.rate_milli_tokens_per_s == 0 && self.shortage_tokens == 0 {
             self.needed_tokens = 0;
--- a/core/src/ledger.rs
+++ b/core/src/ledger.rs
@@ -236,8 +236,9 @@
     /// Adds `tokens` to a budget, once for each operation id. Returns whether the operation was new.
     pub fn pay(&mut self, name: &str, operation: &str, tokens: u64) -> Result<bool, Error> {
         let budget = self.budgets.entry(name.to_owned()).or_default();
-        if let Some(known) = budget.payments.iter().find(|known| known.operation == operation) {
-            ensure!(known.tokens == tokens, OperationReusedSnafu { operation });
+        if let Some(applied) = budget.payments.iter().find(|applied| applied.operation == operation)
+        {
+            ensure!(applied.tokens == tokens, OperationReusedSnafu { operation });
             return Ok(false);
         }
         let paid = budget.paid_tokens.checked_add(tokens).filter(|sum| *sum <= i64::MAX as u64);
@@ -252,8 +253,8 @@
 
     /// Sets the prepaid amount of a configuration, if its version is higher than the last one that was applied.
     pub fn set_prepaid(&mut self, name: &str, tokens: u64, version: u64) {
-        let known = self.budgets.get(name).map_or(0, |budget| budget.paid_version);
-        if version > known {
+        let applied_version = self.budgets.get(name).map_or(0, |budget| budget.paid_version);
+        if version > applied_version {
             let budget = self.budgets.entry(name.to_owned()).or_default();
             budget.paid_tokens = tokens;
             budget.paid_version = version;
--- a/core/src/ledger_writer.rs
+++ b/core/src/ledger_writer.rs
@@ -83,7 +83,7 @@
     Unusable(String),
 }
 
-/// A decision on draws that a restore of the store may have lost, from the routers that have recovered theirs.
+/// Which draws a restore of the store may still have lost, derived from what the routers report as recovered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecoveryDecision {
     /// The number of silent routers, which may have made draws that the other routers have no copy of. Each of them may
@@ -124,7 +124,7 @@
 pub struct Writer {
     shard: u32,
     state: State,
-    /// The index at which a write was sent whose result is not known.
+    /// The index of the value that a write of unknown result was to replace.
     unresolved_write_index: Option<store::Position>,
     backoff: backoff::Backoff,
     not_before_ms: u64,
--- a/core/src/ledger_writer/accounts.rs
+++ b/core/src/ledger_writer/accounts.rs
@@ -69,7 +69,7 @@
                 drawn.push((slot, account.granted_tokens - granted_tokens));
             }
             account.awaits_recovery &= !is_of_current_era;
-            let known = budget.is_some();
+            let exists = budget.is_some();
             let budget = budget.unwrap_or(&absent);
             account.update_from_budget(budget, context.holder);
             account.paid_tokens = budget.paid_tokens;
@@ -77,7 +77,7 @@
             account.written_off_tokens = budget.written_off_tokens;
             account.record_ledger_read(context.now_ms);
             account.rows = budget.grants.len() as u64;
-            if known && budget.paid_version >= account.confirm_version {
+            if exists && budget.paid_version >= account.confirm_version {
                 account.confirm_version = 0;
             }
         }
