--- a/core/src/node/platform.rs
+++ b/core/src/node/platform.rs
@@ -156,7 +156,7 @@
     fn ledger_context<'a>(
         &self,
         description: &'a ledger::Holder,
-        gone: &'a dyn Fn(ids::Incarnation, &ledger::Holder) -> bool,
+        is_terminated: &'a dyn Fn(ids::Incarnation, &ledger::Holder) -> bool,
         now_ms: u64,
     ) -> ledger_writer::Context<'a> {
         ledger_writer::Context {
@@ -165,7 +165,7 @@
             description,
             routers: self.members.live_count(),
             stopping: self.stopping(),
-            is_terminated: gone,
+            is_terminated,
             recovery_window_over: self.recovery_window_over(now_ms),
             draw_not_before_ms: self.draw_not_before_ms(),
         }
