--- a/core/src/grants.rs
+++ b/core/src/grants.rs
@@ -1,8 +1,8 @@
 //! The tokens that this router may spend: its grant of each budget, and what is reserved or consumed of it.
 //!
-//! An account mirrors this router's grant in the ledger (`granted_tokens`). The mirror changes only with the known state
-//! of the ledger, never by assuming the result of a write whose reply was lost. Tokens that are being returned are
-//! subtracted before the write is sent, and added again only once it is certain that the write had no effect.
+//! An account mirrors this router's grant in the ledger (`granted_tokens`). The mirror changes only with the known
+//! state of the ledger, never by assuming the result of a write whose reply was lost. Tokens that are being returned
+//! are subtracted before the write is sent, and added again only once it is certain that the write had no effect.
 
 mod account;
 mod refill;
@@ -31,8 +31,8 @@
         Self { by_shard, backup_age_ms: DEFAULT_BACKUP_AGE_MS, ..Self::default() }
     }
 
-    /// Sets the greatest age of a backup of the store when it is restored, in milliseconds, for budgets that are declared
-    /// from now on.
+    /// Sets the greatest age of a backup of the store when it is restored, in milliseconds, for budgets that are
+    /// declared from now on.
     pub fn set_backup_age_ms(&mut self, backup_age_ms: u64) {
         self.backup_age_ms = backup_age_ms;
     }
@@ -182,8 +182,9 @@
         }
     }
 
-    /// Sets the holders of each budget: all of `routers`, or as many as its settings allow. In the latter case `is_holder`
-    /// returns whether this router is a holder. `draws_on_demand` returns whether this router draws on demand.
+    /// Sets the holders of each budget: all of `routers`, or as many as its settings allow. In the latter case
+    /// `is_holder` returns whether this router is a holder. `draws_on_demand` returns whether this router draws on
+    /// demand.
     pub fn set_holders(
         &mut self,
         routers: u64,
--- a/core/src/grants/account.rs
+++ b/core/src/grants/account.rs
@@ -7,8 +7,8 @@
 /// single requests would make routers draw and return tokens in turn.
 const RATE_WINDOW_MIN_MS: u64 = 20_000;
 const RATE_WINDOW_MAX_MS: u64 = 600_000;
-/// Windows of the spend rate of budgets with `held_percent`, where the headroom of all holders is at most a share of the
-/// budget: the usual window, and the shortest one, for the first average.
+/// Windows of the spend rate of budgets with `held_percent`, where the headroom of all holders is at most a share of
+/// the budget: the usual window, and the shortest one, for the first average.
 const SHARE_RATE_WINDOW_MS: u64 = 10_000;
 const SHARE_RATE_WINDOW_FIRST_MS: u64 = 3_000;
 /// The shortest window for a budget that no other holder has spent from. A first window of 3 s underestimates the rate
@@ -26,7 +26,8 @@
 /// While a budget is in use, the headroom covers at least this many requests of the largest size that had to wait for
 /// tokens: a client that sent one request soon sends more, and the spend rate is not known yet.
 const HEADROOM_REQUESTS: u64 = 8;
-/// One part in this many of the share is divided equally among the holders, the rest in proportion to their spend rates.
+/// One part in this many of the share is divided equally among the holders, the rest in proportion to their spend
+/// rates.
 const EQUAL_SHARE_DIVISOR: u64 = 4;
 
 /// The prepaid amount that a configuration sets.
@@ -234,7 +235,8 @@
         self.needed_tokens = self.needed_tokens.max(tokens);
     }
 
-    /// The greatest headroom of this holder. It is limited so that a loss of all holders costs only a part of the budget.
+    /// The greatest headroom of this holder. It is limited so that a loss of all holders costs only a part of the
+    /// budget.
     fn holder_limit_tokens(&self) -> u64 {
         let own_rate = self.rate_tokens_per_s();
         let all_rates = own_rate.saturating_add(self.others_rate_tokens_per_s).max(1);
@@ -267,8 +269,8 @@
 
     /// The tokens of the budget that were not spent when the ledger was last read.
     ///
-    /// With a single holder, the free tokens in the grants of former holders don't count: they were sent to the holder or
-    /// lost with their routers.
+    /// With a single holder, the free tokens in the grants of former holders don't count: they were sent to the holder
+    /// or lost with their routers.
     fn unspent_tokens(&self) -> u64 {
         let held_tokens = match self.settings.holders {
             1 => self.free_tokens(),
@@ -309,8 +311,8 @@
 
     /// The number of tokens to draw if `remaining_tokens` are left for `routers` routers.
     ///
-    /// Near the end of a budget each router draws only a part of the rest, so that no router keeps all of it unused; for
-    /// a waiting request it may draw all.
+    /// Near the end of a budget each router draws only a part of the rest, so that no router keeps all of it unused;
+    /// for a waiting request it may draw all.
     pub fn draw_tokens(&self, remaining_tokens: u64, routers: u64) -> u64 {
         if !self.needs_draw() {
             return 0;
--- a/core/src/grants/refill.rs
+++ b/core/src/grants/refill.rs
@@ -1,10 +1,11 @@
 //! Limits how fast a holder rebuilds its headroom after an outage of the store.
 //!
 //! After an outage a holder has no headroom left. If it were rebuilt at once, all of it would be lost if the holders
-//! terminated soon after, and an outage that affects all routers is often followed by further faults. So the headroom is
-//! limited to one second of spending at first, and the limit grows by one second each second.
+//! terminated soon after, and an outage that affects all routers is often followed by further faults. So the headroom
+//! is limited to one second of spending at first, and the limit grows by one second each second.
 
-/// A holder that could not read the ledger for this long, and is low on tokens, is assumed to have been through an outage.
+/// A holder that could not read the ledger for this long, and is low on tokens, is assumed to have been through an
+/// outage.
 const OUTAGE_MS: u64 = 3_000;
 /// The limit of the headroom right after an outage, in milliseconds of spending.
 const INITIAL_HEADROOM_MS: u64 = 1_000;
--- a/core/src/grants/reserve.rs
+++ b/core/src/grants/reserve.rs
@@ -43,7 +43,8 @@
         }
     }
 
-    /// The reserve for a spend rate. It leaves out the tokens that are spent before a lower reserve can come into effect.
+    /// The reserve for a spend rate. It leaves out the tokens that are spent before a lower reserve can come into
+    /// effect.
     fn target_reserve_tokens(&self, rate_tokens_per_s: u64, backup_age_ms: u64) -> u64 {
         let spent_tokens = rate_tokens_per_s.saturating_mul(backup_age_ms) / 1_000;
         let drawable_tokens = self
@@ -74,8 +75,8 @@
         !in_use && self.measured_ms >= self.spent_ms + IDLE_MS
     }
 
-    /// The higher reserve for the present spend rate; `None` if the rate is not known well enough or the present reserve
-    /// is not much lower.
+    /// The higher reserve for the present spend rate; `None` if the rate is not known well enough or the present
+    /// reserve is not much lower.
     pub fn higher_reserve_tokens(&self) -> Option<u64> {
         let idle = self.idle() && self.undrawn.others_idle;
         let steady = self.rate_tokens_per_s() > 0
--- a/core/src/ledger.rs
+++ b/core/src/ledger.rs
@@ -79,8 +79,8 @@
     pub vm: String,
     /// The address on which it listens for peers. No two running processes can have the same one.
     pub address: String,
-    /// The first index of the platform's list of VMs in which it found its own VM; 0 if it has not found it. Only a list
-    /// that is at least as new and lacks the VM proves that the holder has terminated.
+    /// The first index of the platform's list of VMs in which it found its own VM; 0 if it has not found it. Only a
+    /// list that is at least as new and lacks the VM proves that the holder has terminated.
     pub listed_index: u64,
     /// The store's era in which that list was read.
     #[serde(default)]
@@ -292,7 +292,8 @@
         budget.closed_consumed_tokens += totals.consumed_tokens;
     }
 
-    /// Closes all grants of a terminated holder, counting them as spent in full. Returns the number of tokens written off.
+    /// Closes all grants of a terminated holder, counting them as spent in full. Returns the number of tokens written
+    /// off.
     pub fn write_off(&mut self, holder: ids::Incarnation) -> u64 {
         self.holders.remove(&holder);
         self.budgets.values_mut().map(|budget| budget.write_off(holder)).sum()
--- a/core/src/ledger/recovery.rs
+++ b/core/src/ledger/recovery.rs
@@ -16,14 +16,15 @@
         self.written_era() < found.era
     }
 
-    /// The store's era in which this value was written. Releases that wrote no era ran before any restore, so theirs is 0.
+    /// The store's era in which this value was written. Releases that wrote no era ran before any restore, so theirs is
+    /// 0.
     pub fn written_era(&self) -> u64 {
         self.era.unwrap_or(0)
     }
 
-    /// Returns the recovered value, or `None` if this value, which was read at `found`, needs no change. `last_seen` is the
-    /// latest state that this router saw. If this value is of an earlier era and strictly later than that state, or the
-    /// router saw none, it starts the current era only once the recovery window is over.
+    /// Returns the recovered value, or `None` if this value, which was read at `found`, needs no change. `last_seen` is
+    /// the latest state that this router saw. If this value is of an earlier era and strictly later than that state, or
+    /// the router saw none, it starts the current era only once the recovery window is over.
     pub fn recover(
         &self,
         found: store::Position,
@@ -70,8 +71,8 @@
         self.writes.iter().filter(later).map(|(writer, _)| *writer).collect()
     }
 
-    /// Sets the version vector entry of a writer to the number of its latest write. If there are too many entries, those
-    /// of writers without grants are removed.
+    /// Sets the version vector entry of a writer to the number of its latest write. If there are too many entries,
+    /// those of writers without grants are removed.
     pub fn set_write_count(&mut self, writer: ids::Incarnation, count: u64) {
         self.writes.insert(writer, count);
         if self.writes.len() > WRITERS_MAX {
@@ -135,8 +136,9 @@
         }
     }
 
-    /// Merges a state of the lost history; `of_earlier_era` is set if it is of an earlier era than this state. `is_later`
-    /// and `is_earlier` return whether this state has a later or an earlier row of a holder than the other one.
+    /// Merges a state of the lost history; `of_earlier_era` is set if it is of an earlier era than this state.
+    /// `is_later` and `is_earlier` return whether this state has a later or an earlier row of a holder than the other
+    /// one.
     fn merge(
         &mut self,
         lost: &Self,
@@ -148,8 +150,8 @@
         self.merge_counters(lost, is_later, is_earlier);
         let (own, lost) = (before.withheld, lost.withheld);
         if of_earlier_era {
-            // Tokens of recovered draws need no longer be withheld. Recovered payments are withheld, because they may have
-            // been drawn as well.
+            // Tokens of recovered draws need no longer be withheld. Recovered payments are withheld, because they may
+            // have been drawn as well.
             self.withheld.lost_tokens = own.lost_tokens.max(lost.lost_tokens);
             self.preserve_undrawn_tokens(&before);
         } else {
@@ -183,8 +185,8 @@
         self.closed_consumed_tokens += added(lost_closed.consumed_tokens, before.consumed_tokens);
         self.written_off_tokens += added(lost_closed.written_off_tokens, before.written_off_tokens);
         self.closed_before = before.max(lost_closed);
-        // Only the holder writes its row, so the row of its latest write is the valid one, even if it returned tokens and
-        // the granted amount is lower.
+        // Only the holder writes its row, so the row of its latest write is the valid one, even if it returned tokens
+        // and the granted amount is lower.
         for (holder, lost) in &lost.grants {
             let grant = self.grants.entry(*holder).or_insert(*lost);
             if is_earlier(*holder) {
--- a/core/src/ledger/reserve.rs
+++ b/core/src/ledger/reserve.rs
@@ -1,8 +1,8 @@
-//! Tokens of a budget that cannot be drawn: the reserve, and tokens that are withheld because a restore of the store may
-//! have lost draws of them.
+//! Tokens of a budget that cannot be drawn: the reserve, and tokens that are withheld because a restore of the store
+//! may have lost draws of them.
 //!
-//! The reserve limits the draws that a restore can lose. It is raised at once, and lowered only after the lower value has
-//! been in the store for longer than the age of any backup. So the draws since a backup was taken never exceed the
+//! The reserve limits the draws that a restore can lose. It is raised at once, and lowered only after the lower value
+//! has been in the store for longer than the age of any backup. So the draws since a backup was taken never exceed the
 //! undrawn tokens above the least reserve in that backup.
 
 use super::{Budget, Shard, UNLIMITED_TOKENS};
@@ -12,8 +12,8 @@
 /// One part in this many of the reserve in a backup stays in reserve in the era that restored it.
 const ERA_RESERVE_DIVISOR: u64 = 4;
 
-/// One part in this many of the undrawn tokens is withheld for each silent router, for draws that the others have no copy
-/// of. It is twice what a router spends of such draws, because tokens may have been returned meanwhile.
+/// One part in this many of the undrawn tokens is withheld for each silent router, for draws that the others have no
+/// copy of. It is twice what a router spends of such draws, because tokens may have been returned meanwhile.
 const SILENT_ROUTER_DIVISOR: u64 = 4;
 
 /// Undrawn tokens that may not be drawn yet.
@@ -99,15 +99,15 @@
         self.withheld = Withheld { unconfirmed_tokens: withheld_tokens - lost_tokens, lost_tokens };
     }
 
-    /// Adjusts the withheld tokens after a change, so that the undrawn tokens stay as in `before`, the budget before the
-    /// change. Only a decrease of the paid-in amount lowers them.
+    /// Adjusts the withheld tokens after a change, so that the undrawn tokens stay as in `before`, the budget before
+    /// the change. Only a decrease of the paid-in amount lowers them.
     pub(crate) fn preserve_undrawn_tokens(&mut self, before: &Budget) {
         let paid_less_tokens = before.paid_tokens.saturating_sub(self.paid_tokens);
         self.withhold_all_but(before.undrawn_tokens().saturating_sub(paid_less_tokens));
     }
 
-    /// Begins an era that restored this budget from `backup`, which was written `eras` eras before: withholds the tokens
-    /// that may have been drawn since.
+    /// Begins an era that restored this budget from `backup`, which was written `eras` eras before: withholds the
+    /// tokens that may have been drawn since.
     pub(super) fn begin_era(&mut self, backup: Option<&Budget>, eras: u64) {
         let mut reserve_tokens = backup.map_or(0, |backup| backup.reserve.least_tokens());
         for _ in 1..eras {
@@ -123,11 +123,11 @@
 }
 
 impl Shard {
-    /// Makes withheld tokens drawable, except those that `silent` routers may have drawn without the others having a copy.
-    /// If `is_final`, no router is left that could report such draws, and the rest is recorded as lost.
+    /// Makes withheld tokens drawable, except those that `silent` routers may have drawn without the others having a
+    /// copy. If `is_final`, no router is left that could report such draws, and the rest is recorded as lost.
     pub fn apply_recovery_decision(&mut self, silent: Option<u64>, is_final: bool) {
-        // Only a lower number is applied. The bound depends on the undrawn tokens, and later there are fewer of them than
-        // when these routers may have drawn.
+        // Only a lower number is applied. The bound depends on the undrawn tokens, and later there are fewer of them
+        // than when these routers may have drawn.
         let fewer = |silent: &u64| self.silent_routers.is_none_or(|known| *silent < known);
         let silent = silent.filter(fewer);
         self.silent_routers = silent.or(self.silent_routers);
--- a/core/src/ledger_writer.rs
+++ b/core/src/ledger_writer.rs
@@ -1,8 +1,8 @@
 //! Reads, changes and writes one shard of the ledger by compare-and-swap.
 //!
 //! A sync is one read-modify-write of the shard. One call is in flight at a time, and one write contains this router's
-//! changes to all budgets of the shard. After a write without a reply the shard is read again: only a later index proves
-//! that the write can no longer take effect.
+//! changes to all budgets of the shard. After a write without a reply the shard is read again: only a later index
+//! proves that the write can no longer take effect.
 
 mod accounts;
 mod copies;
@@ -36,8 +36,8 @@
     pub is_terminated: &'a dyn Fn(ids::Incarnation, &ledger::Holder) -> bool,
     /// Whether other routers have had time to write the states that they saw back to a restored store.
     pub recovery_window_over: bool,
-    /// Nothing is drawn before this time, so that after a restore other routers can first write back the states that they
-    /// saw.
+    /// Nothing is drawn before this time, so that after a restore other routers can first write back the states that
+    /// they saw.
     pub draw_not_before_ms: u64,
 }
 
@@ -252,8 +252,8 @@
         })
     }
 
-    /// Starts a sync: with a write, if the value in the store is known and a change is due, otherwise with a read of the
-    /// shard. Returns the call of the store to make.
+    /// Starts a sync: with a write, if the value in the store is known and a change is due, otherwise with a read of
+    /// the shard. Returns the call of the store to make.
     pub fn start(
         &mut self,
         call: ids::CallId,
--- a/core/src/ledger_writer/accounts.rs
+++ b/core/src/ledger_writer/accounts.rs
@@ -41,8 +41,9 @@
         changed || !self.terminated_in_draft.is_empty()
     }
 
-    /// Updates the accounts from a state of the shard and returns the resulting events. `definite` means that no earlier
-    /// write can still take effect. If this router was written off, the accounts after the missing row are not updated.
+    /// Updates the accounts from a state of the shard and returns the resulting events. `definite` means that no
+    /// earlier write can still take effect. If this router was written off, the accounts after the missing row are not
+    /// updated.
     pub(super) fn apply_shard(
         &mut self,
         shard: &ledger::Shard,
--- a/core/src/ledger_writer/draft.rs
+++ b/core/src/ledger_writer/draft.rs
@@ -132,7 +132,8 @@
             0 => context.routers,
             _ => account.routers,
         };
-        // A sync of an idle account only raises its reserve. Tokens drawn in it would be lost if this router terminated.
+        // A sync of an idle account only raises its reserve. Tokens drawn in it would be lost if this router
+        // terminated.
         let drawn = match context.may_draw() && !account.idle() {
             true => account.draw_tokens(remaining, sharing_routers),
             false => 0,
@@ -157,8 +158,9 @@
     }
 }
 
-/// Drafts the changes of a stopping router: closes its grant or, while a request still runs, returns all tokens that the
-/// request cannot consume. They are returned early because the request may run longer than the router is given to stop.
+/// Drafts the changes of a stopping router: closes its grant or, while a request still runs, returns all tokens that
+/// the request cannot consume. They are returned early because the request may run longer than the router is given to
+/// stop.
 fn draft_stop(draft: &mut ledger::Shard, account: &mut grants::Account, holder: ids::Incarnation) {
     let name = account.name.clone();
     if account.reserved_tokens == 0 {
--- a/core/src/ledger_writer/replies.rs
+++ b/core/src/ledger_writer/replies.rs
@@ -225,7 +225,8 @@
             | store::Reply::Overtaken { .. }
             | store::Reply::Undecodable { .. } => {
                 self.overtaken_writes = 0;
-                // This write had no effect. The write that it lost to may be an earlier one of this router without a reply.
+                // This write had no effect. The write that it lost to may be an earlier one of this router without a
+                // reply.
                 self.unresolved_write_index = self.unresolved_write_index.or(Some(base_index));
                 self.sync_requested = true;
                 let delay = self.backoff.next_delay_ms(rng);
--- a/core/src/ledger_writer/restores.rs
+++ b/core/src/ledger_writer/restores.rs
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Merges a state of the shard that another router wrote into the peer copy. If it is of an earlier era than `era`, the
-    /// store may have lost it, so a sync is requested.
+    /// Merges a state of the shard that another router wrote into the peer copy. If it is of an earlier era than `era`,
+    /// the store may have lost it, so a sync is requested.
     pub fn merge_peer_copy(&mut self, position: store::Position, shard: ledger::Shard, era: u64) {
         let copy = match self.peer_copy.take() {
             Some((_, copy)) if shard.includes(&copy) => (position, shard),
@@ -73,7 +73,8 @@
         self.recovery_decision.filter(|(of_era, _)| *of_era == era).map(|(_, decision)| decision)
     }
 
-    /// Whether the shard, as this router read it in `era`, includes every state that this router saw or received before.
+    /// Whether the shard, as this router read it in `era`, includes every state that this router saw or received
+    /// before.
     pub fn has_recovered(&self, era: u64) -> bool {
         let Some((position, seen)) = &self.last_seen else { return self.peer_copy.is_none() };
         let included =
