--- a/core/src/node/config_and_vms.rs
+++ b/core/src/node/config_and_vms.rs
@@ -67,7 +67,7 @@
                 account.holder || account.has_row
             };
             if slots.any(is_held) {
-                ledger.poke();
+                ledger.request_sync();
             }
         }
     }
@@ -129,7 +129,7 @@
         self.expire_leaving_servers(now_ms);
         if router_removed {
             // The next router that reads the ledger writes off its grants.
-            self.ledgers.iter_mut().for_each(ledger_writer::Writer::poke);
+            self.ledgers.iter_mut().for_each(ledger_writer::Writer::request_sync);
         }
         self.become_ready();
     }
--- a/core/src/node/confirmations.rs
+++ b/core/src/node/confirmations.rs
@@ -68,8 +68,8 @@
             else {
                 continue;
             };
-            if self.ledgers[shard as usize].verdict(era) != Some(verdict) {
-                self.ledgers[shard as usize].decide(era, verdict);
+            if self.ledgers[shard as usize].recovery_decision(era) != Some(verdict) {
+                self.ledgers[shard as usize].set_recovery_decision(era, verdict);
                 self.actions.push(Action::Notice(Notice::RecoveryDecided { shard, era, verdict }));
             }
         }
@@ -83,7 +83,7 @@
         since_era: u64,
         others: &collections::BTreeSet<String>,
         replies_final: bool,
-    ) -> Option<ledger_writer::Verdict> {
+    ) -> Option<ledger_writer::RecoveryDecision> {
         let own = self.recovered(shard, since_era);
         if own == message::Recovered::Nothing {
             return None;
@@ -99,7 +99,8 @@
         });
         let is_final = replies_final && answered && silent > 0;
         let silent = Some(silent).filter(|silent| *silent <= self.unavailable_max());
-        (is_final || silent.is_some()).then_some(ledger_writer::Verdict { silent, is_final })
+        (is_final || silent.is_some())
+            .then_some(ledger_writer::RecoveryDecision { silent, is_final })
     }
 
     /// Releases the tokens of a budget that are withheld since restores of the store, on an operator's command. Returns
--- a/core/src/node/holders.rs
+++ b/core/src/node/holders.rs
@@ -91,7 +91,7 @@
             direct
                 || self.holders.received_requests.iter().any(|question| question.budget == budget)
         };
-        self.grants.note_holders(routers, is_holder, draws);
+        self.grants.set_holders(routers, is_holder, draws);
     }
 
     /// Continues the search for a waiting request's tokens: asks a holder, or refuses the request after its wait.
@@ -251,7 +251,7 @@
     fn draw_directly(&mut self, budget: ids::BudgetSlot, now_ms: u64) {
         self.token_searches.entry(budget).or_default().direct_draw_until_ms =
             now_ms + DIRECT_DRAW_MS;
-        self.grants.account_mut(budget).draws = true;
+        self.grants.account_mut(budget).draws_on_demand = true;
         self.update_shortages();
         self.request_ledger_sync(budget);
         self.tick_platform(now_ms);
@@ -362,7 +362,7 @@
         for (budget, tokens) in returned {
             if let Some(holder) = self.holder_to_ask(budget, &[]) {
                 self.send_tokens(holder, budget, tokens, 0, now_ms);
-                self.grants.account_mut(budget).note_handed_back(tokens);
+                self.grants.account_mut(budget).record_sent_to_holder(tokens);
             }
         }
     }
--- a/core/src/node/notices.rs
+++ b/core/src/node/notices.rs
@@ -59,8 +59,9 @@
         holder: ids::Incarnation,
         /// Tokens that are counted as spent, as their use was not reported.
         written_off_tokens: u64,
+
         /// The closed grants.
-        grants: Vec<ledger::DeadGrant>,
+        grants: Vec<ledger::WrittenOffGrant>,
     },
     /// It was decided whether tokens that are withheld since a restore of the store are released or lost.
     RecoveryDecided {
@@ -68,8 +69,9 @@
         shard: u32,
         /// Era of the store.
         era: u64,
+
         /// The decision.
-        verdict: ledger_writer::Verdict,
+        verdict: ledger_writer::RecoveryDecision,
     },
     /// A server restarted under its name.
     ServerRestarted(servers::Restarted),
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -68,7 +68,7 @@
             }
             message::Message::LedgerCopyStored { shard, write } => {
                 if let Some(ledger) = self.ledgers.get_mut(shard as usize) {
-                    ledger.copied(from, write);
+                    ledger.record_copy(from, write);
                 }
                 self.tick_ledger_copies(now_ms);
                 self.tick_waiting_budget(now_ms);
@@ -82,7 +82,7 @@
             }
             message::Message::LeftBehind { shard } => {
                 if let Some(ledger) = self.ledgers.get_mut(shard as usize) {
-                    ledger.poke();
+                    ledger.request_sync();
                 }
             }
         }
--- a/core/src/node/platform.rs
+++ b/core/src/node/platform.rs
@@ -159,7 +159,7 @@
     fn ledger_context<'a>(
         &self,
         description: &'a ledger::Holder,
-        gone: &'a dyn Fn(ids::Incarnation, &ledger::Holder) -> bool,
+        is_terminated: &'a dyn Fn(ids::Incarnation, &ledger::Holder) -> bool,
         now_ms: u64,
     ) -> ledger_writer::Context<'a> {
         ledger_writer::Context {
@@ -168,7 +168,7 @@
             description,
             routers: self.members.live_count(),
             stopping: self.stopping(),
-            gone,
+            is_terminated,
             recovery_window_over: self.recovery_window_over(now_ms),
             draw_not_before_ms: self.draw_not_before_ms(),
         }
@@ -182,11 +182,16 @@
         let description = self.ledger_holder();
         let gone = self.gone();
         let context = self.ledger_context(&description, &gone, now_ms);
-        let (write, events) =
-            self.ledgers[shard].reply(call, reply, &mut self.grants, &context, &mut self.rng);
+        let (write, events) = self.ledgers[shard].handle_reply(
+            call,
+            reply,
+            &mut self.grants,
+            &context,
+            &mut self.rng,
+        );
         if let Some(ledger_writer::Write { expected_index, value, sets_era_marker }) = write {
             let call = self.register_call(Purpose::Ledger(shard));
-            self.ledgers[shard].writing(call);
+            self.ledgers[shard].set_write_call(call);
 
             // A write that follows its read takes a permit but does not wait for one: the sync was already limited by
             // its read.
@@ -203,7 +208,7 @@
 
     fn ledger_event(&mut self, shard: usize, event: ledger_writer::Event, now_ms: u64) {
         match event {
-            ledger_writer::Event::Followed => {
+            ledger_writer::Event::AccountsUpdated => {
                 self.record_ledger_read(shard, now_ms);
                 self.tick_waiting_budget(now_ms);
                 self.answer_transfer_requests(now_ms);
@@ -217,7 +222,7 @@
                     self.actions.push(Action::Notice(Notice::Fenced));
                 }
             }
-            ledger_writer::Event::ClosedDead { holder, written_off_tokens, grants } => {
+            ledger_writer::Event::TerminatedHolderClosed { holder, written_off_tokens, grants } => {
                 self.counters.written_off_tokens += written_off_tokens;
                 let notice = Notice::TerminatedHolderClosed { holder, written_off_tokens, grants };
                 self.actions.push(Action::Notice(notice));
--- a/core/src/node/tokens.rs
+++ b/core/src/node/tokens.rs
@@ -63,7 +63,7 @@
     pub(super) fn request_ledger_sync(&mut self, budget: ids::BudgetSlot) {
         let shard = self.ledger_shard(budget);
         if let Some(ledger) = self.ledgers.get_mut(shard) {
-            ledger.poke();
+            ledger.request_sync();
         }
     }
 
@@ -162,7 +162,7 @@
             self.requests.values().filter(|request| matches!(request.stage, Stage::WaitingBudget));
         let shortages = waiting.map(|request| (request.budget, request.admission.bound_tokens));
         let requested: Vec<(ids::BudgetSlot, u64)> = self.requested_tokens().collect();
-        self.grants.note_shortages(shortages, requested.into_iter());
+        self.grants.set_shortages(shortages, requested.into_iter());
     }
 }
 
--- a/core/tests/ledger_rounds.rs
+++ b/core/tests/ledger_rounds.rs
@@ -185,9 +185,9 @@
     let mut draws = 0;
     for need in 0..200 {
         let account = table.account_mut(budget);
-        account.draws = true;
+        account.draws_on_demand = true;
         account.shortage_tokens = 1_000;
-        if account.wants_draw() {
+        if account.needs_draw() {
             let drawn_tokens = account.draw_tokens(left_tokens, 1);
             assert!(drawn_tokens >= 1_000);
             account.granted_tokens += drawn_tokens;
@@ -213,18 +213,24 @@
     let mut rng = StdRng::seed_from_u64(1);
     let description = description();
     assert!(!writer.due(&table, &context(&description, 1_000, false)), "it holds nothing");
-    writer.poke();
+    writer.request_sync();
     let mut now_ms = 1_000;
     for number in 1..4 {
         assert!(writer.due(&table, &context(&description, now_ms, false)), "round {number}");
         let call = ids::CallId(number);
         let asked = context(&description, now_ms, false);
         writer.start(call, &mut table, &asked);
-        writer.reply(call, store::Reply::Unknown, &mut table, &asked, &mut rng);
+        writer.handle_reply(call, store::Reply::Unknown, &mut table, &asked, &mut rng);
         now_ms += 5_000;
     }
     let asked = context(&description, now_ms, false);
     writer.start(ids::CallId(4), &mut table, &asked);
-    writer.reply(ids::CallId(4), store::Reply::Missing { era: 0 }, &mut table, &asked, &mut rng);
+    writer.handle_reply(
+        ids::CallId(4),
+        store::Reply::Missing { era: 0 },
+        &mut table,
+        &asked,
+        &mut rng,
+    );
     assert!(!writer.due(&table, &context(&description, now_ms + 5_000, false)), "it was answered");
 }
