--- a/core/src/log_index.rs
+++ b/core/src/log_index.rs
@@ -1,7 +1,7 @@
-//! The log of claims and settlements: what lies in its segments and what follows from them.
+//! The log of claims and settlements: its segments and the index built from them.
 //!
-//! A shard of the log is a row of write-once segments. The order of entries in it decides: the
-//! first claim of an id may run, and the first settlement of an id is billed.
+//! A shard of the log is a sequence of write-once segments. The order of its entries is decisive: the first claim of an id
+//! is granted, and the first settlement of an id is billed.
 
 mod entries;
 
@@ -12,84 +12,84 @@
 use snafu::{OptionExt, ResultExt};
 use std::collections;
 
-/// How long an id is remembered, by the clocks of those who write the log.
+/// How long an id is kept in the index, in seconds by the clocks of the log's writers.
 pub const REMEMBER_S: u64 = 24 * 3600;
-/// How long the numbers of a router that writes no more are remembered.
-const REMEMBER_ORIGIN_S: u64 = 7 * 24 * 3600;
-/// How many attempts that gave up are remembered.
-const REMEMBER_RELEASED: usize = 1_000;
+/// How long the settlement numbers of a router without new settlements are kept, in seconds.
+const ORIGIN_RETENTION_S: u64 = 7 * 24 * 3600;
+/// The number of latest released attempts that are kept.
+const RELEASED_ATTEMPTS_MAX: usize = 1_000;
 
-/// The key of a segment's value, among the keys of its epoch.
+/// Returns the store's key for a segment; it starts with the prefix of the segment's epoch.
 pub fn key(shard: u32, number: u64, epoch_segments: u64) -> String {
     format!("{}{number:012}", epoch_prefix(shard, number / epoch_segments))
 }
 
-/// The prefix of the segments of one epoch.
+/// Returns the prefix of the keys of one epoch's segments.
 pub fn epoch_prefix(shard: u32, epoch: u64) -> String {
     format!("{}{epoch:08}/", prefix(shard))
 }
 
-/// The prefix of all segments of a shard.
+/// Returns the prefix of the keys of all segments of a shard.
 pub fn prefix(shard: u32) -> String {
     format!("doorswitch/log/{shard}/")
 }
 
-/// The key of a shard's checkpoint.
+/// Returns the store's key for the checkpoint of a shard.
 pub fn checkpoint_key(shard: u32) -> String {
     format!("doorswitch/checkpoint/{shard}")
 }
 
-/// Why a segment could not be read.
+/// The error of a value or key of the log that cannot be decoded.
 #[derive(Debug, snafu::Snafu)]
 #[allow(missing_docs)]
 pub enum Error {
-    #[snafu(display("log segment is not readable: {source}"))]
+    #[snafu(display("log segment cannot be decoded: {source}"))]
     Decode { source: serde_json::Error },
-    #[snafu(display("log key {key:?} names no segment"))]
+    #[snafu(display("log key {key:?} does not end in a segment number"))]
     BadKey { key: String },
 }
 
-/// One write-once value.
+/// A segment of the log, stored as one write-once value.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Segment {
-    /// Who wrote it.
+    /// The router that wrote the segment.
     pub writer: ids::Incarnation,
-    /// Tells this write from any other by the same writer.
+    /// Distinguishes this write from other writes of the same router.
     pub nonce: u64,
     /// The writer's clock, in seconds since 1970.
     pub written_s: u64,
-    /// What it records, in order.
+    /// The entries in the order in which they are applied.
     pub entries: Vec<Entry>,
 }
 
 impl Segment {
-    /// Reads a segment from the store's value.
+    /// Decodes a segment from the store's value.
     pub fn decode(value: &[u8]) -> Result<Self, Error> {
         serde_json::from_slice(value).context(DecodeSnafu)
     }
 
-    /// The value for the store.
+    /// Encodes the segment as the store's value.
     pub fn encode(&self) -> Vec<u8> {
         // Integers, strings and byte arrays cannot fail to serialize.
         serde_json::to_vec(self).unwrap_or_default()
     }
 }
 
-/// The number of the segment that a key names.
+/// Returns the segment number at the end of a key.
 pub fn segment_number(key: &str) -> Result<u64, Error> {
     let last = key.rsplit('/').next().and_then(|part| part.parse().ok());
     last.context(BadKeySnafu { key })
 }
 
-/// The numbers of one router's settlements that are in the log: all below a mark, and some above.
+/// The numbers of one router's settlements that are in the log: all up to `below`, and those in `above`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-struct Numbers {
+struct SettlementNumbers {
     below: u64,
     above: collections::BTreeSet<u64>,
     seen_s: u64,
 }
 
-impl Numbers {
+impl SettlementNumbers {
     fn contains(&self, number: u64) -> bool {
         number <= self.below || self.above.contains(&number)
     }
@@ -106,44 +106,44 @@
     }
 }
 
-/// Everything that follows from a shard's segments read so far.
+/// The state of the ids in a shard, from the segments applied so far.
 #[derive(Clone, Debug, Default)]
 pub struct Index {
     ids: collections::HashMap<ids::RequestKey, (IdState, u64)>,
-    /// Ids by when they were last written, for forgetting.
+    /// Ids in the order in which they were last written, with the time, so that old ones expire.
     order: collections::VecDeque<(u64, ids::RequestKey)>,
-    origins: collections::BTreeMap<ids::Incarnation, Numbers>,
-    /// Attempts that gave up. A claim of theirs is void, also one that arrives after the release.
+    origins: collections::BTreeMap<ids::Incarnation, SettlementNumbers>,
+    /// Released attempts. Their claims are void, even those that are applied after the release.
     released: collections::VecDeque<ids::AttemptId>,
     totals: collections::BTreeMap<(String, String), Totals>,
     clock_s: u64,
 }
 
-/// An index as it lies in the store: what all segments below `upto` say.
+/// A stored index of all segments below `upto`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Checkpoint {
-    /// The first segment that is not contained.
+    /// The number of the first segment that is not included.
     pub upto: u64,
     clock_s: u64,
     ids: Vec<(ids::RequestKey, IdState, u64)>,
-    origins: collections::BTreeMap<ids::Incarnation, Numbers>,
+    origins: collections::BTreeMap<ids::Incarnation, SettlementNumbers>,
     released: collections::VecDeque<ids::AttemptId>,
     totals: Vec<(String, String, Totals)>,
 }
 
 impl Checkpoint {
-    /// Reads a checkpoint from the store's value.
+    /// Decodes a checkpoint from the store's value.
     pub fn decode(value: &[u8]) -> Result<Self, Error> {
         serde_json::from_slice(value).context(DecodeSnafu)
     }
 
-    /// The value for the store.
+    /// Encodes the checkpoint as the store's value.
     pub fn encode(&self) -> Vec<u8> {
         // Integers, strings and lists cannot fail to serialize.
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// The index that it holds.
+    /// Restores the index from the checkpoint.
     pub fn restore(self) -> Index {
         let mut index = Index {
             origins: self.origins,
@@ -163,38 +163,38 @@
 }
 
 impl Index {
-    /// Takes in a segment, in the log's order.
+    /// Applies a segment. Segments must be applied in the order of the log.
     pub fn apply_segment(&mut self, segment: &Segment) {
         self.clock_s = self.clock_s.max(segment.written_s);
         for entry in &segment.entries {
             self.apply(entry);
         }
-        self.forget_old();
+        self.expire_old();
     }
 
-    /// Takes in one entry, in the log's order.
+    /// Applies one entry. Entries must be applied in the order of the log.
     pub fn apply(&mut self, entry: &Entry) {
         match entry {
             Entry::Claim(claim) if self.released.contains(&claim.attempt) => {}
             Entry::Claim(claim) if self.ids.contains_key(&claim.key) => {}
-            Entry::Claim(claim) => self.remember(claim.key, IdState::Claimed(*claim)),
+            Entry::Claim(claim) => self.record_state(claim.key, IdState::Claimed(*claim)),
             Entry::Release { key, attempt } => self.release(*key, *attempt),
             Entry::Settle(settlement) => self.settle(settlement),
         }
     }
 
-    /// Adds what another shard's index knows, for a view over all of them.
+    /// Merges the index of another shard, for a view of all shards.
     pub fn merge(&mut self, other: Index) {
         self.ids.extend(other.ids);
-        for (place, totals) in other.totals {
-            let sum = self.totals.entry(place).or_default();
+        for (key, totals) in other.totals {
+            let sum = self.totals.entry(key).or_default();
             sum.billed_tokens += totals.billed_tokens;
             sum.billed_requests += totals.billed_requests;
             sum.repeated_tokens += totals.repeated_tokens;
         }
     }
 
-    /// What is to lie in the store once all segments below `upto` are taken in.
+    /// Returns the checkpoint to store once all segments below `upto` are applied.
     pub fn checkpoint(&self, upto: u64) -> Checkpoint {
         let ids = self.order.iter().filter_map(|(seen_s, key)| {
             let (state, last_s) = self.ids.get(key)?;
@@ -214,29 +214,29 @@
         }
     }
 
-    /// What is known of an id.
+    /// Returns the state of an id; `None` if it is not in the index.
     pub fn find(&self, key: ids::RequestKey) -> Option<&IdState> {
         self.ids.get(&key).map(|(state, _)| state)
     }
 
-    /// How many ids are known.
+    /// Returns the number of ids in the index.
     pub fn len(&self) -> usize {
         self.ids.len()
     }
 
-    /// Whether no id is known.
+    /// Returns whether the index contains no id.
     pub fn is_empty(&self) -> bool {
         self.ids.is_empty()
     }
 
-    /// The figures by budget and region.
+    /// Returns the totals by budget and region.
     pub fn totals(&self) -> impl Iterator<Item = (&str, &str, &Totals)> {
         self.totals
             .iter()
             .map(|((budget, region), totals)| (budget.as_str(), region.as_str(), totals))
     }
 
-    /// What the log says to a claim; `None` if the id is unknown to it.
+    /// Returns the verdict on a claim; `None` if its id is not in the index.
     pub fn verdict(&self, claim: &Claim) -> Option<Verdict> {
         if self.released.contains(&claim.attempt) {
             return Some(Verdict::Taken);
@@ -253,7 +253,7 @@
         Some(verdict)
     }
 
-    /// Whether an entry is in the log already, so that it need not be written again.
+    /// Returns whether an entry is already in the log and need not be written again.
     pub fn contains(&self, entry: &Entry) -> bool {
         match entry {
             Entry::Release { attempt, .. } => self.released.contains(attempt),
@@ -265,12 +265,12 @@
         }
     }
 
-    fn remember(&mut self, key: ids::RequestKey, state: IdState) {
+    fn record_state(&mut self, key: ids::RequestKey, state: IdState) {
         self.order.push_back((self.clock_s, key));
         self.ids.insert(key, (state, self.clock_s));
     }
 
-    fn forget_old(&mut self) {
+    fn expire_old(&mut self) {
         let clock_s = self.clock_s;
         while let Some((seen_s, key)) = self.order.front().copied() {
             if seen_s + REMEMBER_S > clock_s {
@@ -281,14 +281,14 @@
                 self.ids.remove(&key);
             }
         }
-        self.origins.retain(|_, numbers| numbers.seen_s + REMEMBER_ORIGIN_S > clock_s);
+        self.origins.retain(|_, numbers| numbers.seen_s + ORIGIN_RETENTION_S > clock_s);
     }
 
     fn release(&mut self, key: ids::RequestKey, attempt: ids::AttemptId) {
         if !self.released.contains(&attempt) {
             self.released.push_back(attempt);
         }
-        if self.released.len() > REMEMBER_RELEASED {
+        if self.released.len() > RELEASED_ATTEMPTS_MAX {
             self.released.pop_front();
         }
         if matches!(self.find(key), Some(IdState::Claimed(claim)) if claim.attempt == attempt) {
@@ -303,8 +303,8 @@
             return;
         }
         let billed_before = matches!(self.find(settlement.key), Some(IdState::Settled { .. }));
-        let place = (settlement.budget.clone(), settlement.region.clone());
-        let totals = self.totals.entry(place).or_default();
+        let totals_key = (settlement.budget.clone(), settlement.region.clone());
+        let totals = self.totals.entry(totals_key).or_default();
         if billed_before {
             totals.repeated_tokens += settlement.consumed_tokens;
             return;
@@ -313,7 +313,7 @@
         totals.billed_requests += 1;
         if settlement.keyed {
             let (body_hash, outcome) = (settlement.body_hash, settlement.outcome.clone());
-            self.remember(settlement.key, IdState::Settled { body_hash, outcome });
+            self.record_state(settlement.key, IdState::Settled { body_hash, outcome });
         }
     }
 }
--- a/core/src/log_index/entries.rs
+++ b/core/src/log_index/entries.rs
@@ -1,26 +1,26 @@
-//! The entries of the log, and what is known of the ids that they are about.
+//! The entries of the log, and the states of the ids that follow from them.
 
 use crate::ids;
 use serde::{Deserialize, Serialize};
 
-/// One record.
+/// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
-    /// An unrepeatable request asks to run.
+    /// Claims the right to run an unrepeatable request.
     Claim(Claim),
-    /// The claim's attempt certainly did not run, so another may.
+    /// Releases a claim whose attempt certainly did not run the request, so that another attempt may.
     Release {
-        /// The request.
+        /// The request that was claimed.
         key: ids::RequestKey,
-        /// The attempt that gave up.
+        /// The attempt whose claim is released.
         attempt: ids::AttemptId,
     },
-    /// A request ended.
+    /// Records the outcome and cost of a request.
     Settle(Settlement),
 }
 
 impl Entry {
-    /// The request that the entry is about.
+    /// Returns the request that the entry concerns.
     pub fn key(&self) -> ids::RequestKey {
         match self {
             Self::Claim(claim) => claim.key,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The attempt that the entry is about.
+    /// Returns the attempt that the entry concerns.
     pub fn attempt(&self) -> ids::AttemptId {
         match self {
             Self::Claim(claim) => claim.attempt,
@@ -39,95 +39,95 @@
     }
 }
 
-/// An attempt's wish to run an unrepeatable request.
+/// An attempt's claim to run an unrepeatable request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The request.
+    /// The request to run.
     pub key: ids::RequestKey,
-    /// Who asks.
+    /// The attempt that is to run it.
     pub attempt: ids::AttemptId,
-    /// A digest of the request's body: the same id with another body is a conflict.
+    /// A digest of the request's body, by which reuse of the id with another body is detected.
     pub body_hash: u64,
 }
 
-/// How a request ended and what it cost.
+/// The outcome and cost of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settlement {
-    /// The request.
+    /// The request that ended.
     pub key: ids::RequestKey,
     /// The attempt that ended.
     pub attempt: ids::AttemptId,
-    /// The router that served it.
+    /// The router that served the request.
     pub origin: ids::Incarnation,
-    /// Counts that router's settlements in this shard from 1: the same number is the same settlement,
-    /// however often and through whomever it is written.
+    /// The number of the settlement among those of `origin` in this shard, from 1. Settlements with the same number are
+    /// one settlement, however often and by whichever router they are written.
     pub number: u64,
-    /// Whether the caller chose the id, and may come back with it.
+    /// Whether the caller chose the id and may repeat the request with it.
     pub keyed: bool,
     /// A digest of the request's body.
     pub body_hash: u64,
-    /// The budget that it spent from.
+    /// The budget that was charged, as `workspace/budget`.
     pub budget: String,
-    /// Where the router that served it runs.
+    /// The region of the router that served the request.
     pub region: String,
-    /// The tokens that were served.
+    /// The number of tokens served.
     pub consumed_tokens: u64,
-    /// The answer of an unrepeatable request, for callers that ask again.
+    /// The answer to an unrepeatable request, replayed to callers that repeat it.
     pub outcome: Option<Outcome>,
 }
 
-/// The recorded answer of an unrepeatable request.
+/// The recorded answer to an unrepeatable request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcome {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
     /// The media type of the body.
     pub content_type: String,
-    /// The body; absent if it was too large to record.
+    /// The body; `None` if it was too large to record.
     pub body: Option<String>,
 }
 
-/// What is known of an id.
+/// The state of an id.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum IdState {
-    /// An attempt may be running it.
+    /// An attempt has claimed the id and may be running the request.
     Claimed(Claim),
-    /// It ended.
+    /// The request ended.
     Settled {
-        /// The digest of the body that was run.
+        /// The digest of the request's body.
         body_hash: u64,
-        /// The recorded answer.
+        /// The recorded answer, if there is one.
         outcome: Option<Outcome>,
     },
 }
 
-/// The two figures of a budget in one region.
+/// The tokens and requests billed to a budget in one region.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Totals {
-    /// Tokens billed: once for each id.
+    /// The tokens billed, once for each id.
     pub billed_tokens: u64,
-    /// Requests billed.
+    /// The number of requests billed.
     pub billed_requests: u64,
-    /// Tokens served again for an id that was billed already: consumed, not billed.
+    /// The tokens served again for an id that was already billed; consumed, but not billed.
     pub repeated_tokens: u64,
 }
 
 impl Totals {
-    /// All tokens served.
+    /// Returns the total of tokens served.
     pub fn consumed_tokens(&self) -> u64 {
         self.billed_tokens + self.repeated_tokens
     }
 }
 
-/// The answer to a claim.
+/// The log's decision on a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// This attempt, and no other, may run the request.
+    /// Only this attempt may run the request.
     Granted,
-    /// Another attempt holds the claim and has not ended.
+    /// Another attempt has claimed the request and not ended, or this attempt was released.
     Taken,
-    /// The request ran; here is what was recorded.
+    /// The request has run; contains the recorded answer, if there is one.
     Done(Option<Outcome>),
-    /// The id was used with another body.
+    /// The id was already used with another body.
     Conflict,
 }
--- a/core/src/log_writer.rs
+++ b/core/src/log_writer.rs
@@ -1,8 +1,8 @@
-//! Appends to one shard of the log, in batches, and answers when an entry is durable.
+//! Appends entries to one shard of the log, in batches, and reports when an entry is durable.
 //!
-//! A batch becomes the next segment by a write that succeeds only where no segment is yet. The loser
-//! of a race reads the winner's segment, takes it in and goes on with the next number. A write with
-//! no reply is settled by reading: the segment is this writer's, another's, or still free.
+//! A batch becomes the next segment by a write that succeeds only if the segment doesn't exist yet. A writer that loses
+//! the race reads the winner's segment, applies it and continues with the next number. A write without a reply is
+//! resolved by a read: the segment is this writer's, another writer's, or still absent.
 
 mod replies;
 
@@ -10,23 +10,25 @@
 use rand::RngExt;
 use rand::rngs;
 
-/// The most entries in one segment: they fit a value of the store with room to spare.
+/// The most entries in one segment, so that a segment is well below the size limit of a value in the store.
 pub const SEGMENT_ENTRIES: usize = 1_000;
-/// The largest checkpoint: it fits a value of the store with room to spare.
+/// The largest checkpoint, in bytes; well below the size limit of a value in the store.
 const CHECKPOINT_BYTES_MAX: usize = 900_000;
+/// The first delay after a failed call.
 const BACKOFF_BASE_MS: u64 = 20;
+/// The longest delay after failed calls.
 const BACKOFF_LIMIT_MS: u64 = 2_000;
-/// How long entries that nobody waits for may gather.
-const GATHER_MS: u64 = 1_000;
+/// How long an entry that no caller waits for may be delayed, so that more entries are written together.
+const BATCH_DELAY_MS: u64 = 1_000;
 
-/// Who waits for an entry to become durable.
+/// The recipient of the report that an entry is durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Waiter {
-    /// A request of this router.
+    /// A request that this router serves.
     Local(ids::RequestSlot),
-    /// Another router.
+    /// Another router, which sent the entry.
     Peer(ids::Incarnation),
-    /// This router's own list of settlements that are not durable.
+    /// This router's outbox of settlements that are not durable yet.
     Outbox,
 }
 
@@ -35,18 +37,18 @@
 pub enum Urgency {
     /// A caller waits for it.
     Waited,
-    /// It may gather with others for a while: another router has it too.
+    /// It may be delayed and written with others, because another router has it as well.
     Gather,
 }
 
-/// An entry that became durable, or that the log already answers.
+/// An entry that became durable, or a claim that the log already decides.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Done {
-    /// The entry.
+    /// The entry that was to be appended.
     pub entry: log_index::Entry,
-    /// Who waits.
+    /// The recipient of this report.
     pub waiter: Waiter,
-    /// For a claim: whether it may run.
+    /// For a claim, whether its request may run.
     pub verdict: Option<log_index::Verdict>,
 }
 
@@ -60,32 +62,32 @@
 #[derive(Debug)]
 enum State {
     Idle,
-    Loading(ids::CallId),
-    Reading(ids::CallId),
-    Creating { call: ids::CallId, segment: log_index::Segment },
-    Verifying(ids::CallId),
-    Saving { call: ids::CallId, upto: u64 },
-    Clearing(ids::CallId),
+    LoadingCheckpoint(ids::CallId),
+    ReadingSegment(ids::CallId),
+    CreatingSegment { call: ids::CallId, segment: log_index::Segment },
+    VerifyingCheckpoint(ids::CallId),
+    SavingCheckpoint { call: ids::CallId, upto: u64 },
+    DeletingEpoch(ids::CallId),
 }
 
-/// How much of the log is known.
+/// How far this writer has read the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Knowledge {
-    /// The checkpoint is not read.
+enum ReadState {
+    /// The checkpoint has not been read yet.
     None,
-    /// Segments may follow.
+    /// Segments that have not been read yet may follow.
     Behind,
-    /// At the end, but what was read or created may have been below a newer checkpoint.
+    /// The end was reached, but segments that were read or created may precede a newer checkpoint.
     Unverified,
-    /// At the end, and none of it was.
+    /// The end was reached, and none of them precedes the checkpoint.
     Verified,
 }
 
-/// The writer of one shard.
+/// The writer of one shard of the log.
 ///
-/// Old segments are cleared once a checkpoint holds what they say. A segment number that was cleared
-/// could be created again by a writer that slept; so nothing that was read or created counts until
-/// the checkpoint, read afterwards, does not lie beyond it.
+/// Old segments are deleted once a checkpoint contains their entries. A writer that was suspended could create a deleted
+/// segment number again. Segments that were read or created are therefore not relied on until a later read of the
+/// checkpoint shows that it doesn't extend beyond them.
 #[derive(Debug)]
 pub struct Writer {
     shard: u32,
@@ -94,22 +96,22 @@
     next: u64,
     index: log_index::Index,
     pending: Vec<Pending>,
-    /// A write of `next` with no known end.
-    unsettled: Option<log_index::Segment>,
+    /// The segment of a write of `next` whose result is unknown.
+    unresolved: Option<log_index::Segment>,
     state: State,
-    knowledge: Knowledge,
-    /// The first segment taken in since the last verification.
+    read_state: ReadState,
+    /// The number of the first segment applied since the last verification.
     unverified_from: Option<u64>,
     checkpoint_index: store::Position,
     checkpoint_upto: u64,
-    /// Epochs that a saved checkpoint has made superfluous.
-    superfluous: Vec<u64>,
+    /// Epochs whose segments are contained in a saved checkpoint and can be deleted.
+    obsolete_epochs: Vec<u64>,
     backoff: backoff::Backoff,
     not_before_ms: u64,
 }
 
 impl Writer {
-    /// A writer that has read nothing yet.
+    /// Returns a writer that has not read the log yet.
     pub fn new(shard: u32, writer: ids::Incarnation, epoch_segments: u64) -> Self {
         Self {
             shard,
@@ -118,40 +120,40 @@
             next: 0,
             index: log_index::Index::default(),
             pending: Vec::new(),
-            unsettled: None,
+            unresolved: None,
             state: State::Idle,
-            knowledge: Knowledge::None,
+            read_state: ReadState::None,
             unverified_from: None,
             checkpoint_index: store::Position::START,
             checkpoint_upto: 0,
-            superfluous: Vec::new(),
+            obsolete_epochs: Vec::new(),
             backoff: backoff::Backoff::new(BACKOFF_BASE_MS, BACKOFF_LIMIT_MS),
             not_before_ms: 0,
         }
     }
 
-    /// What the segments read so far say.
+    /// Returns the index of the segments read so far.
     pub fn index(&self) -> &log_index::Index {
         &self.index
     }
 
-    /// Entries that are not durable yet.
+    /// Returns the number of entries that are not durable yet.
     pub fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    /// How many calls failed since one succeeded.
+    /// Returns the number of calls that failed since the last successful one.
     pub fn failures(&self) -> u32 {
         self.backoff.failures()
     }
 
-    /// Whether the next call is a read.
+    /// Returns whether the next call is a read.
     pub fn reads_next(&self) -> bool {
-        self.knowledge != Knowledge::Verified
+        self.read_state != ReadState::Verified
     }
 
-    /// Adds an entry, to be written soon, or at once if a caller waits for it. A claim that the log
-    /// already decides is answered right away.
+    /// Adds an entry, which is written at once if a caller waits for it, otherwise after a delay. Returns the result if the
+    /// log already contains the entry or decides the claim.
     pub fn append(
         &mut self,
         entry: log_index::Entry,
@@ -159,17 +161,17 @@
         urgency: Urgency,
         now_ms: u64,
     ) -> Option<Done> {
-        match self.answer(&entry, waiter) {
-            // The holder may have ended since this router last read: read on before saying so.
+        match self.completed(&entry, waiter) {
+            // The attempt with the claim may have ended since the last read: read further before reporting it.
             Some(done) if done.verdict == Some(log_index::Verdict::Taken) => {
-                self.knowledge = Knowledge::Behind;
+                self.read_state = ReadState::Behind;
             }
             Some(done) => return Some(done),
             None => {}
         }
         let due_ms = match urgency {
             Urgency::Waited => now_ms,
-            Urgency::Gather => now_ms + GATHER_MS,
+            Urgency::Gather => now_ms + BATCH_DELAY_MS,
         };
         let mut same = self.pending.iter_mut().filter(|other| other.waiter == waiter);
         match same.find(|other| other.entry == entry) {
@@ -179,47 +181,51 @@
         None
     }
 
-    /// Withdraws a claim that its request no longer waits for. It may be durable all the same.
+    /// Discards the pending claim of a request that no longer waits for it. The claim may already be in the log.
     pub fn forget(&mut self, slot: ids::RequestSlot) {
         self.pending.retain(|pending| pending.waiter != Waiter::Local(slot));
     }
 
-    /// Whether there is something to read or write now.
+    /// Returns whether a call to the store is due.
     pub fn due(&self, now_ms: u64) -> bool {
         if !matches!(self.state, State::Idle) || now_ms < self.not_before_ms {
             return false;
         }
-        let created = self.knowledge == Knowledge::Unverified && !self.pending.is_empty();
-        if self.unsettled.is_some() || created || self.save_due() || !self.superfluous.is_empty() {
+        let created = self.read_state == ReadState::Unverified && !self.pending.is_empty();
+        if self.unresolved.is_some()
+            || created
+            || self.checkpoint_due()
+            || !self.obsolete_epochs.is_empty()
+        {
             return true;
         }
         self.pending.len() >= SEGMENT_ENTRIES
             || self.pending.iter().any(|pending| now_ms >= pending.due_ms)
     }
 
-    /// The next call: read on until the end of the log is reached, then create a segment.
+    /// Starts the next call: reads until the end of the log is reached, then creates a segment.
     pub fn start(
         &mut self,
         call: ids::CallId,
         clock_s: u64,
         rng: &mut rngs::StdRng,
     ) -> store::Request {
-        match self.knowledge {
-            Knowledge::None => {
-                self.state = State::Loading(call);
+        match self.read_state {
+            ReadState::None => {
+                self.state = State::LoadingCheckpoint(call);
                 store::Request::Read { key: log_index::checkpoint_key(self.shard) }
             }
-            Knowledge::Behind => {
-                self.state = State::Reading(call);
+            ReadState::Behind => {
+                self.state = State::ReadingSegment(call);
                 store::Request::Read {
                     key: log_index::key(self.shard, self.next, self.epoch_segments),
                 }
             }
-            Knowledge::Unverified => {
-                self.state = State::Verifying(call);
+            ReadState::Unverified => {
+                self.state = State::VerifyingCheckpoint(call);
                 store::Request::Read { key: log_index::checkpoint_key(self.shard) }
             }
-            Knowledge::Verified => self.start_write(call, clock_s, rng),
+            ReadState::Verified => self.start_write(call, clock_s, rng),
         }
     }
 
@@ -229,10 +235,10 @@
         clock_s: u64,
         rng: &mut rngs::StdRng,
     ) -> store::Request {
-        if self.save_due() && self.unsettled.is_none() {
+        if self.checkpoint_due() && self.unresolved.is_none() {
             let value = self.index.checkpoint(self.next).encode();
             if value.len() <= CHECKPOINT_BYTES_MAX {
-                self.state = State::Saving { call, upto: self.next };
+                self.state = State::SavingCheckpoint { call, upto: self.next };
                 let key = log_index::checkpoint_key(self.shard);
                 let expected_index = self.checkpoint_index;
                 return store::Request::Write {
@@ -242,25 +248,25 @@
                     sets_era_marker: false,
                 };
             }
-            // Too much to remember for one value: the segments stay, and are read one by one.
+            // The checkpoint is too large for one value, so the segments are kept and read one by one.
             self.checkpoint_upto = self.next;
         }
-        if let Some(epoch) = self.superfluous.last().copied() {
-            self.state = State::Clearing(call);
+        if let Some(epoch) = self.obsolete_epochs.last().copied() {
+            self.state = State::DeletingEpoch(call);
             let prefix = log_index::epoch_prefix(self.shard, epoch);
             return store::Request::DeletePrefix { prefix };
         }
-        let segment = self.unsettled.take().unwrap_or_else(|| self.batch(clock_s, rng));
+        let segment = self.unresolved.take().unwrap_or_else(|| self.batch(clock_s, rng));
         let value = segment.encode();
-        self.state = State::Creating { call, segment };
+        self.state = State::CreatingSegment { call, segment };
         let key = log_index::key(self.shard, self.next, self.epoch_segments);
         let expected_index = store::Position::START;
         store::Request::Write { key, expected_index, value, sets_era_marker: false }
     }
 
-    fn save_due(&self) -> bool {
+    fn checkpoint_due(&self) -> bool {
         let since = self.next.saturating_sub(self.checkpoint_upto);
-        self.knowledge == Knowledge::Verified && since >= self.epoch_segments
+        self.read_state == ReadState::Verified && since >= self.epoch_segments
     }
 
     fn batch(&self, clock_s: u64, rng: &mut rngs::StdRng) -> log_index::Segment {
--- a/core/src/log_writer/replies.rs
+++ b/core/src/log_writer/replies.rs
@@ -1,11 +1,11 @@
 //! Processes the store's replies to a writer's calls.
 
-use super::{Done, Knowledge, State, Waiter, Writer};
+use super::{Done, ReadState, State, Waiter, Writer};
 use crate::{ids, log_index, store};
 use rand::rngs;
 
 impl Writer {
-    /// Takes a reply; returns what became durable.
+    /// Handles a reply of the store. Returns the entries that became durable.
     pub fn reply(
         &mut self,
         call: ids::CallId,
@@ -14,25 +14,31 @@
         rng: &mut rngs::StdRng,
     ) -> Vec<Done> {
         match std::mem::replace(&mut self.state, State::Idle) {
-            State::Loading(expected) if expected == call => self.on_loaded(reply, now_ms, rng),
-            State::Reading(expected) if expected == call => self.on_read(reply, now_ms, rng),
-            State::Creating { call: expected, segment } if expected == call => {
-                self.on_created(reply, segment, now_ms, rng)
+            State::LoadingCheckpoint(expected) if expected == call => {
+                self.handle_loaded(reply, now_ms, rng)
             }
-            State::Verifying(expected) if expected == call => {
-                return self.on_verified(reply, now_ms, rng);
+            State::ReadingSegment(expected) if expected == call => {
+                self.handle_segment(reply, now_ms, rng)
             }
-            State::Saving { call: expected, upto } if expected == call => {
-                self.on_saved(reply, upto, now_ms, rng)
+            State::CreatingSegment { call: expected, segment } if expected == call => {
+                self.handle_created(reply, segment, now_ms, rng)
             }
-            State::Clearing(expected) if expected == call => self.on_cleared(reply, now_ms, rng),
-            // A late reply to a call that was given up.
+            State::VerifyingCheckpoint(expected) if expected == call => {
+                return self.handle_verified(reply, now_ms, rng);
+            }
+            State::SavingCheckpoint { call: expected, upto } if expected == call => {
+                self.handle_saved(reply, upto, now_ms, rng)
+            }
+            State::DeletingEpoch(expected) if expected == call => {
+                self.handle_deleted(reply, now_ms, rng)
+            }
+            // A late reply to a call that was abandoned.
             other => self.state = other,
         }
         Vec::new()
     }
 
-    fn on_loaded(&mut self, reply: store::Reply, now_ms: u64, rng: &mut rngs::StdRng) {
+    fn handle_loaded(&mut self, reply: store::Reply, now_ms: u64, rng: &mut rngs::StdRng) {
         match reply {
             store::Reply::Found { index, value } => {
                 match log_index::Checkpoint::decode(&value) {
@@ -41,38 +47,38 @@
                         self.checkpoint_upto = checkpoint.upto;
                         self.next = checkpoint.upto;
                         self.index = checkpoint.restore();
-                        self.know(Knowledge::Behind);
+                        self.set_read_state(ReadState::Behind);
                     }
-                    // Going on without it could run a claim twice.
-                    Err(_) => self.fail(now_ms, rng),
+                    // Continuing without the checkpoint could grant a claim twice.
+                    Err(_) => self.delay_next_call(now_ms, rng),
                 }
             }
             store::Reply::Missing { .. } => {
                 self.next = 0;
                 self.index = log_index::Index::default();
-                self.know(Knowledge::Behind);
+                self.set_read_state(ReadState::Behind);
             }
-            _ => self.fail(now_ms, rng),
+            _ => self.delay_next_call(now_ms, rng),
         }
     }
 
-    fn on_read(&mut self, reply: store::Reply, now_ms: u64, rng: &mut rngs::StdRng) {
+    fn handle_segment(&mut self, reply: store::Reply, now_ms: u64, rng: &mut rngs::StdRng) {
         match reply {
             store::Reply::Found { value, .. } => match log_index::Segment::decode(&value) {
                 Ok(segment) => {
-                    self.unsettled = None;
-                    self.take_in(&segment);
-                    self.know(Knowledge::Behind);
+                    self.unresolved = None;
+                    self.apply_segment(&segment);
+                    self.set_read_state(ReadState::Behind);
                 }
-                // Going on past a segment that can't be read could run a claim twice.
-                Err(_) => self.fail(now_ms, rng),
+                // Continuing past an undecodable segment could grant a claim twice.
+                Err(_) => self.delay_next_call(now_ms, rng),
             },
-            store::Reply::Missing { .. } => self.know(Knowledge::Unverified),
-            _ => self.fail(now_ms, rng),
+            store::Reply::Missing { .. } => self.set_read_state(ReadState::Unverified),
+            _ => self.delay_next_call(now_ms, rng),
         }
     }
 
-    fn on_created(
+    fn handle_created(
         &mut self,
         reply: store::Reply,
         segment: log_index::Segment,
@@ -81,20 +87,20 @@
     ) {
         match reply {
             store::Reply::Written { .. } => {
-                self.take_in(&segment);
-                self.know(Knowledge::Unverified);
+                self.apply_segment(&segment);
+                self.set_read_state(ReadState::Unverified);
             }
-            // Somebody's segment, perhaps this one written before its reply was lost.
-            store::Reply::Conflict => self.know(Knowledge::Behind),
+            // The segment exists, perhaps this one, written by a call whose reply was lost.
+            store::Reply::Conflict => self.set_read_state(ReadState::Behind),
             _ => {
-                self.unsettled = Some(segment);
-                self.knowledge = Knowledge::Behind;
-                self.fail(now_ms, rng);
+                self.unresolved = Some(segment);
+                self.read_state = ReadState::Behind;
+                self.delay_next_call(now_ms, rng);
             }
         }
     }
 
-    fn on_verified(
+    fn handle_verified(
         &mut self,
         reply: store::Reply,
         now_ms: u64,
@@ -104,89 +110,96 @@
             store::Reply::Found { index, value } => match log_index::Checkpoint::decode(&value) {
                 Ok(checkpoint) => (index, checkpoint.upto),
                 Err(_) => {
-                    self.fail(now_ms, rng);
+                    self.delay_next_call(now_ms, rng);
                     return Vec::new();
                 }
             },
             store::Reply::Missing { .. } => (store::Position::START, 0),
             _ => {
-                self.fail(now_ms, rng);
+                self.delay_next_call(now_ms, rng);
                 return Vec::new();
             }
         };
         if upto > self.unverified_from.unwrap_or(self.next) {
-            // The log went on without this writer: what it took in may not be the log.
-            self.unsettled = None;
-            self.know(Knowledge::None);
+            // Other writers have saved a checkpoint beyond the segments applied here, which may therefore not be part of
+            // the log.
+            self.unresolved = None;
+            self.set_read_state(ReadState::None);
             return Vec::new();
         }
         self.checkpoint_index = index;
         self.checkpoint_upto = self.checkpoint_upto.max(upto);
-        self.know(Knowledge::Verified);
-        self.answer_pending()
+        self.set_read_state(ReadState::Verified);
+        self.take_completed()
     }
 
-    fn on_saved(&mut self, reply: store::Reply, upto: u64, now_ms: u64, rng: &mut rngs::StdRng) {
+    fn handle_saved(
+        &mut self,
+        reply: store::Reply,
+        upto: u64,
+        now_ms: u64,
+        rng: &mut rngs::StdRng,
+    ) {
         match reply {
             store::Reply::Written { .. } => {
                 let epoch = upto / self.epoch_segments;
-                // Two, because the saver before may have died before it cleared.
-                self.superfluous = (epoch.saturating_sub(2)..epoch).collect();
+                // Two epochs, because the writer of the previous checkpoint may have failed before deleting its epoch.
+                self.obsolete_epochs = (epoch.saturating_sub(2)..epoch).collect();
                 self.checkpoint_upto = upto;
-                self.know(Knowledge::Unverified);
+                self.set_read_state(ReadState::Unverified);
             }
-            store::Reply::Conflict => self.know(Knowledge::Unverified),
+            store::Reply::Conflict => self.set_read_state(ReadState::Unverified),
             _ => {
-                self.knowledge = Knowledge::Unverified;
-                self.fail(now_ms, rng);
+                self.read_state = ReadState::Unverified;
+                self.delay_next_call(now_ms, rng);
             }
         }
     }
 
-    fn on_cleared(&mut self, reply: store::Reply, now_ms: u64, rng: &mut rngs::StdRng) {
+    fn handle_deleted(&mut self, reply: store::Reply, now_ms: u64, rng: &mut rngs::StdRng) {
         match reply {
             store::Reply::Written { .. } => {
-                self.superfluous.pop();
+                self.obsolete_epochs.pop();
                 self.backoff.reset();
             }
-            _ => self.fail(now_ms, rng),
+            _ => self.delay_next_call(now_ms, rng),
         }
     }
 
-    fn know(&mut self, knowledge: Knowledge) {
-        self.knowledge = knowledge;
+    fn set_read_state(&mut self, read_state: ReadState) {
+        self.read_state = read_state;
         self.backoff.reset();
-        if matches!(knowledge, Knowledge::Verified | Knowledge::None) {
+        if matches!(read_state, ReadState::Verified | ReadState::None) {
             self.unverified_from = None;
         }
     }
 
-    fn fail(&mut self, now_ms: u64, rng: &mut rngs::StdRng) {
+    fn delay_next_call(&mut self, now_ms: u64, rng: &mut rngs::StdRng) {
         self.not_before_ms = now_ms + self.backoff.next_delay_ms(rng);
     }
 
-    /// Takes in the segment numbered `next`.
-    fn take_in(&mut self, segment: &log_index::Segment) {
+    /// Applies the segment numbered `next`.
+    fn apply_segment(&mut self, segment: &log_index::Segment) {
         self.unverified_from.get_or_insert(self.next);
         self.next += 1;
         self.index.apply_segment(segment);
     }
 
-    /// Answers what the verified log decides.
-    fn answer_pending(&mut self) -> Vec<Done> {
+    /// Removes and returns the pending entries that the verified log contains or decides.
+    fn take_completed(&mut self) -> Vec<Done> {
         let mut done = Vec::new();
         let pending = std::mem::take(&mut self.pending);
-        for waiting in pending {
-            match self.answer(&waiting.entry, waiting.waiter) {
-                Some(answer) => done.push(answer),
-                None => self.pending.push(waiting),
+        for entry in pending {
+            match self.completed(&entry.entry, entry.waiter) {
+                Some(completed) => done.push(completed),
+                None => self.pending.push(entry),
             }
         }
         done
     }
 
-    pub(super) fn answer(&self, entry: &log_index::Entry, waiter: Waiter) -> Option<Done> {
-        if self.knowledge != Knowledge::Verified {
+    pub(super) fn completed(&self, entry: &log_index::Entry, waiter: Waiter) -> Option<Done> {
+        if self.read_state != ReadState::Verified {
             return None;
         }
         let verdict = match entry {
--- a/core/src/members.rs
+++ b/core/src/members.rs
@@ -1,9 +1,9 @@
-//! Membership between routers, at a cost for each that does not grow with the fleet.
+//! Membership of routers by gossip, at a cost for each router that does not grow with the fleet.
 //!
-//! Each tick a router probes one member, in a shuffled round, and adds a few news items. A member
-//! that does not answer is suspected, then counted as dead unless it refutes in time with a higher
-//! beat. A dead member may be alive beyond a cut: now and then one is probed, so that halves find
-//! each other again. Membership decides who does which work, never who may spend.
+//! At each interval a router probes one member, in shuffled rounds, and adds a few updates to the datagram. A member that
+//! does not answer is suspected, then considered dead unless it refutes the suspicion in time with a higher beat. A dead
+//! member may be alive on the other side of a network partition, so dead members are probed occasionally, by which the
+//! two sides find each other again. Membership decides which router does which work, never which may spend.
 
 use crate::{ids, message};
 use rand::rngs;
@@ -11,101 +11,101 @@
 use serde::{Deserialize, Serialize};
 use std::collections;
 
-/// The time between two probes.
+/// The interval between two probes.
 pub const PROBE_EVERY_MS: u64 = 500;
-/// The same while no other router is known: a seed may be about to start.
-const PROBE_LONELY_EVERY_MS: u64 = 100;
-/// How long a probe may stay unanswered.
+/// The interval between two probes while no other router is known: a seed may be about to start.
+const PROBE_ALONE_EVERY_MS: u64 = 100;
+/// How long a probe waits for its reply.
 const PROBE_TIMEOUT_MS: u64 = 400;
-/// Probes that stay unanswered before a member is suspected.
-const PROBES_LOST: u32 = 2;
-/// How long a suspected member has to refute.
-const SUSPECT_MS: u64 = 3_000;
-/// How long a dead member is remembered, and probed now and then.
-const FORGET_MS: u64 = 3_600_000;
-/// Every how many probes one goes to a dead member or a seed.
+/// The number of successive unanswered probes after which a member is suspected.
+const SUSPECT_AFTER_PROBES: u32 = 2;
+/// How long a suspected member may take to refute the suspicion.
+const SUSPICION_TIMEOUT_MS: u64 = 3_000;
+/// How long the record of a dead member is kept, and the member probed occasionally.
+const DEAD_RECORD_TTL_MS: u64 = 3_600_000;
+/// One of this many probes goes to a dead member or a seed.
 const PROBE_DEAD_EVERY: u64 = 4;
-/// News items in one datagram.
-const NEWS_ITEMS: usize = 8;
-/// New addresses that are tried at once, one each tick; gossip finds the others.
-const UNTRIED_MAX: usize = 100;
-/// How often a piece of news is passed on.
-const NEWS_REPEATS: u32 = 6;
-
-/// A router, as others know it.
+/// The most records of other members in one datagram.
+const GOSSIP_RECORDS_MAX: usize = 8;
+/// The most new addresses that are probed ahead of the rounds, one each tick; the others are found by gossip.
+const UNPROBED_MAX: usize = 100;
+/// How often a changed record is sent.
+const RECORD_TRANSMISSIONS: u32 = 6;
+
+/// A router's record, as it is passed on to other routers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its life.
+    /// The router's incarnation.
     pub id: ids::Incarnation,
-    /// Its address for peers, of connections and datagrams alike.
+    /// The address at which peers reach the router, for connections as well as for datagrams.
     pub address: String,
-    /// Its VM.
+    /// The VM that the router runs on.
     pub vm: String,
-    /// Its failure domain.
+    /// The failure domain of that VM.
     pub failure_domain: String,
-    /// Counts up with each refutation; the higher beat is the newer news.
+    /// Incremented with each refutation; a record with a higher beat replaces one with a lower beat.
     pub beat: u64,
-    /// What is thought of it.
+    /// The assumed state of the router.
     pub health: Health,
 }
 
-/// What is thought of a member.
+/// The assumed state of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Health {
-    /// It answers.
+    /// The member answers probes.
     Alive,
-    /// It has not answered for a while.
+    /// The member has not answered the latest probes.
     Suspect,
-    /// It did not refute a suspicion in time.
+    /// The member did not refute a suspicion in time.
     Dead,
-    /// It stopped by plan and will not come back.
+    /// The member was stopped on purpose and will not return.
     Left,
 }
 
 #[derive(Debug)]
 struct Member {
     record: Record,
-    met_ms: u64,
-    probes_lost: u32,
+    added_ms: u64,
+    unanswered_probes: u32,
     changed_ms: u64,
-    news_left: u32,
+    sends_left: u32,
 }
 
-/// Where a probe goes.
+/// A probe to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Probe {
-    /// The peer address to send to.
+    /// The peer address to probe.
     pub address: String,
 }
 
-/// The members known to one router.
+/// The membership table of one router.
 #[derive(Debug)]
 pub struct Table {
     own: Record,
     members: collections::BTreeMap<ids::Incarnation, Member>,
     seeds: Vec<String>,
-    /// Addresses that were found lately and not tried yet.
-    untried: collections::VecDeque<String>,
+    /// New addresses that have not been probed yet.
+    unprobed: collections::VecDeque<String>,
     round: Vec<ids::Incarnation>,
     probing: Option<(ids::Incarnation, u64)>,
     next_probe_ms: u64,
     probes: u64,
     next_seed: usize,
-    /// Whether others look for this router first.
+    /// Whether this router's own address is among the seeds.
     is_seed: bool,
-    /// When a member was met that was not known before.
-    met_ms: u64,
+    /// When the latest new member was added.
+    last_added_ms: u64,
 }
 
 impl Table {
-    /// A table that knows only this router and some addresses to try.
+    /// Returns a table with this router's own record and some addresses to probe.
     pub fn new(own: Record, seeds: Vec<String>) -> Self {
         let is_seed = seeds.contains(&own.address);
         let seeds: Vec<String> = seeds.into_iter().filter(|seed| *seed != own.address).collect();
         Self {
             own,
             members: Default::default(),
-            untried: seeds.iter().take(UNTRIED_MAX).cloned().collect(),
+            unprobed: seeds.iter().take(UNPROBED_MAX).cloned().collect(),
             seeds,
             round: Vec::new(),
             probing: None,
@@ -113,82 +113,82 @@
             probes: 0,
             next_seed: 0,
             is_seed,
-            met_ms: 0,
+            last_added_ms: 0,
         }
     }
 
-    /// This router's own record.
+    /// Returns this router's own record.
     pub fn own(&self) -> &Record {
         &self.own
     }
 
-    /// Announces that this router stops by plan.
+    /// Marks this router as stopped on purpose; gossip passes this on.
     pub fn leave(&mut self) {
         self.own.health = Health::Left;
         self.own.beat += 1;
     }
 
-    /// Adds addresses where routers may be found.
+    /// Adds addresses at which routers may run.
     pub fn add_seeds(&mut self, addresses: impl Iterator<Item = String>) {
         for address in addresses {
             if address != self.own.address && !self.seeds.contains(&address) {
-                if self.untried.len() < UNTRIED_MAX {
-                    self.untried.push_back(address.clone());
+                if self.unprobed.len() < UNPROBED_MAX {
+                    self.unprobed.push_back(address.clone());
                 }
                 self.seeds.push(address);
             }
         }
     }
 
-    /// When a member was met last that was not known before.
+    /// Returns when the latest new member was added.
     pub fn met_ms(&self) -> u64 {
-        self.met_ms
+        self.last_added_ms
     }
 
-    /// Whether a router that has just started may learn all it needs from a seed.
+    /// Returns whether this router, when it has just started, can request its initial state from a seed.
     pub fn asks_seeds(&self) -> bool {
         !self.is_seed && !self.seeds.is_empty()
     }
 
-    /// Takes in all that another member takes to be live.
+    /// Merges the records that another member considers live.
     pub fn learn_all(&mut self, records: Vec<Record>, now_ms: u64) {
         for record in records {
             let id = record.id;
             let known = self.members.contains_key(&id);
-            self.learn(record, now_ms);
-            // Whoever asks for all of them gets it: nothing to pass on one by one.
+            self.merge(record, now_ms);
+            // A router that lacks the record can request the whole list, so it isn't queued for gossip.
             if let Some(member) = self.members.get_mut(&id).filter(|_| !known) {
-                member.news_left = 0;
+                member.sends_left = 0;
             }
         }
     }
 
-    /// All records but this router's own.
+    /// Returns all records except this router's own.
     pub fn records(&self) -> impl Iterator<Item = &Record> {
         self.members.values().map(|member| &member.record)
     }
 
-    /// A member's record.
+    /// Returns the record of a member; `None` if it is unknown.
     pub fn find(&self, id: ids::Incarnation) -> Option<&Record> {
         self.members.get(&id).map(|member| &member.record)
     }
 
-    /// When this router first heard of a member.
+    /// Returns when this router added a member; `None` if it is unknown.
     pub fn first_heard_ms(&self, id: ids::Incarnation) -> Option<u64> {
-        self.members.get(&id).map(|member| member.met_ms)
+        self.members.get(&id).map(|member| member.added_ms)
     }
 
-    /// The members that are not known to be dead or gone, without this router.
+    /// Returns the members that are alive or suspected, without this router.
     pub fn live(&self) -> impl Iterator<Item = &Record> {
         self.records().filter(|record| record.health <= Health::Suspect)
     }
 
-    /// How many routers share the work, with this one.
+    /// Returns the number of live routers, including this one.
     pub fn live_count(&self) -> u64 {
         self.live().count() as u64 + 1
     }
 
-    /// At how many other addresses routers may run, as far as known here.
+    /// Returns the number of known addresses, except this router's own, at which routers may run.
     pub fn other_addresses(&self) -> usize {
         let may_run = self.records().filter(|record| record.health != Health::Left);
         let addresses = may_run.map(|record| &record.address).chain(&self.seeds);
@@ -196,67 +196,67 @@
         others.collect::<collections::BTreeSet<_>>().len()
     }
 
-    /// How many of them are suspected to have failed.
+    /// Returns the number of suspected members.
     pub fn suspected_count(&self) -> u64 {
         self.records().filter(|record| record.health == Health::Suspect).count() as u64
     }
 
-    /// Finds members that went silent; runs each tick. Returns the probe to send, if one is due.
+    /// Expires probes and suspicions; called each tick. Returns the probe to send, if one is due.
     pub fn tick(&mut self, now_ms: u64, rng: &mut rngs::StdRng) -> Option<Probe> {
         self.expire_probe(now_ms);
-        self.age(now_ms);
-        if let Some(address) = self.untried.pop_front() {
+        self.expire_suspicions(now_ms);
+        if let Some(address) = self.unprobed.pop_front() {
             return Some(Probe { address });
         }
         if now_ms < self.next_probe_ms {
             return None;
         }
-        let lonely = self.live().next().is_none();
-        let every_ms = if lonely { PROBE_LONELY_EVERY_MS } else { PROBE_EVERY_MS };
+        let alone = self.live().next().is_none();
+        let every_ms = if alone { PROBE_ALONE_EVERY_MS } else { PROBE_EVERY_MS };
         self.next_probe_ms = now_ms + every_ms;
         self.probes += 1;
-        if self.probes.is_multiple_of(PROBE_DEAD_EVERY) || lonely {
-            return self.probe_lost(rng);
+        if self.probes.is_multiple_of(PROBE_DEAD_EVERY) || alone {
+            return self.probe_dead_or_seed(rng);
         }
         self.probe_live(now_ms, rng)
     }
 
-    /// Takes in a datagram that came straight from a member.
+    /// Handles a datagram that was received directly from a member.
     pub fn heard(&mut self, gossip: &message::Gossip, now_ms: u64) {
         let mut direct = gossip.from.clone();
         if direct.health != Health::Left {
             direct.health = Health::Alive;
         }
-        self.learn_direct(direct, now_ms);
+        self.merge_direct(direct, now_ms);
         for record in &gossip.news {
-            self.learn(record.clone(), now_ms);
+            self.merge(record.clone(), now_ms);
         }
         if self.probing.is_some_and(|(id, _)| id == gossip.from.id) {
             self.probing = None;
         }
     }
 
-    /// Takes in a member's word on itself.
+    /// Merges the record that a member sent of itself.
     pub fn meet(&mut self, record: Record, now_ms: u64) {
         if record.id != self.own.id {
-            self.learn_direct(record, now_ms);
+            self.merge_direct(record, now_ms);
         }
     }
 
-    /// The news to add to a datagram.
+    /// Returns the records to add to a datagram, those that were sent the fewest times first.
     pub fn news(&mut self) -> Vec<Record> {
-        let mut fresh: Vec<&mut Member> =
-            self.members.values_mut().filter(|member| member.news_left > 0).collect();
-        fresh.sort_by_key(|member| std::cmp::Reverse(member.news_left));
-        fresh.truncate(NEWS_ITEMS);
-        fresh.into_iter().map(take_news).collect()
+        let mut queued: Vec<&mut Member> =
+            self.members.values_mut().filter(|member| member.sends_left > 0).collect();
+        queued.sort_by_key(|member| std::cmp::Reverse(member.sends_left));
+        queued.truncate(GOSSIP_RECORDS_MAX);
+        queued.into_iter().map(take_for_gossip).collect()
     }
 
-    /// Some members that a newcomer should know of.
+    /// Returns a random sample of the live members, for a router that has just started.
     pub fn sample(&self, rng: &mut rngs::StdRng) -> Vec<Record> {
         let mut records: Vec<Record> = self.live().cloned().collect();
         records.shuffle(rng);
-        records.truncate(NEWS_ITEMS);
+        records.truncate(GOSSIP_RECORDS_MAX);
         records
     }
 
@@ -267,29 +267,29 @@
         }
         self.probing = None;
         let Some(member) = self.members.get_mut(&id) else { return };
-        member.probes_lost += 1;
-        if member.probes_lost < PROBES_LOST {
-            // Asked again before all others: a round through a large fleet takes long.
+        member.unanswered_probes += 1;
+        if member.unanswered_probes < SUSPECT_AFTER_PROBES {
+            // Probed again before all others, because a round through a large fleet takes long.
             self.round.push(id);
         } else if member.record.health == Health::Alive {
             set_health(member, Health::Suspect, now_ms);
         }
     }
 
-    fn age(&mut self, now_ms: u64) {
+    fn expire_suspicions(&mut self, now_ms: u64) {
         for member in self.members.values_mut() {
             let silent_ms = now_ms.saturating_sub(member.changed_ms);
-            if member.record.health == Health::Suspect && silent_ms >= SUSPECT_MS {
+            if member.record.health == Health::Suspect && silent_ms >= SUSPICION_TIMEOUT_MS {
                 set_health(member, Health::Dead, now_ms);
             }
         }
         self.members.retain(|_, member| {
             let silent_ms = now_ms.saturating_sub(member.changed_ms);
-            member.record.health <= Health::Suspect || silent_ms < FORGET_MS
+            member.record.health <= Health::Suspect || silent_ms < DEAD_RECORD_TTL_MS
         });
     }
 
-    fn probe_lost(&mut self, rng: &mut rngs::StdRng) -> Option<Probe> {
+    fn probe_dead_or_seed(&mut self, rng: &mut rngs::StdRng) -> Option<Probe> {
         let known: Vec<&str> = self.live().map(|record| record.address.as_str()).collect();
         let dead = self.records().filter(|record| record.health == Health::Dead);
         let mut addresses: Vec<String> = dead.map(|record| record.address.clone()).collect();
@@ -311,8 +311,8 @@
         Some(Probe { address })
     }
 
-    fn learn_direct(&mut self, record: Record, now_ms: u64) {
-        // Another life at the same address: the earlier one is over.
+    fn merge_direct(&mut self, record: Record, now_ms: u64) {
+        // Another incarnation at the same address shows that the earlier one has terminated.
         let same_address =
             |other: &Member| other.record.address == record.address && other.record.id != record.id;
         for earlier in self.members.values_mut().filter(|other| same_address(other)) {
@@ -321,16 +321,16 @@
             }
         }
         if let Some(known) = self.members.get_mut(&record.id) {
-            known.probes_lost = 0;
+            known.unanswered_probes = 0;
             if known.record.health > Health::Suspect && known.record.health != Health::Left {
-                // Its own word is newer than any rumour; it refutes once it hears of it.
+                // Its own datagram is newer than any other router's report, which it refutes on receipt.
                 set_health(known, Health::Alive, now_ms);
             }
         }
-        self.learn(record, now_ms);
+        self.merge(record, now_ms);
     }
 
-    fn learn(&mut self, record: Record, now_ms: u64) {
+    fn merge(&mut self, record: Record, now_ms: u64) {
         if record.id == self.own.id {
             if record.health != Health::Alive && self.own.health == Health::Alive {
                 self.own.beat = self.own.beat.max(record.beat + 1);
@@ -341,13 +341,13 @@
             None if record.health <= Health::Suspect => {
                 let member = Member {
                     record,
-                    met_ms: now_ms,
-                    probes_lost: 0,
+                    added_ms: now_ms,
+                    unanswered_probes: 0,
                     changed_ms: now_ms,
-                    news_left: NEWS_REPEATS,
+                    sends_left: RECORD_TRANSMISSIONS,
                 };
                 self.members.insert(member.record.id, member);
-                self.met_ms = now_ms;
+                self.last_added_ms = now_ms;
             }
             None => {}
             Some(known) => {
@@ -355,7 +355,7 @@
                 if newer && known.record.health != Health::Left {
                     let changed = record.health != known.record.health;
                     known.record = record;
-                    known.news_left = NEWS_REPEATS;
+                    known.sends_left = RECORD_TRANSMISSIONS;
                     if changed {
                         known.changed_ms = now_ms;
                     }
@@ -368,10 +368,10 @@
 fn set_health(member: &mut Member, health: Health, now_ms: u64) {
     member.record.health = health;
     member.changed_ms = now_ms;
-    member.news_left = NEWS_REPEATS;
+    member.sends_left = RECORD_TRANSMISSIONS;
 }
 
-fn take_news(member: &mut Member) -> Record {
-    member.news_left -= 1;
+fn take_for_gossip(member: &mut Member) -> Record {
+    member.sends_left -= 1;
     member.record.clone()
 }
--- a/core/src/message.rs
+++ b/core/src/message.rs
@@ -1,188 +1,188 @@
-//! What routers say to each other. Every frame carries [`PROTOCOL`]; another one is not decoded.
+//! The messages between routers. Every frame carries [`PROTOCOL`]; a frame of another version is not decoded.
 
 mod ages;
 
 use crate::{evacuation, ids, leavings, log_index, members, quarantine, servers, store, watch};
 use serde::{Deserialize, Serialize};
 
-/// The version of these types and of how they travel. It changes with every change of either.
+/// The version of these types and of their transport encoding. It changes with every change of either.
 pub const PROTOCOL: u16 = 12;
 
-/// A message with its sender and the life that it is meant for.
+/// A message with its sender and the router incarnation that it is addressed to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The sender.
+    /// The sender's incarnation.
     pub from: ids::Incarnation,
-    /// The receiver. Another life at its address must not take the message for its own.
+    /// The receiver's incarnation. Another incarnation at the same address must ignore the message.
     pub to: ids::Incarnation,
-    /// The message.
+    /// The message to deliver.
     pub message: Message,
 }
 
-/// A message over a connection. It may be lost, repeated or late; the core copes with all three.
+/// A message to one router. It may be lost, duplicated or delayed; the core handles all three.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Orders a claim through the receiver, the home of its shard.
+    /// Requests a claim through the receiver, the router responsible for the claim's shard of the log.
     Claim(log_index::Claim),
-    /// The claim's verdict is durable.
+    /// The reply to [`Message::Claim`], sent once the verdict is durable.
     ClaimReply {
-        /// The claim.
+        /// The claim that was requested.
         claim: log_index::Claim,
-        /// Whether it may run.
+        /// Whether the request may run.
         verdict: log_index::Verdict,
     },
-    /// Hands over a settlement: the receiver makes it durable even if the sender dies.
+    /// Hands over a settlement: the receiver makes it durable even if the sender fails.
     Settle(log_index::Settlement),
-    /// The receiver of a settlement has it in memory.
+    /// The sender has stored a [`Message::Settle`] in memory.
     SettleStored(ids::AttemptId),
-    /// The settlement is in the log.
+    /// The settlement of this attempt is in the log.
     SettleDurable(ids::AttemptId),
-    /// Asks for tokens that the receiver does not need now.
+    /// Requests tokens that the receiver does not need now.
     TransferAsk {
-        /// The asker's number for the question; asked again with the same number, it is one question.
+        /// The requester's number for the request; a retransmission has the same number.
         number: u64,
-        /// The budget's name.
+        /// The budget, as `workspace/budget`.
         budget: String,
-        /// Fewer tokens than this are of no use.
+        /// The least number of tokens that is useful.
         needed_tokens: u64,
-        /// How many tokens are lacking in all.
+        /// The number of tokens that the requester lacks in total.
         wanted_tokens: u64,
-        /// The asker, so that one who does not know it yet can answer.
+        /// The requester's own record, so that a receiver without it can reply.
         asker: members::Record,
     },
-    /// Gives tokens. Applied once for each `(sender, number)`.
+    /// Transfers tokens to the receiver, which applies it once for each `(sender, number)`.
     Transfer {
-        /// The sender's number for it.
+        /// The sender's number for the transfer.
         number: u64,
-        /// All of the sender's lower numbers are acknowledged or given up: they come no more.
+        /// All lower numbers of the sender are acknowledged or abandoned and are not sent again.
         open_from: u64,
-        /// The question that it answers; 0 if none was asked.
+        /// The number of the receiver's request that this is the reply to; 0 if there is none.
         answers: u64,
-        /// The budget's name.
+        /// The budget, as `workspace/budget`.
         budget: String,
-        /// How many tokens.
+        /// The number of tokens transferred.
         tokens: u64,
     },
-    /// The transfer was applied.
+    /// The sender has applied a [`Message::Transfer`].
     TransferTaken {
-        /// The sender's number for it.
+        /// The number of the transfer.
         number: u64,
     },
-    /// The transfer was not applied and never will be.
+    /// The sender has not applied a [`Message::Transfer`] and never will.
     TransferDeclined {
-        /// The sender's number for it.
+        /// The number of the transfer.
         number: u64,
     },
-    /// The question has arrived, and waits until the sender has heard from the store.
+    /// The transfer request was received and is deferred until the sender has read the store.
     TransferWait {
-        /// The question.
+        /// The number of the request.
         number: u64,
-        /// The budget's name.
+        /// The budget, as `workspace/budget`.
         budget: String,
     },
-    /// Nothing to spare.
+    /// The sender has no tokens to transfer.
     TransferNone {
-        /// The question that it answers.
+        /// The number of the request.
         number: u64,
-        /// The budget's name.
+        /// The budget, as `workspace/budget`.
         budget: String,
-        /// Whether the ledger was read since the question and has nothing left either.
+        /// Whether the ledger was read since the request was received, and has too few tokens left as well.
         certain: bool,
     },
-    /// Asks for the configuration that is in force at the receiver.
+    /// Requests the configuration that is in force at the receiver.
     ConfigAsk,
-    /// A configuration.
+    /// The configuration that is in force at the sender.
     Config {
-        /// Its version.
+        /// The version of the configuration.
         version: u64,
-        /// What the sender's copy stands for.
+        /// The position and age of the sender's copy.
         seen: Seen,
-        /// What is evacuated at that position.
+        /// The evacuations at that position.
         evacuations: evacuation::Evacuations,
-        /// The [`crate::config::Published`], encoded with `postcard`: a fifth of its size as JSON, and passed on as it
-        /// came.
+        /// The [`crate::config::Published`], encoded with `postcard` in a fifth of the size of its JSON, and forwarded
+        /// unchanged.
         value: Vec<u8>,
     },
-    /// Asks for the list of VMs, because the platform gives none or too much was missed.
+    /// Requests the list of VMs, because the platform is unavailable or too many changes were missed.
     VmsAsk,
-    /// The list of VMs as the sender knows it.
+    /// The sender's copy of the list of VMs.
     Vms {
-        /// What the sender's copy stands for; the position is the list's index.
+        /// The position and age of the sender's copy; the position is the index of the list.
         seen: Seen,
-        /// The VMs.
+        /// The listed VMs.
         vms: Vec<servers::Vm>,
     },
-    /// Asks for the routers that the receiver knows.
+    /// Requests the receiver's list of live routers.
     MembersAsk,
-    /// The routers that the sender takes to be live.
+    /// The routers that the sender considers live.
     Members(Vec<members::Record>),
-    /// Asks the router that paces the requests to a limited server for permits to send some.
+    /// Requests permits from the pacer of a limited server.
     PermitAsk {
-        /// The asker's number for the question.
+        /// The requester's number for the request.
         number: u64,
-        /// What the asker knows of the server's limit.
+        /// The limit of the server as known to the requester.
         known: servers::LimitNews,
-        /// What is of use.
+        /// The permits that the requester can use.
         wanted: servers::PermitsWanted,
     },
-    /// The answer to [`Message::PermitAsk`].
+    /// The reply to [`Message::PermitAsk`].
     Permits {
-        /// The question.
+        /// The number of the request.
         number: u64,
-        /// The server's VM.
+        /// The VM that runs the server.
         vm: String,
-        /// The server's life.
+        /// The server incarnation that the permits are for.
         life: ids::ServerLife,
-        /// Whether the permits are for a trial.
+        /// Whether the permits are for trial requests.
         trial: bool,
-        /// The permits, or when to ask again.
+        /// The permits, or when to send the next request.
         granted: servers::PermitsGranted,
     },
-    /// A copy of a ledger shard that the sender wrote, to be recovered if a restore of the store loses it.
+    /// A copy of a ledger shard that the sender wrote, from which it is recovered if a restore of the store loses it.
     LedgerCopy {
-        /// The shard.
+        /// The number of the ledger shard.
         shard: u32,
-        /// The position of the value, or of the one that it replaced.
+        /// The position of the value, or of the value that it replaced.
         position: store::Position,
         /// The [`crate::ledger::Shard`], encoded as in the store.
         value: Vec<u8>,
     },
     /// The sender has stored a [`Message::LedgerCopy`].
     LedgerCopyStored {
-        /// The shard.
+        /// The number of the ledger shard.
         shard: u32,
-        /// The number of the latest write of the receiver that the copy includes, among those of the receiver.
+        /// The number of the receiver's latest write that the copy includes; each router counts its own writes.
         write: u64,
     },
-    /// The sender read a shard of the ledger in which an earlier life at the receiver's address still holds
-    /// grants. Only the present life there can tell for sure that the earlier one is over.
+    /// The sender read a ledger shard in which an earlier incarnation at the receiver's address still holds grants. Only
+    /// the present incarnation there can be certain that the earlier one has terminated.
     LeftBehind {
-        /// The shard of the ledger.
+        /// The number of the ledger shard.
         shard: u32,
     },
-    /// Asks whether the receiver has recovered what it knew of shards of the ledger before a restore of the store.
+    /// Asks whether the receiver has recovered its part of ledger shards after a restore of the store.
     RecoveryAsk {
-        /// The store's era.
+        /// The store's era as known to the sender.
         era: u64,
-        /// The shards, and the first era before which draws may be unknown.
+        /// The numbers of the shards, each with the first era before which draws may be unknown.
         shards: Vec<(u32, u64)>,
-        /// A digest of the addresses of the routers that the sender knows.
+        /// A digest of the addresses of the routers known to the sender.
         routers: u64,
     },
-    /// The answer to [`Message::RecoveryAsk`].
+    /// The reply to [`Message::RecoveryAsk`].
     RecoveryReply {
-        /// The store's era.
+        /// The store's era as known to the sender.
         era: u64,
-        /// The shards that the sender was asked about, and what it can say of them.
+        /// The numbers of the requested shards, each with what the sender has recovered.
         shards: Vec<(u32, Recovered)>,
-        /// The addresses of the routers that the sender knows, if they are others than the receiver knows.
+        /// The addresses of the routers known to the sender, if the digests differ.
         addresses: Vec<String>,
     },
 }
 
 impl Message {
-    /// Whether it is small and sent again by its sender until it is answered: such a message goes as
-    /// a datagram, so that it does not wait behind a connection that hangs.
+    /// Returns whether the message is sent as a datagram. This holds for small messages that the sender retransmits until
+    /// they are answered, so that they don't wait behind a stalled connection.
     pub fn by_datagram(&self) -> bool {
         matches!(
             self,
@@ -198,94 +198,94 @@
     }
 }
 
-/// What a router has recovered of what was known at its address of a shard of the ledger.
+/// What a router has recovered of the part of a ledger shard that routers at its address know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Recovered {
-    /// Not yet what it knows itself.
+    /// Its own part is not recovered yet.
     Nothing,
-    /// What it knows itself; an earlier life at its address may have drawn what it does not know of.
+    /// Its own part; draws of an earlier incarnation at its address may be missing.
     OwnLife,
-    /// All.
+    /// The parts of all incarnations at its address.
     All,
 }
 
-/// A datagram between two routers.
+/// A datagram with updates that one router sends to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gossip {
-    /// The sender, as it describes itself.
+    /// The sender's own record.
     pub from: members::Record,
-    /// A question, the answer to one, or news that want no answer.
+    /// Whether the datagram is a probe, the reply to one, or neither.
     pub kind: GossipKind,
-    /// What the sender knows of the store.
+    /// The sender's state of the store's contents.
     pub digest: Digest,
-    /// What the sender heard lately of some others.
+    /// Recently changed records of other routers.
     pub news: Vec<members::Record>,
-    /// Backend server VMs that are leaving, with the index of the list that said so.
+    /// Updates on VMs whose backend server is leaving.
     pub leaving: Vec<Leaving>,
-    /// Requests that crash servers.
+    /// Updates on requests that crash servers.
     pub quarantine: quarantine::News,
-    /// What servers say of how many requests they take.
+    /// Updates on the request limits that servers state.
     pub limits: Vec<servers::LimitNews>,
 }
 
-/// Whether a datagram is half of a probe.
+/// The role of a datagram in a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GossipKind {
-    /// Wants an answer.
+    /// A probe that requests a reply.
     Ping,
-    /// Is one.
+    /// The reply to a probe.
     Ack,
-    /// Passes news on.
+    /// Updates without a probe, which get no reply.
     Push,
 }
 
-/// What a router's copy of something in the store stands for.
+/// The position and age of a router's copy of a part of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Seen {
     /// The position in the store's history; [`store::Position::START`] if there is no copy.
     pub position: store::Position,
-    /// How long before the datagram was sent the copy held all that the store had, in milliseconds; `None` if
-    /// that is not known.
+    /// How long before the message was sent the copy was last known to match the store, in milliseconds; `None` if it
+    /// never was.
     pub age_ms: Option<u64>,
 }
 
-/// What a router knows of the store.
+/// A router's state of the store's contents.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
     /// The store's era as known to the sender.
     pub era: u64,
     /// The configuration version in force.
     pub config_version: u64,
-    /// What the copy of the configuration stands for.
+    /// The position and age of the copy of the configuration.
     pub configuration: Seen,
-    /// What is evacuated.
+    /// The evacuations known to the sender.
     pub evacuations: evacuation::Evacuations,
-    /// What the copy of the list of VMs stands for.
+    /// The position and age of the copy of the list of VMs.
     pub servers: Seen,
-    /// `changes` are all changes of servers' records after this position, up to the copy's.
+    /// The position after which `changes` contains all changes of server records, up to the position of the copy.
     pub changes_after: store::Position,
-    /// The latest changes, the oldest first.
+    /// The latest changes of server records, oldest first.
     pub changes: Vec<watch::ServerChange>,
-    /// How many routers are known, with the sender.
+    /// The number of routers known to the sender, including itself.
     pub routers: u64,
 }
 
-/// What one datagram carries.
+/// The content of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// News of members.
+    /// Updates, possibly with a probe.
     Gossip(Gossip),
-    /// A message that is sent again until it is answered.
+    /// A message that is retransmitted until it is answered.
     Message(Envelope),
 }
 
-/// News of a VM that is leaving.
+/// An update on a VM whose backend server is leaving.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Leaving {
-    /// The VM.
+    /// The name of the VM.
     pub vm: String,
-    /// The life of its server that is leaving.
+    /// The server incarnation that is leaving.
     pub life: ids::ServerLife,
-    /// Who told that.
+    /// Where the update comes from.
     pub source: leavings::Source,
 }
--- a/core/src/message/ages.rs
+++ b/core/src/message/ages.rs
@@ -6,7 +6,7 @@
     /// Increases all ages in the datagram by the time it was queued, in milliseconds.
     pub fn add_age_ms(&mut self, queued_ms: u64) {
         self.digest.add_age_ms(queued_ms);
-        self.limits.iter_mut().for_each(|news| news.add_age_ms(queued_ms));
+        self.limits.iter_mut().for_each(|limit| limit.add_age_ms(queued_ms));
         self.quarantine.add_age_ms(queued_ms);
     }
 }
--- a/core/src/outbox.rs
+++ b/core/src/outbox.rs
@@ -1,141 +1,141 @@
-//! Settlements that are not in the log yet, and transfers that are not acknowledged yet.
+//! The settlements that are not in the log yet and the transfers that are not acknowledged yet.
 
 use crate::{ids, log_index};
 use std::collections;
 
-/// How long to wait for a sign of life before a message is sent again.
+/// The interval at which a message without a reply is sent again.
 pub const RESEND_MS: u64 = 1_000;
-/// The first pause before a transfer is sent again.
-const TRANSFER_AGAIN_MS: u64 = 100;
-/// A transfer that is not acknowledged for so long, by one who is not known to live, is lost.
-const TRANSFER_GIVEN_UP_MS: u64 = 30_000;
-/// How long a router has to acknowledge a settlement before the next one gets it too.
+/// The delay before a transfer is first sent again.
+const TRANSFER_RESEND_FIRST_MS: u64 = 100;
+/// How long a transfer to a router that isn't known to be live waits for its acknowledgment; after this it is abandoned.
+const TRANSFER_TIMEOUT_MS: u64 = 30_000;
+/// How long a router may take to acknowledge a settlement before it is also sent to the next one.
 pub const HAND_ON_MS: u64 = 150;
 
-/// A settlement on its way into the log.
+/// A settlement that is not in the log yet.
 #[derive(Clone, Debug)]
 pub struct Unsettled {
-    /// What is to be recorded.
+    /// The settlement to append.
     pub settlement: log_index::Settlement,
-    /// The request whose last chunk waits for it to be safe.
+    /// The request whose last chunk is withheld until the settlement is safe.
     pub waiting: Option<ids::RequestSlot>,
-    /// How often it was handed over.
+    /// How often the settlement was handed over.
     pub tries: usize,
-    /// Whether another router has it, or the log.
+    /// Whether another router or the log has the settlement.
     pub safe: bool,
-    /// When it was last sent or appended.
+    /// When the settlement was last sent or appended.
     pub sent_ms: u64,
-    /// When the answer ended.
+    /// When the answer to the request ended.
     pub since_ms: u64,
 }
 
 impl Unsettled {
-    /// Whether it is time to hand it over (again).
+    /// Returns whether the settlement is due to be handed over, for the first time or again.
     pub fn due(&self, now_ms: u64) -> bool {
-        let pause_ms = if self.safe { RESEND_MS } else { HAND_ON_MS };
-        now_ms >= self.sent_ms + pause_ms
+        let delay_ms = if self.safe { RESEND_MS } else { HAND_ON_MS };
+        now_ms >= self.sent_ms + delay_ms
     }
 }
 
-/// Tokens taken out of an account for another router that has not acknowledged them.
+/// A transfer of tokens from this router's account that the receiver has not acknowledged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
-    /// The receiver.
+    /// The receiving router.
     pub to: ids::Incarnation,
-    /// The budget's name.
+    /// The budget, as `workspace/budget`.
     pub budget: String,
-    /// How many tokens.
+    /// The number of tokens transferred.
     pub tokens: u64,
-    /// The receiver's question that it answers; 0 if none.
+    /// The number of the receiver's request that this is the reply to; 0 if there is none.
     pub answers: u64,
-    /// When it was first sent.
+    /// When the transfer was first sent.
     pub since_ms: u64,
-    /// When it was last sent.
+    /// When the transfer was last sent.
     pub sent_ms: u64,
 }
 
 impl Outgoing {
-    /// Whether it is time to send it again: soon at first, seldom to one who stays silent.
+    /// Returns whether the transfer is due to be sent again. The delay grows while there is no acknowledgment.
     pub fn due(&self, now_ms: u64) -> bool {
         let age_ms = self.sent_ms.saturating_sub(self.since_ms);
-        now_ms >= self.sent_ms + age_ms.clamp(TRANSFER_AGAIN_MS, RESEND_MS)
+        now_ms >= self.sent_ms + age_ms.clamp(TRANSFER_RESEND_FIRST_MS, RESEND_MS)
     }
 
-    /// Whether it is too old to be waited for.
+    /// Returns whether the transfer is too old to expect an acknowledgment.
     pub fn given_up(&self, now_ms: u64) -> bool {
-        now_ms >= self.since_ms + TRANSFER_GIVEN_UP_MS
+        now_ms >= self.since_ms + TRANSFER_TIMEOUT_MS
     }
 }
 
-/// Transfers of one sender as the receiver remembers them.
+/// The transfers received from one router.
 #[derive(Debug, Default)]
-struct Seen {
-    /// All lower numbers are over.
+struct ReceivedTransfers {
+    /// The sender no longer sends any transfer with a lower number.
     open_from: u64,
-    /// Whether each later one was applied, or declined for good.
+    /// For the numbers from `open_from`, whether the transfer was applied; `false` if it was declined for good.
     applied: collections::BTreeMap<u64, bool>,
 }
 
-/// What a receiver did with a transfer before.
+/// What this router has already done with a received transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Earlier {
-    /// It is new.
+    /// The transfer has not been received before.
     New,
-    /// It was applied.
+    /// The transfer was applied, or is too late to be applied.
     Applied,
-    /// It was declined and never will be applied.
+    /// The transfer was declined and will never be applied.
     Declined,
 }
 
-/// All that this router owes to others.
+/// The settlements and transfers that wait for an acknowledgment, and the transfers received.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    /// Settlements by attempt.
+    /// The settlements that are not in the log yet, by attempt.
     pub unsettled: collections::BTreeMap<ids::AttemptId, Unsettled>,
-    /// Transfers by number.
+    /// The transfers that are not acknowledged yet, by number.
     pub transfers: collections::BTreeMap<u64, Outgoing>,
-    seen: collections::HashMap<ids::Incarnation, Seen>,
+    received_transfers: collections::HashMap<ids::Incarnation, ReceivedTransfers>,
     next_transfer: u64,
 }
 
 impl Outbox {
-    /// Notes a transfer and returns its number.
+    /// Adds a transfer and returns its number.
     pub fn add_transfer(&mut self, outgoing: Outgoing) -> u64 {
         self.next_transfer += 1;
         self.transfers.insert(self.next_transfer, outgoing);
         self.next_transfer
     }
 
-    /// All lower numbers of transfers are over.
+    /// Returns the lowest number of a transfer that may still be sent.
     pub fn open_from(&self) -> u64 {
         let first = self.transfers.first_key_value().map(|(number, _)| *number);
         first.unwrap_or(self.next_transfer + 1)
     }
 
-    /// The transfer that answers a question, if it is not acknowledged yet.
-    pub fn answer_to(&self, to: ids::Incarnation, question: u64) -> Option<(u64, Outgoing)> {
-        let answers = |outgoing: &Outgoing| outgoing.to == to && outgoing.answers == question;
-        let found = self.transfers.iter().rev().find(|(_, outgoing)| answers(outgoing));
+    /// Returns the transfer that is the reply to a request, if it is not acknowledged yet.
+    pub fn answer_to(&self, to: ids::Incarnation, request: u64) -> Option<(u64, Outgoing)> {
+        let is_reply = |outgoing: &Outgoing| outgoing.to == to && outgoing.answers == request;
+        let found = self.transfers.iter().rev().find(|(_, outgoing)| is_reply(outgoing));
         found.map(|(number, outgoing)| (*number, outgoing.clone()))
     }
 
-    /// What was done here with a transfer.
+    /// Returns what this router has already done with a received transfer.
     pub fn earlier(&self, from: ids::Incarnation, number: u64) -> Earlier {
-        let Some(seen) = self.seen.get(&from) else { return Earlier::New };
-        match seen.applied.get(&number) {
+        let Some(received) = self.received_transfers.get(&from) else { return Earlier::New };
+        match received.applied.get(&number) {
             Some(true) => Earlier::Applied,
             Some(false) => Earlier::Declined,
-            // Its sender has given it up or heard of its end: too late to apply it.
-            None if number < seen.open_from => Earlier::Applied,
+            // The sender has abandoned the transfer or received its acknowledgment, so it is too late to apply it.
+            None if number < received.open_from => Earlier::Applied,
             None => Earlier::New,
         }
     }
 
-    /// Remembers what was done with a transfer, and forgets those that come no more.
+    /// Records whether a received transfer was applied, and discards the records of those that are not sent again.
     pub fn note(&mut self, from: ids::Incarnation, number: u64, open_from: u64, applied: bool) {
-        let seen = self.seen.entry(from).or_default();
-        seen.applied.insert(number, applied);
-        seen.open_from = seen.open_from.max(open_from.min(number));
-        seen.applied = seen.applied.split_off(&seen.open_from);
+        let received = self.received_transfers.entry(from).or_default();
+        received.applied.insert(number, applied);
+        received.open_from = received.open_from.max(open_from.min(number));
+        received.applied = received.applied.split_off(&received.open_from);
     }
 }
--- a/core/src/watch.rs
+++ b/core/src/watch.rs
@@ -1,8 +1,8 @@
-//! When a router asks the platform's store for news itself, and how old its knowledge is.
+//! Decides when a router polls the platform's store for updates, and tracks the staleness of its copy.
 //!
-//! In a small fleet every router watches the store. In a larger one a few watch, by rendezvous rank, and the
-//! others hear the news, and how old it is, from peers. A router whose knowledge gets too old asks the store
-//! itself, at a moment drawn at random, so that the whole fleet makes a bounded number of such calls a second.
+//! In a small fleet every router polls the store. In a larger one a few watchers, chosen by rendezvous rank, poll it,
+//! and the others receive updates and the age of the copy from peers. A router whose copy is stale polls the store
+//! itself after a random delay, so that the whole fleet makes a bounded number of such polls a second.
 
 mod calls;
 mod copy;
@@ -18,41 +18,43 @@
 use rand::rngs;
 use serde::{Deserialize, Serialize};
 
-/// Up to so many routers each one watches: two that watch with short waits for all would make as many
-/// calls (docs/DESIGN.md, "Who asks the store").
+/// The largest fleet in which every router polls the store. Up to this size, two watchers with short waits would make
+/// as many calls (docs/DESIGN.md, "Who asks the store").
 pub const ALL_WATCH_MAX: usize = 12;
-/// How long a call waits for news where every router watches: the longer, the fewer calls.
-const ALL_WATCH_WAIT_MS: u64 = 25_000;
-/// Where every router watches, knowledge that is older than this part of the bound is overdue, in percent: whoever
-/// hears of no news may have a call that is never answered. Together with [`OVERDUE_WINDOW_PERCENT`] it leaves the
-/// rest of the bound for the answer and its way to the others.
-const ALL_WATCH_OVERDUE_PERCENT: u64 = 60;
-/// By then the others know what the first in rank has learned: its call, and two steps from router to router.
-const TURN_MS: u64 = 80;
-/// A call that others' newer news show to be unanswered is given up after this long: its answer may be on its way.
+/// How long a poll waits for a change where every router polls: a longer wait means fewer calls.
+const EVERY_ROUTER_WAIT_MS: u64 = 25_000;
+/// The part of the bound after which a copy is stale where every router polls, in percent. A router that receives no
+/// updates may have a poll that is never answered. Together with [`STALE_POLL_WINDOW_PERCENT`] this leaves the rest of the
+/// bound for the answer and for passing it on to the other routers.
+const EVERY_ROUTER_STALE_PERCENT: u64 = 60;
+/// The delay between freshness checks of routers of successive ranks: enough for the check of the previous rank and
+/// two gossip hops.
+const RANK_STEP_MS: u64 = 80;
+/// How long a superseded poll stays in flight before it is canceled, because its answer may be in transit.
 const ANSWER_GRACE_MS: u64 = 500;
-/// A watcher's call waits for this part of the bound, in percent: each answer is the proof that the others are
-/// up to date.
-const WAIT_PERCENT: u64 = 25;
-/// Knowledge that is older than this part of the bound is overdue, in percent: two proofs failed to come.
-const OVERDUE_PERCENT: u64 = 50;
-/// A call that only has to prove that nothing is new waits this long.
-const PROOF_WAIT_MS: u64 = 10;
-/// Calls a second that all routers together make while such calls fail, so that an outage costs no more than
-/// this. The first ones of a large fleet come sooner.
-const OVERDUE_CALLS_PER_S: u64 = 12;
-/// The moment of such a call lies within this part of the bound, in percent, however large the fleet is: the others
-/// may be out of touch, and then nobody tells this router what it waits for.
-const OVERDUE_WINDOW_PERCENT: u64 = 25;
-/// Pauses after failures: refused calls cost the store as well.
-const PAUSE_FIRST_MS: u64 = 250;
-const PAUSE_LONGEST_MS: u64 = 1_000;
-
-/// What is followed.
+/// The part of the bound that a watcher's poll waits, in percent: each answer confirms to the other routers that their
+/// copies are current.
+const WATCHER_WAIT_PERCENT: u64 = 25;
+/// The part of the bound after which a copy is stale, in percent: two confirmations are missing by then.
+const STALE_PERCENT: u64 = 50;
+/// How long a freshness check waits for a change.
+const FRESHNESS_CHECK_WAIT_MS: u64 = 10;
+/// The rate of polls because of stale copies that all routers together make while such polls fail, which bounds the
+/// load on the store in an outage. The first polls of a large fleet are closer together.
+const STALE_POLLS_PER_S: u64 = 12;
+/// The part of the bound within which a router polls because of a stale copy, in percent, however large the fleet is:
+/// if the other routers are unreachable, none of them passes on the awaited update.
+const STALE_POLL_WINDOW_PERCENT: u64 = 25;
+/// The delay before the first retry; retries are delayed because rejected calls load the store as well.
+const RETRY_DELAY_FIRST_MS: u64 = 250;
+/// The longest delay before a retry.
+const RETRY_DELAY_MAX_MS: u64 = 1_000;
+
+/// A part of the store that routers follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Topic {
-    /// What the operator writes: the configuration, and what is evacuated.
+    /// What operators publish: the configuration and the evacuations.
     Configuration,
     /// The list of backend servers.
     Servers,
@@ -69,30 +71,30 @@
 }
 
 impl Topic {
-    /// All of them.
+    /// All topics, in their declared order.
     pub const ALL: [Self; 2] = [Self::Configuration, Self::Servers];
 }
 
-/// How soon news must be in force at every router that reaches the store or a peer, in milliseconds.
+/// The time within which a change must be in force at every router that reaches the store or a peer, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Of the configuration.
+    /// The bound for the configuration.
     pub configuration_ms: u64,
-    /// Of the list of servers.
+    /// The bound for the list of servers.
     pub servers_ms: u64,
 }
 
-/// A router's part in following a topic.
+/// A router's role in following the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Duty {
-    /// It has just started and asks peers first.
+    /// The router has just started and requests the state from peers first.
     Joining,
-    /// The fleet is small: every router watches.
+    /// The fleet is small: every router polls the store.
     EveryRouter,
-    /// It watches for the others.
+    /// The router polls the store on behalf of the fleet.
     Watcher,
-    /// It hears the news from peers.
+    /// The router receives updates from peers.
     Listener,
 }
 
@@ -108,12 +110,12 @@
     }
 }
 
-/// A call to the store that is due.
+/// A long poll of the store that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// Tells it from the other calls for this topic.
+    /// Distinguishes the poll from the other polls of this topic.
     pub number: u64,
-    /// What to ask for.
+    /// The topic to poll.
     pub topic: Topic,
     /// Request changes after this position; `None` requests the full state.
     pub after: Option<store::Position>,
@@ -121,90 +123,91 @@
     pub wait_ms: u64,
 }
 
-/// One topic as one router follows it.
+/// One topic as one router follows it: the position and age of its copy, and the polls in flight.
 #[derive(Debug)]
 pub struct Watch {
     topic: Topic,
     bound_ms: u64,
-    /// The position that this router's copy stands for; [`store::Position::START`] if it has none.
+    /// The position of this router's copy; [`store::Position::START`] if it has none.
     position: store::Position,
-    /// At this time the copy held all that the store had.
+    /// The latest time at which the copy is known to have matched the store.
     confirmed_ms: Option<u64>,
-    /// The history since the copy's revision is gone: all is asked for next.
-    forgotten: bool,
-    /// The call that waits for news.
-    waiting: Option<Flight>,
-    /// A call beside it that proves that there are none.
-    proving: Option<Flight>,
-    calls: u64,
-    /// News came that the waiting call should have brought: since when, and from where.
-    overtaken: Option<(u64, Evidence)>,
-    /// The last call had no answer: the next one may have none either, and must not wait for long.
+    /// The store no longer has the history since the copy's revision, so the next poll requests the full state.
+    needs_full_state: bool,
+    /// The poll that waits for a change.
+    long_poll: Option<Flight>,
+    /// A short poll beside it that checks that the copy is current.
+    freshness_check: Option<Flight>,
+    polls_started: u64,
+    /// Set once an update has arrived that the long poll should have returned: when, and by which way.
+    superseded: Option<(u64, Evidence)>,
+    /// Whether the last poll got no answer: the next one may get none either, and must not wait for long.
     unanswered: bool,
     not_before_ms: u64,
-    pause: backoff::Backoff,
-    /// When the store said last that it does not serve, unless its state was known after that.
-    refused_ms: Option<u64>,
-    /// When a call last failed.
-    failed_ms: Option<u64>,
-    /// When this router asks because its knowledge is overdue.
-    overdue_call_ms: Option<u64>,
+    retry_backoff: backoff::Backoff,
+    /// When the store last rejected a poll, unless its state was confirmed after that.
+    last_rejected_ms: Option<u64>,
+    /// When a poll last failed.
+    last_failed_ms: Option<u64>,
+    /// When this router polls because its copy is stale.
+    stale_poll_ms: Option<u64>,
 }
 
 impl Watch {
-    /// A topic of which nothing is known yet.
+    /// Returns the state of a topic without a copy.
     pub fn new(topic: Topic, bound_ms: u64) -> Self {
         Self {
             topic,
             bound_ms,
             position: store::Position::START,
             confirmed_ms: None,
-            forgotten: false,
-            waiting: None,
-            proving: None,
-            calls: 0,
-            overtaken: None,
+            needs_full_state: false,
+            long_poll: None,
+            freshness_check: None,
+            polls_started: 0,
+            superseded: None,
             unanswered: false,
             not_before_ms: 0,
-            pause: backoff::Backoff::new(PAUSE_FIRST_MS, PAUSE_LONGEST_MS),
-            refused_ms: None,
-            failed_ms: None,
-            overdue_call_ms: None,
+            retry_backoff: backoff::Backoff::new(RETRY_DELAY_FIRST_MS, RETRY_DELAY_MAX_MS),
+            last_rejected_ms: None,
+            last_failed_ms: None,
+            stale_poll_ms: None,
         }
     }
 
-    /// What is followed.
+    /// Returns the topic that is followed.
     pub fn topic(&self) -> Topic {
         self.topic
     }
 
-    /// The position that the copy stands for; [`store::Position::START`] if there is none.
+    /// Returns the position of the copy; [`store::Position::START`] if there is none.
     pub fn position(&self) -> store::Position {
         self.position
     }
 
-    /// How long ago the copy held all that the store had, in milliseconds; `None` if it never did.
+    /// Returns how long ago the copy was last known to match the store, in milliseconds; `None` if it never was.
     pub fn age_ms(&self, now_ms: u64) -> Option<u64> {
         self.confirmed_ms.map(|at_ms| now_ms.saturating_sub(at_ms))
     }
 
-    /// When the copy was last known to be current or a call last failed, whichever is later; `None` if neither happened.
+    /// Returns when the copy was last known to be current or a poll last failed, whichever is later; `None` if neither
+    /// happened.
     /// A restore that is detected later is assumed to be later than that.
     pub fn last_current_or_failed_ms(&self) -> Option<u64> {
-        self.confirmed_ms.max(self.failed_ms)
+        self.confirmed_ms.max(self.last_failed_ms)
     }
 
-    /// Knowledge that is older than this is overdue, in milliseconds.
+    /// Returns the age from which the copy is stale, in milliseconds.
     pub fn overdue_ms(&self) -> u64 {
-        self.bound_ms * OVERDUE_PERCENT / 100
+        self.bound_ms * STALE_PERCENT / 100
     }
 
-    /// An improvement of the age by this much is worth passing on, in milliseconds.
+    /// Returns the least improvement of the copy's age that is passed on to peers, in milliseconds.
     pub fn notable_ms(&self) -> u64 {
-        self.bound_ms * WAIT_PERCENT / 200
+        self.bound_ms * WATCHER_WAIT_PERCENT / 200
     }
 
-    /// The call to make now, if one is due.
+    /// Returns the poll to send now, if one is due.
     pub fn due(
         &mut self,
         duty: Duty,
@@ -212,50 +215,53 @@
         now_ms: u64,
         rng: &mut rngs::StdRng,
     ) -> Option<Call> {
-        let overdue = self.is_overdue_for(duty, now_ms);
-        if !overdue {
-            // A peer that is as late as this router may tell a slightly newer state again and again: only a state
-            // that is new enough makes the call needless.
-            self.overdue_call_ms = None;
+        let stale = self.is_stale_for(duty, now_ms);
+        if !stale {
+            // A peer whose copy is about as stale may repeatedly report a slightly newer state. Only a state that is
+            // new enough makes the poll unnecessary.
+            self.stale_poll_ms = None;
         }
         if now_ms < self.not_before_ms {
             return None;
         }
-        if let Some(waiting) = self.waiting {
-            // A call that was made in a small fleet waits for long; it may never be answered, whatever the fleet is now.
-            let long = duty == Duty::EveryRouter || waiting.wait_ms >= ALL_WATCH_WAIT_MS;
-            let proves = long && overdue && self.proving.is_none();
-            if !proves || !self.has_turn(fleet, now_ms) {
+        if let Some(in_flight) = self.long_poll {
+            // A poll that was sent in a small fleet has a long wait and may never be answered, whatever the fleet's size
+            // is now.
+            let long = duty == Duty::EveryRouter || in_flight.wait_ms >= EVERY_ROUTER_WAIT_MS;
+            let check_now = long && stale && self.freshness_check.is_none();
+            if !check_now || !self.is_turn_to_check(fleet, now_ms) {
                 return None;
             }
-            let flight = self.start(PROOF_WAIT_MS, now_ms);
-            self.proving = Some(flight);
+            let flight = self.start_poll(FRESHNESS_CHECK_WAIT_MS, now_ms);
+            self.freshness_check = Some(flight);
             return Some(self.call(flight));
         }
         let wait_ms = match duty {
             Duty::Joining => return None,
-            // The first answer after an outage is wanted at once: it tells what lapsed.
-            Duty::EveryRouter if self.refused_ms.is_some() || self.unanswered => PROOF_WAIT_MS,
-            Duty::EveryRouter => ALL_WATCH_WAIT_MS,
-            Duty::Watcher if overdue => PROOF_WAIT_MS,
-            Duty::Watcher => self.bound_ms * WAIT_PERCENT / 100,
+            // The first poll after an outage has a short wait, because its answer shows which records have lapsed.
+            Duty::EveryRouter if self.last_rejected_ms.is_some() || self.unanswered => {
+                FRESHNESS_CHECK_WAIT_MS
+            }
+            Duty::EveryRouter => EVERY_ROUTER_WAIT_MS,
+            Duty::Watcher if stale => FRESHNESS_CHECK_WAIT_MS,
+            Duty::Watcher => self.bound_ms * WATCHER_WAIT_PERCENT / 100,
             Duty::Listener
-                if overdue && (fleet.alone || self.draws_call(fleet.routers, now_ms, rng)) =>
+                if stale && (fleet.alone || self.is_stale_poll_due(fleet.routers, now_ms, rng)) =>
             {
-                PROOF_WAIT_MS
+                FRESHNESS_CHECK_WAIT_MS
             }
             Duty::Listener => return None,
         };
-        let flight = self.start(wait_ms, now_ms);
-        self.waiting = Some(flight);
+        let flight = self.start_poll(wait_ms, now_ms);
+        self.long_poll = Some(flight);
         Some(self.call(flight))
     }
 
-    fn start(&mut self, wait_ms: u64, now_ms: u64) -> Flight {
-        self.calls += 1;
-        let has_copy = self.position != store::Position::START && !self.forgotten;
+    fn start_poll(&mut self, wait_ms: u64, now_ms: u64) -> Flight {
+        self.polls_started += 1;
+        let has_copy = self.position != store::Position::START && !self.needs_full_state;
         let after = has_copy.then_some(self.position);
-        Flight { number: self.calls, sent_ms: now_ms, wait_ms, after }
+        Flight { number: self.polls_started, sent_ms: now_ms, wait_ms, after }
     }
 
     fn call(&self, flight: Flight) -> Call {
@@ -263,98 +269,99 @@
         Call { number, topic: self.topic, after, wait_ms }
     }
 
-    /// Starts a short call whose answer shows the store's era; `None` if such a call is already in flight.
+    /// Starts a short poll whose answer contains the store's era; `None` if a freshness check is already in flight.
     pub fn start_era_call(&mut self, now_ms: u64) -> Option<Call> {
-        if self.proving.is_some() {
+        if self.freshness_check.is_some() {
             return None;
         }
-        let flight = self.start(PROOF_WAIT_MS, now_ms);
-        self.proving = Some(flight);
+        let flight = self.start_poll(FRESHNESS_CHECK_WAIT_MS, now_ms);
+        self.freshness_check = Some(flight);
         Some(self.call(flight))
     }
 
-    /// The calls that wait for the store now.
+    /// Returns the polls in flight.
     pub fn open_calls(&self, now_ms: u64) -> Vec<OpenCall> {
         let open = |flight: &Flight| OpenCall {
             number: flight.number,
             wait_ms: flight.wait_ms,
             sent_ms_ago: now_ms.saturating_sub(flight.sent_ms),
         };
-        self.waiting.iter().chain(&self.proving).map(open).collect()
+        self.long_poll.iter().chain(&self.freshness_check).map(open).collect()
     }
 
-    /// Takes the call with this number out of those in flight; `None` if it was given up before.
+    /// Removes the poll with this number from those in flight and returns it; `None` if it was abandoned before.
     pub fn ended(&mut self, number: u64) -> Option<Flight> {
-        let ends = |flight: &mut Flight| flight.number == number;
-        let waited = self.waiting.take_if(ends);
-        if waited.is_some() {
-            self.overtaken = None;
+        let matches = |flight: &mut Flight| flight.number == number;
+        let long_poll = self.long_poll.take_if(matches);
+        if long_poll.is_some() {
+            self.superseded = None;
         }
-        waited.or_else(|| self.proving.take_if(ends))
+        long_poll.or_else(|| self.freshness_check.take_if(matches))
     }
 
-    /// Notes that news came which the waiting call should have brought.
+    /// Records that an update arrived which the long poll should have returned.
     pub fn overtake(&mut self, evidence: Evidence, now_ms: u64) {
-        if self.waiting.is_some() {
-            self.overtaken.get_or_insert((now_ms, evidence));
+        if self.long_poll.is_some() {
+            self.superseded.get_or_insert((now_ms, evidence));
         }
     }
 
-    /// Gives up the waiting call, if news came by other ways and its own answer did not come soon after.
+    /// Abandons the long poll if it was superseded and its answer did not arrive within [`ANSWER_GRACE_MS`].
     pub fn give_up(&mut self, now_ms: u64) -> Option<GivenUp> {
         let (_, evidence) =
-            self.overtaken.take_if(|(since_ms, _)| now_ms >= *since_ms + ANSWER_GRACE_MS)?;
-        let flight = self.waiting.take()?;
+            self.superseded.take_if(|(since_ms, _)| now_ms >= *since_ms + ANSWER_GRACE_MS)?;
+        let flight = self.long_poll.take()?;
         self.unanswered = true;
         let waited_ms = now_ms.saturating_sub(flight.sent_ms);
         Some(GivenUp { number: flight.number, waited_ms, evidence })
     }
 
-    /// Whether it is this router's turn to prove that there are no news: the first in rank proves it for all, the
-    /// next ones follow if it does not.
-    fn has_turn(&mut self, fleet: Fleet, now_ms: u64) -> bool {
-        let window_ms = self.bound_ms * OVERDUE_WINDOW_PERCENT / 100;
-        let turn_ms = TURN_MS.min(window_ms / fleet.routers.max(1));
-        let at_ms = *self.overdue_call_ms.get_or_insert(now_ms + fleet.rank * turn_ms);
+    /// Returns whether it is this router's turn to check the freshness of the copy. The first router in rank checks for
+    /// all; the next ones follow if it doesn't.
+    fn is_turn_to_check(&mut self, fleet: Fleet, now_ms: u64) -> bool {
+        let window_ms = self.bound_ms * STALE_POLL_WINDOW_PERCENT / 100;
+        let turn_ms = RANK_STEP_MS.min(window_ms / fleet.routers.max(1));
+        let at_ms = *self.stale_poll_ms.get_or_insert(now_ms + fleet.rank * turn_ms);
         now_ms >= at_ms
     }
 
-    /// Whether the moment has come that was drawn for a call because of overdue knowledge.
-    fn draws_call(&mut self, routers: u64, now_ms: u64, rng: &mut rngs::StdRng) -> bool {
-        let fleet_ms = routers * 1_000 / OVERDUE_CALLS_PER_S;
-        let window_ms = fleet_ms.min(self.bound_ms * OVERDUE_WINDOW_PERCENT / 100);
+    /// Draws the time of a poll because of a stale copy, unless it is drawn already, and returns whether it has come.
+    fn is_stale_poll_due(&mut self, routers: u64, now_ms: u64, rng: &mut rngs::StdRng) -> bool {
+        let rate_window_ms = routers * 1_000 / STALE_POLLS_PER_S;
+        let window_ms = rate_window_ms.min(self.bound_ms * STALE_POLL_WINDOW_PERCENT / 100);
         let at_ms =
-            *self.overdue_call_ms.get_or_insert_with(|| now_ms + rng.random_range(0..=window_ms));
+            *self.stale_poll_ms.get_or_insert_with(|| now_ms + rng.random_range(0..=window_ms));
         now_ms >= at_ms
     }
 
-    /// Whether the store said to this router that it does not serve, and peers told no newer state meanwhile: records
-    /// that are missing from its next answer may have lapsed only. Mere silence may be this router's own.
+    /// Returns whether the store rejected this router's polls and peers have reported no newer state since. Records that
+    /// are missing from the next answer may then merely have lapsed. A missing answer doesn't count: the cause may be
+    /// this router's own connection.
     pub fn was_refused(&self, duty: Duty, now_ms: u64) -> bool {
-        // Where every router watches, calls wait long and peers tell little: knowledge is never young.
-        self.refused_ms.is_some() && (duty == Duty::EveryRouter || self.is_overdue(now_ms))
+        // Where every router polls, polls have long waits and peers report little, so the copy is never recent.
+        self.last_rejected_ms.is_some() && (duty == Duty::EveryRouter || self.is_stale(now_ms))
     }
 
-    /// Whether a peer's word that records lapsed may be so for this router as well: one that knew the store's state all
-    /// the while saw them leave.
+    /// Returns whether records that a peer reports as lapsed may have lapsed for this router as well. A router whose copy
+    /// stayed current all the while has seen them being removed.
     pub fn missed_store(&self, duty: Duty, now_ms: u64) -> bool {
         match duty {
-            Duty::EveryRouter | Duty::Joining => self.refused_ms.is_some(),
-            Duty::Watcher | Duty::Listener => self.is_overdue(now_ms),
+            Duty::EveryRouter | Duty::Joining => self.last_rejected_ms.is_some(),
+            Duty::Watcher | Duty::Listener => self.is_stale(now_ms),
         }
     }
 
-    fn is_overdue_for(&self, duty: Duty, now_ms: u64) -> bool {
+    fn is_stale_for(&self, duty: Duty, now_ms: u64) -> bool {
         match duty {
             Duty::EveryRouter => {
-                let overdue_ms = self.bound_ms * ALL_WATCH_OVERDUE_PERCENT / 100;
-                self.age_ms(now_ms).is_none_or(|age_ms| age_ms >= overdue_ms)
+                let stale_ms = self.bound_ms * EVERY_ROUTER_STALE_PERCENT / 100;
+                self.age_ms(now_ms).is_none_or(|age_ms| age_ms >= stale_ms)
             }
-            _ => self.is_overdue(now_ms),
+            _ => self.is_stale(now_ms),
         }
     }
 
-    fn is_overdue(&self, now_ms: u64) -> bool {
+    fn is_stale(&self, now_ms: u64) -> bool {
         self.age_ms(now_ms).is_none_or(|age_ms| age_ms >= self.overdue_ms())
     }
 }
--- a/core/src/watch/calls.rs
+++ b/core/src/watch/calls.rs
@@ -1,13 +1,13 @@
-//! Calls for news in flight, and why one of them is given up.
+//! The polls of the store in flight, and why one of them is abandoned.
 
 use crate::store;
 
-/// What shows that a call will not be answered.
+/// What shows that a poll will probably not be answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Evidence {
-    /// A later call of this router brought news that this one should have brought.
+    /// The answer to a later poll of this router contained an update that this poll should have returned.
     LaterCall,
-    /// A peer told such news.
+    /// A peer reported such an update.
     Peer,
 }
 
@@ -21,60 +21,60 @@
     }
 }
 
-/// A call that was given up.
+/// A poll that was abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GivenUp {
-    /// Its number.
+    /// The number of the poll.
     pub number: u64,
-    /// How long it had been in flight.
+    /// How long the poll had been in flight, in milliseconds.
     pub waited_ms: u64,
-    /// Why.
+    /// What showed that no answer was to be expected.
     pub evidence: Evidence,
 }
 
-/// A call in flight, as a log line tells it.
+/// A poll in flight, as it is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenCall {
-    /// Its number.
+    /// The number of the poll.
     pub number: u64,
-    /// How long the store may wait.
+    /// How long the store may wait for a change, in milliseconds.
     pub wait_ms: u64,
-    /// How long ago it went out.
+    /// How long ago the poll was sent, in milliseconds.
     pub sent_ms_ago: u64,
 }
 
-/// What a router knows of the fleet when it decides whether to call.
+/// The state of the fleet on which the decision to poll depends.
 #[derive(Clone, Copy, Debug)]
 pub struct Fleet {
-    /// How many routers there are.
+    /// The number of live routers, including this one.
     pub routers: u64,
-    /// This router's place among them, by their ids.
+    /// This router's position among them in the order of their ids, from 0.
     pub rank: u64,
-    /// Whether no peer was heard for as long as knowledge may be old.
+    /// Whether nothing was received from any peer for as long as a copy takes to become stale.
     pub alone: bool,
 }
 
-/// A call in flight.
+/// A poll in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct Flight {
-    /// Its number.
+    /// The number of the poll.
     pub(super) number: u64,
-    /// When it went out.
+    /// When the poll was sent.
     pub(super) sent_ms: u64,
-    /// How long the store may wait.
+    /// How long the store may wait for a change, in milliseconds.
     pub(super) wait_ms: u64,
-    /// Requested changes after this position; `None` requested the full state.
+    /// The position after which changes were requested; `None` if the full state was requested.
     pub(super) after: Option<store::Position>,
 }
 
 impl Flight {
-    /// When the call was sent.
+    /// Returns when the poll was sent.
     pub fn sent_ms(&self) -> u64 {
         self.sent_ms
     }
 
-    /// Whether an answer at `position` can be applied. Changes of another era do not continue the copy for which they
-    /// were requested.
+    /// Returns whether an answer at `position` can be applied. Changes of another era do not continue the copy for which
+    /// they were requested.
     pub fn accepts_answer_at(&self, position: store::Position) -> bool {
         self.after.is_none_or(|after| after.era == position.era)
     }
--- a/core/src/watch/copy.rs
+++ b/core/src/watch/copy.rs
@@ -1,34 +1,35 @@
-//! Follows how current this router's copy is, from answers, failures and peers.
+//! Updates the position and age of a copy from answers, failed polls and peers' reports.
 
-use super::{Duty, Evidence, Flight, OVERDUE_CALLS_PER_S, PAUSE_FIRST_MS, Watch};
+use super::{Duty, Evidence, Flight, RETRY_DELAY_FIRST_MS, STALE_POLLS_PER_S, Watch};
 use crate::store;
 use rand::RngExt;
 use rand::rngs;
 
-/// After news the next call waits this long, so that changes that come together take one call.
-const GATHER_MS: u64 = 100;
-/// The same where every router makes such calls. Well below two seconds, the least bound of a deployment so far.
-const ALL_WATCH_GATHER_MS: u64 = 500;
+/// The delay of the next poll after a change, so that changes in quick succession need only one poll.
+const BATCH_DELAY_MS: u64 = 100;
+/// The same where every router polls. It must be well below the bounds of a deployment, of which the least so far is two
+/// seconds.
+const EVERY_ROUTER_BATCH_DELAY_MS: u64 = 500;
 
 impl Watch {
-    /// Resets the watch after a restore of the store, so that the next call requests the full state. Returns the
-    /// numbers of the calls in flight, which are to be canceled.
+    /// Prepares for a full poll after a restore of the store. Returns the numbers of the polls in flight, which are to be
+    /// canceled.
     pub fn restart(&mut self, now_ms: u64) -> Vec<u64> {
-        self.forgotten = true;
-        self.overtaken = None;
+        self.needs_full_state = true;
+        self.superseded = None;
         self.not_before_ms = now_ms;
-        self.pause.reset();
-        let given_up = [self.waiting.take(), self.proving.take()];
-        given_up.into_iter().flatten().map(|flight| flight.number).collect()
+        self.retry_backoff.reset();
+        let canceled = [self.long_poll.take(), self.freshness_check.take()];
+        canceled.into_iter().flatten().map(|flight| flight.number).collect()
     }
 
-    /// Discards the position and the confirmation of the copy.
+    /// Discards the position of the copy and the time at which it was last current.
     pub fn forget_copy(&mut self) {
         self.position = store::Position::START;
         self.confirmed_ms = None;
     }
 
-    /// Takes in the answer to a call.
+    /// Handles the answer to a poll; `changed` says whether it contained changes.
     pub fn answered(
         &mut self,
         duty: Duty,
@@ -37,34 +38,35 @@
         changed: bool,
         now_ms: u64,
     ) {
-        self.pause.reset();
-        self.forgotten = false;
+        self.retry_backoff.reset();
+        self.needs_full_state = false;
         self.unanswered = false;
-        // An answer without news was made when the wait was over, one with news at some time before it came.
+        // The store sends an answer without changes when the wait is over, one with changes at any time before.
         let waited_ms = if changed { 0 } else { flight.wait_ms };
-        let made_ms = match now_ms >= flight.sent_ms + waited_ms {
+        let current_ms = match now_ms >= flight.sent_ms + waited_ms {
             true => flight.sent_ms + waited_ms,
             false => flight.sent_ms,
         };
         self.not_before_ms = match (changed, duty) {
             (false, _) => now_ms,
-            (true, Duty::EveryRouter) => now_ms + ALL_WATCH_GATHER_MS,
-            (true, _) => now_ms + GATHER_MS,
+            (true, Duty::EveryRouter) => now_ms + EVERY_ROUTER_BATCH_DELAY_MS,
+            (true, _) => now_ms + BATCH_DELAY_MS,
         };
-        if changed && self.waiting.is_some_and(|waiting| waiting.sent_ms < flight.sent_ms) {
+        if changed && self.long_poll.is_some_and(|long_poll| long_poll.sent_ms < flight.sent_ms) {
             self.overtake(Evidence::LaterCall, now_ms);
         }
-        self.confirm(position, made_ms);
-        self.refused_ms = None;
+        self.confirm(position, current_ms);
+        self.last_rejected_ms = None;
     }
 
-    /// Notes that the history since the copy's revision is gone: all is asked for next.
+    /// Records that the store no longer has the history since the copy's revision, so that the next poll requests the
+    /// full state.
     pub fn forgotten(&mut self) {
-        self.forgotten = true;
+        self.needs_full_state = true;
     }
 
-    /// Notes that a call failed; `refused` tells that the store said so itself. Mere silence may be this
-    /// router's own.
+    /// Handles a failed poll. `refused` says whether the store rejected it; a missing answer may be caused by this
+    /// router's own connection.
     pub fn failed(
         &mut self,
         refused: bool,
@@ -74,26 +76,26 @@
         rng: &mut rngs::StdRng,
     ) {
         self.unanswered = true;
-        self.failed_ms = Some(now_ms);
+        self.last_failed_ms = Some(now_ms);
         if refused {
-            self.refused_ms = Some(now_ms);
+            self.last_rejected_ms = Some(now_ms);
         }
-        // A call without an answer took its whole time-out already.
-        let pause_ms = match refused {
-            true => PAUSE_FIRST_MS / 2 + self.pause.next_delay_ms(rng),
-            false => rng.random_range(0..PAUSE_FIRST_MS / 2),
+        // A poll without an answer has already taken its whole timeout.
+        let delay_ms = match refused {
+            true => RETRY_DELAY_FIRST_MS / 2 + self.retry_backoff.next_delay_ms(rng),
+            false => rng.random_range(0..RETRY_DELAY_FIRST_MS / 2),
         };
-        self.not_before_ms = now_ms + pause_ms;
+        self.not_before_ms = now_ms + delay_ms;
         if duty == Duty::Listener {
-            // The next one of all routers together comes soon; it need not be this one's.
-            let window_ms = routers * 1_000 / OVERDUE_CALLS_PER_S;
+            // Other routers poll soon, so this one need not.
+            let window_ms = routers * 1_000 / STALE_POLLS_PER_S;
             let half_ms = window_ms / 2;
-            self.overdue_call_ms = Some(now_ms + rng.random_range(half_ms..=half_ms + window_ms));
+            self.stale_poll_ms = Some(now_ms + rng.random_range(half_ms..=half_ms + window_ms));
         }
     }
 
-    /// Takes in that the copy, which stands for `position` or a later one, held all that the store had at
-    /// `confirmed_ms`. Returns by how many milliseconds the knowledge became newer.
+    /// Records that the copy, at `position` or a later one, matched the store at `confirmed_ms`. Returns by how many
+    /// milliseconds the copy's age decreased.
     pub fn confirm(&mut self, position: store::Position, confirmed_ms: u64) -> u64 {
         self.position = self.position.max(position);
         let before_ms = self.confirmed_ms.unwrap_or(0);
@@ -101,11 +103,11 @@
             return 0;
         }
         self.confirmed_ms = Some(confirmed_ms);
-        self.refused_ms = self.refused_ms.filter(|at_ms| confirmed_ms <= *at_ms);
+        self.last_rejected_ms = self.last_rejected_ms.filter(|at_ms| confirmed_ms <= *at_ms);
         confirmed_ms.saturating_sub(before_ms)
     }
 
-    /// Takes over a peer's copy that stands for `position`.
+    /// Records that this router has taken over a peer's copy at `position`.
     pub fn adopt(&mut self, position: store::Position) {
         self.position = self.position.max(position);
     }
--- a/core/src/watch/news.rs
+++ b/core/src/watch/news.rs
@@ -1,4 +1,4 @@
-//! What the store's answers bring.
+//! The updates in the store's answers.
 
 use crate::{config, evacuation, servers, store};
 use serde::{Deserialize, Serialize};
@@ -7,16 +7,16 @@
 /// A change of one server's record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerChange {
-    /// The server's VM.
+    /// The VM that runs the server.
     pub vm: String,
     /// The position of the change in the store's history.
     pub position: store::Position,
-    /// What it says now.
+    /// The record after the change.
     pub record: ServerRecord,
 }
 
 impl ServerChange {
-    /// The bytes of the texts in it; what else it holds is small.
+    /// Returns the total length of the strings in the change, in bytes; its other fields are small.
     pub fn text_bytes(&self) -> usize {
         let record = match &self.record {
             ServerRecord::Listed(vm) => vm.text_bytes(),
@@ -29,72 +29,72 @@
 /// A server's record after a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerRecord {
-    /// It is listed.
+    /// The server is listed.
     Listed(servers::Vm),
-    /// It is gone.
+    /// The record was removed.
     Gone,
-    /// It cannot be read: it names no server to use.
+    /// The record cannot be decoded, so it lists no usable server.
     Unreadable,
-    /// It went while the store was away: records lapse then, and may be back soon.
+    /// The record disappeared while the store was unavailable. Records lapse then, and may be registered again soon.
     Lapsed,
 }
 
-/// All records of servers.
+/// The full list of server records.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AllServers {
-    /// The servers.
+    /// The records that could be decoded.
     pub listed: Vec<servers::Vm>,
-    /// The VMs whose records cannot be read.
+    /// The VMs whose records cannot be decoded.
     pub unreadable: Vec<String>,
-    /// The revisions of the servers' records by VM, where known.
+    /// The revisions of the servers' records by VM, where they are known.
     pub revisions: collections::HashMap<String, u64>,
 }
 
-/// What the operator wrote.
+/// The part of the configuration topic that a poll returned.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConfigurationNews {
-    /// The configuration, if it changed or if all was asked for, and it can be read.
+    /// The configuration, if it can be decoded and has changed or the full state was requested.
     pub published: Option<Box<config::Published>>,
-    /// What is evacuated.
+    /// The evacuations that changed.
     pub evacuations: evacuation::News,
 }
 
-/// What a topic's answer brought.
+/// The update in the answer to a poll.
 #[derive(Clone, Debug, PartialEq)]
 pub enum News {
-    /// What the operator wrote.
+    /// Changes of the configuration and the evacuations.
     Configuration(ConfigurationNews),
-    /// Changes of servers' records.
+    /// Changes of server records.
     Servers(Vec<ServerChange>),
-    /// All servers.
+    /// The full list of server records.
     AllServers(AllServers),
 }
 
 impl News {
-    /// Whether there is any.
+    /// Returns whether the update contains any change.
     pub fn any(&self) -> bool {
         match self {
-            Self::Configuration(news) => news.published.is_some() || news.evacuations.any(),
+            Self::Configuration(update) => update.published.is_some() || update.evacuations.any(),
             Self::Servers(changes) => !changes.is_empty(),
             Self::AllServers(_) => true,
         }
     }
 }
 
-/// How a call ended.
+/// The outcome of a poll.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// The store answered.
+    /// The store answered the poll.
     Answered {
-        /// What the news stand for.
+        /// The position in the store's history after the update.
         position: store::Position,
-        /// What it brought.
+        /// The update in the answer; it may contain no change.
         news: News,
     },
-    /// The store does not have the history since the revision any more.
+    /// The store no longer has the history since the requested revision.
     Forgotten,
-    /// The store answered that it does not serve.
+    /// The store answered that it is unavailable.
     Refused,
-    /// No answer came.
+    /// The poll got no answer.
     Silent,
 }
