--- a/core/src/config.rs
+++ b/core/src/config.rs
@@ -1,7 +1,6 @@
 //! The configuration that operators publish: workspaces, budgets, services and policies.
 //!
-//! One versioned document for the whole fleet. Settings of one process are not here but in its own
-//! file.
+//! There is one versioned document for the whole fleet. The settings of a single process are in its own file.
 
 mod callers;
 mod check;
@@ -15,26 +14,29 @@
 /// The store's key for the published configuration.
 pub const KEY: &str = "doorswitch/config";
 
-/// How many publishes are remembered by their operation id.
+/// The number of latest publishes whose operation ids are kept.
 const REMEMBERED_PUBLISHES: u64 = 64;
-/// The most shards that a layout may name.
+/// The most ledger shards or log shards in a layout.
 const SHARDS_MAX: u32 = 1024;
+/// The most tokens in a field of the configuration.
 const TOKENS_MAX: u64 = 1 << 40;
+/// The largest headroom of a budget, in seconds.
 const COVER_MAX_S: u64 = 7 * 24 * 3600;
 
-/// A configuration as it lies in the store.
+/// A published configuration as it is stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Published {
-    /// Counts up by one with every publish.
+    /// The version, incremented with every publish.
     pub version: u64,
-    /// The latest publishes by version, this one last, so that a lost reply is not a second publish.
+    /// The operation ids of the latest publishes by version, including this one, so that a publish repeated after a
+    /// lost reply has no effect.
     pub operations: collections::BTreeMap<u64, String>,
-    /// What was published.
+    /// The document that was published.
     pub document: Document,
 }
 
 impl Published {
-    /// The version after `earlier`, made by `operation`.
+    /// Returns the version that follows `earlier`, published by `operation`.
     pub fn next(earlier: Option<&Published>, operation: &str, document: Document) -> Self {
         let version = earlier.map_or(0, |earlier| earlier.version) + 1;
         let mut operations = earlier.map(|earlier| earlier.operations.clone()).unwrap_or_default();
@@ -43,46 +45,46 @@
         Self { version, operations, document }
     }
 
-    /// The version that an operation made, if it is one of the latest.
+    /// Returns the version that an operation published; `None` if it is none of the latest.
     pub fn version_of(&self, operation: &str) -> Option<u64> {
         let mut operations = self.operations.iter();
         operations.find(|(_, known)| *known == operation).map(|(version, _)| *version)
     }
 }
 
-/// What an operator writes.
+/// The configuration document that an operator writes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
-    /// How the store's values are divided; fixed by the first publish.
+    /// The division of the store's values into shards; fixed by the first publish.
     #[serde(default)]
     pub layout: Layout,
-    /// Who may call.
+    /// The workspaces, whose keys callers authenticate with.
     pub workspaces: Vec<Workspace>,
-    /// What can be called.
+    /// The services that can be called.
     pub services: Vec<Service>,
-    /// Who may use what, at which priority and on which class of VM.
+    /// The policies, which decide who may use a service, at which priority and on which class of VM.
     pub policies: Vec<Policy>,
-    /// Which service answers which host and path.
+    /// The routes from hosts and paths to services.
     #[serde(default)]
     pub routes: Vec<routes::Route>,
-    /// What a caller of a route may send, and how slowly.
+    /// The limits on the size and duration of what callers of routes send.
     #[serde(default)]
     pub callers: CallerLimits,
-    /// Failure domains whose servers get nothing new.
+    /// The failure domains whose servers get no new requests.
     #[serde(default)]
     pub evacuated: Vec<String>,
 }
 
-/// Numbers of shards.
+/// The number of shards of the ledger and the log, and the length of the log's epochs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Layout {
-    /// Values that the budgets are spread over.
+    /// The number of stored values among which the budgets are divided.
     pub ledger_shards: u32,
-    /// Logs that the request ids are spread over.
+    /// The number of logs among which the request ids are divided.
     pub log_shards: u32,
-    /// Segments of a log between two checkpoints; they are cleared together.
+    /// The number of segments of a log between two checkpoints; they are deleted together.
     #[serde(default = "default_log_epoch_segments")]
     pub log_epoch_segments: u64,
 }
@@ -97,57 +99,58 @@
     }
 }
 
-/// A customer.
+/// A customer with its keys and prepaid budgets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
-    /// Its name.
+    /// The name of the workspace.
     pub name: String,
-    /// The keys that it may call with.
+    /// The bearer keys of its callers.
     pub keys: Vec<Key>,
-    /// Its prepaid budgets.
+    /// The prepaid budgets of the workspace.
     pub budgets: Vec<Budget>,
-    /// Its rank, for policy programs; higher goes first.
+    /// The priority that policy programs get as input; higher is served first.
     #[serde(default)]
     pub priority: u8,
 }
 
-/// A bearer key, kept as a digest.
+/// A bearer key, stored as a digest.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Key {
-    /// What the operator calls it.
+    /// The name that the operator gave the key.
     pub name: String,
-    /// SHA-256 of the key, in hexadecimal.
+    /// The SHA-256 digest of the key, in hexadecimal.
     pub sha256: String,
 }
 
-/// A prepaid budget.
+/// A prepaid token budget.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
-    /// Its name within the workspace.
+    /// The name of the budget, unique within the workspace.
     pub name: String,
-    /// Spending that a router keeps in hand, in seconds of its present rate.
+    /// The headroom that a router keeps, in seconds of spending at its present rate.
     #[serde(default = "default_cover_s")]
     pub cover_s: u64,
-    /// What a router keeps in hand at the least.
+    /// The least headroom that a router keeps, in tokens.
     #[serde(default = "default_minimum_grant_tokens")]
     pub minimum_grant_tokens: u64,
-    /// All tokens paid in, where the configuration says it; otherwise the ledger does.
+    /// The total of tokens paid in; `None` if it is recorded in the ledger only.
     #[serde(default)]
     pub prepaid_tokens: Option<u64>,
-    /// How much of what is unspent all routers together hold in hand at most, in percent, however fast they spend; a
-    /// loss of all routers costs at most about twice this share. 0: the cover alone decides.
+    /// The largest share of the unspent tokens that is granted to all routers together, in percent, however fast they
+    /// spend. A loss of all routers costs at most about twice this share. 0: only the headroom limits it.
     #[serde(default)]
     pub held_percent: u64,
-    /// How many routers hold it in hand; the others ask these. 0: every router holds it.
+    /// The number of routers that hold grants of the budget; the others request tokens from these. 0: every router
+    /// holds grants.
     #[serde(default)]
     pub holders: u64,
 }
 
 impl Budget {
-    /// How far ahead routers draw from it.
+    /// Returns how far ahead routers draw tokens from the budget.
     pub fn cover(&self) -> Cover {
         Cover {
             cover_s: self.cover_s,
@@ -158,17 +161,17 @@
     }
 }
 
-/// How far ahead a router draws tokens. More cover outlasts a longer outage or cut, and loses more
-/// when a router dies.
+/// How far ahead a router draws tokens. More headroom lasts through a longer outage or network partition, and loses
+/// more tokens when a router fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Cover {
-    /// Spending that a router keeps in hand, in seconds of its present rate.
+    /// The headroom that a router keeps, in seconds of spending at its present rate.
     pub cover_s: u64,
-    /// What a router keeps in hand at the least.
+    /// The least headroom that a router keeps, in tokens.
     pub minimum_grant_tokens: u64,
-    /// The share of what is unspent that all routers together hold, in percent; 0: no share.
+    /// The largest share of the unspent tokens that is granted to all routers together, in percent; 0: no such limit.
     pub held_percent: u64,
-    /// How many routers hold the budget in hand; 0: every one.
+    /// The number of routers that hold grants of the budget; 0: every router.
     pub holders: u64,
 }
 
@@ -195,43 +198,44 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Its name; the platform's list of VMs says which VM serves it.
+    /// The name of the service, by which the platform's list of VMs refers to it.
     pub name: String,
-    /// What it speaks.
+    /// The protocol and metering of the service.
     pub kind: Kind,
-    /// The policy that decides over it.
+    /// The name of the policy that decides on its requests.
     pub policy: String,
     /// For a model service: the model names that callers use.
     #[serde(default)]
     pub models: Vec<String>,
-    /// For a model service: the most tokens that one answer may have.
+    /// For a model service: the most tokens in one answer.
     #[serde(default = "default_answer_tokens")]
     pub answer_tokens_max: u64,
-    /// For a plain service: what one call costs.
+    /// For a plain service: the cost of one call, in tokens.
     #[serde(default)]
     pub call_tokens: u64,
-    /// For a plain service: calls that must run at most once.
+    /// For a plain service: the calls that must run at most once.
     #[serde(default)]
     pub unrepeatable: Vec<Call>,
-    /// Requests that a router lets wait for a server.
+    /// The most requests that wait for a server at one router.
     #[serde(default = "default_queue_length")]
     pub queue_length: usize,
-    /// How long a request may wait for a server.
+    /// The longest wait of a request for a server, in milliseconds.
     #[serde(default = "default_queue_age_ms")]
     pub queue_age_ms: u64,
-    /// How long a backend server may take for a whole answer.
+    /// The longest time that a backend server may take for a whole answer, in milliseconds.
     #[serde(default = "default_answer_time_ms")]
     pub answer_time_ms: u64,
-    /// Connections that a backend server takes from all routers together; no limit if absent.
+    /// The most connections of all routers together to one backend server; `None` for no limit.
     #[serde(default)]
     pub connections_max: Option<u64>,
     /// For a model service: the most tokens in one event of a streamed answer.
     #[serde(default = "default_event_tokens")]
     pub event_tokens: u64,
-    /// Requests a second that a cold server bears from all routers together, in thousandths; 0 for no limit.
+    /// The most requests of all routers together to a cold server, in thousandths of a request per second; 0 for no
+    /// limit.
     #[serde(default)]
     pub cold_milli_per_s: u64,
-    /// How long a server is cold after its start, in milliseconds.
+    /// How long a server is considered cold after its start, in milliseconds.
     #[serde(default)]
     pub cold_start_ms: u64,
 }
@@ -256,68 +260,68 @@
     120_000
 }
 
-/// What a service speaks.
+/// The protocol and metering of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// A model engine: metered by the tokens of each answer.
+    /// A model engine, metered by the tokens of each answer.
     Model,
-    /// A plain HTTP service: metered by the call.
+    /// A plain HTTP service, metered by the call.
     Plain,
 }
 
-/// Calls of a plain service.
+/// A pattern that matches calls of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Call {
-    /// The HTTP method.
+    /// The HTTP method of the calls.
     pub method: String,
-    /// What the path begins with.
+    /// The prefix of the path of the calls.
     pub path_prefix: String,
 }
 
-/// A policy program.
+/// A policy, which decides on the requests of services.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Policy {
-    /// Its name.
+    /// The name of the policy.
     pub name: String,
-    /// An expression that gives `allow(budget, priority, classes)` or `deny(reason)`.
+    /// An expression that evaluates to `allow(budget, priority, classes)` or `deny(reason)`.
     pub program: String,
 }
 
-/// Something wrong with a document.
+/// An error in a document, with its place.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// Where: names joined by dots.
+    /// The path of the invalid field, with its names joined by dots.
     pub place: String,
-    /// What is wrong, and what is allowed.
+    /// The error, with what is allowed.
     pub fault: Fault,
 }
 
-/// What can be wrong.
+/// The kind of error in a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A name is empty, too long or has other characters than letters, digits, `-`, `_`, `.`.
+    /// A name is empty, too long or contains other characters than letters, digits, `-`, `_` and `.`.
     BadName(String),
-    /// A name stands twice.
+    /// A name is used more than once.
     Duplicate(String),
     /// A number is out of its range.
     OutOfRange {
-        /// What was given.
+        /// The number in the document.
         found: u64,
-        /// The least allowed.
+        /// The least number allowed.
         least: u64,
-        /// The most allowed.
+        /// The greatest number allowed.
         most: u64,
     },
-    /// Not 64 hexadecimal digits.
+    /// A digest does not consist of 64 hexadecimal digits.
     BadDigest,
-    /// A reference to something that is not declared.
+    /// A reference to a name that is not declared.
     Unknown(String),
-    /// Another version divided the store's values in another way.
+    /// The layout differs from that of the version before.
     LayoutChanged,
-    /// A policy program does not compile or misbehaves.
+    /// A policy program does not compile or fails.
     Policy(String),
 }
 
@@ -332,9 +336,9 @@
         match self {
             Self::BadName(name) => write!(
                 f,
-                "{name:?} is not a name (1 to 64 letters, digits, '-', '_' or '.' are allowed)"
+                "{name:?} is not a valid name (1 to 64 letters, digits, '-', '_' or '.' are allowed)"
             ),
-            Self::Duplicate(name) => write!(f, "{name:?} stands twice"),
+            Self::Duplicate(name) => write!(f, "{name:?} is used more than once"),
             Self::OutOfRange { found, least, most } => {
                 write!(f, "{found} is out of range ({least} to {most} is allowed)")
             }
@@ -348,19 +352,20 @@
     }
 }
 
-/// The name of a budget in the ledger.
+/// Returns the name of a budget in the ledger.
 pub fn budget_name(workspace: &str, budget: &str) -> String {
     format!("{workspace}/{budget}")
 }
 
 impl Document {
-    /// Everything wrong with the document but its policy programs, which the caller compiles.
+    /// Returns all errors in the document except those in policy programs, which the caller compiles.
     pub fn problems(&self, earlier: Option<&Document>) -> Vec<Problem> {
         let mut checker = check::Checker::default();
         checker.layout(&self.layout, earlier.map(|earlier| &earlier.layout));
-        checker.names("workspaces", self.workspaces.iter().map(|it| it.name.as_str()));
-        checker.names("services", self.services.iter().map(|it| it.name.as_str()));
-        checker.names("policies", self.policies.iter().map(|it| it.name.as_str()));
+        checker
+            .names("workspaces", self.workspaces.iter().map(|workspace| workspace.name.as_str()));
+        checker.names("services", self.services.iter().map(|service| service.name.as_str()));
+        checker.names("policies", self.policies.iter().map(|policy| policy.name.as_str()));
         for workspace in &self.workspaces {
             checker.workspace(workspace);
         }
@@ -370,12 +375,12 @@
         checker.problems
     }
 
-    /// The service that answers for a model.
+    /// Returns the service that serves a model; `None` if there is none.
     pub fn service_of_model(&self, model: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.models.iter().any(|name| name == model))
     }
 
-    /// A service by its name.
+    /// Returns the service with this name; `None` if there is none.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.name == name)
     }
--- a/core/src/config/callers.rs
+++ b/core/src/config/callers.rs
@@ -1,18 +1,18 @@
-//! Limits on callers of routes.
+//! The limits on what callers of routes send.
 
 use serde::{Deserialize, Serialize};
 
-/// What a caller of a route may send, and how slowly.
+/// The limits on the size and duration of what callers of routes send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerLimits {
-    /// The largest head of a request.
+    /// The largest head of a request, in bytes.
     pub head_bytes_max: u64,
-    /// The largest body of a request.
+    /// The largest body of a request, in bytes.
     pub body_bytes_max: u64,
-    /// How long a head may take to arrive.
+    /// The longest time that receiving a head may take, in milliseconds.
     pub head_read_ms: u64,
-    /// How long a connection may rest.
+    /// The longest time that a connection may be idle, in milliseconds.
     pub idle_ms: u64,
 }
 
--- a/core/src/config/check.rs
+++ b/core/src/config/check.rs
@@ -1,4 +1,4 @@
-//! Finds what is wrong with a document.
+//! Validates a configuration document.
 
 use super::{
     COVER_MAX_S, Document, Fault, Layout, Problem, SHARDS_MAX, Service, TOKENS_MAX, Workspace,
@@ -24,9 +24,9 @@
     pub(super) fn names<'a>(&mut self, place: &str, names: impl Iterator<Item = &'a str>) {
         let mut seen = collections::HashSet::new();
         for name in names {
-            let good = (1..=64).contains(&name.len())
+            let valid = (1..=64).contains(&name.len())
                 && name.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte));
-            if !good {
+            if !valid {
                 self.report(place, Fault::BadName(name.to_owned()));
             }
             if !seen.insert(name) {
@@ -51,8 +51,8 @@
         let budgets = workspace.budgets.iter().map(|budget| budget.name.as_str());
         self.names(&format!("{place}.budgets"), budgets);
         for key in &workspace.keys {
-            let good = key.sha256.len() == 64 && key.sha256.bytes().all(|b| b.is_ascii_hexdigit());
-            if !good {
+            let valid = key.sha256.len() == 64 && key.sha256.bytes().all(|b| b.is_ascii_hexdigit());
+            if !valid {
                 self.report(&format!("{place}.keys.{}.sha256", key.name), Fault::BadDigest);
             }
         }
@@ -70,11 +70,11 @@
         if !document.policies.iter().any(|policy| policy.name == service.policy) {
             self.report(&format!("{place}.policy"), Fault::Unknown(service.policy.clone()));
         }
-        let twice = |model: &String| {
+        let served_twice = |model: &String| {
             let serving = document.services.iter().filter(|other| other.models.contains(model));
             serving.count() > 1
         };
-        for model in service.models.iter().filter(|model| twice(model)) {
+        for model in service.models.iter().filter(|model| served_twice(model)) {
             self.report(&format!("{place}.models"), Fault::Duplicate(model.clone()));
         }
         let answer = service.answer_tokens_max;
--- a/core/src/ids.rs
+++ b/core/src/ids.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::{fmt, str};
 
-/// One life of a router process: drawn at random at every start and never reused.
+/// One run of a router process from start to end: drawn at random at every start and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
@@ -14,8 +14,8 @@
     }
 }
 
-/// One life of a backend server: the Unix millisecond of its start, a later one being greater. What is learned of one
-/// life does not hold for another.
+/// A server incarnation, one run of a backend server from start to end: the Unix time of its start in milliseconds, so
+/// that a later incarnation is greater. The state of one incarnation is not valid for another.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -23,11 +23,11 @@
 pub struct ServerLife(pub u64);
 
 impl ServerLife {
-    /// Of a server that does not say when it started.
+    /// The incarnation of a server that doesn't report its start.
     pub const UNKNOWN: Self = Self(0);
 }
 
-/// A digest of the workspace and the caller's request id, so that equal ids of two workspaces differ.
+/// A digest of the workspace and the caller's request id, so that equal ids of two workspaces have different keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestKey {
     /// The first eight bytes of the digest.
@@ -37,7 +37,7 @@
 }
 
 impl RequestKey {
-    /// The shard of a log with `shards` shards that orders this request.
+    /// Returns which of the log's `shards` shards records this request.
     pub fn shard(self, shards: u32) -> u32 {
         (self.high % u64::from(shards.max(1))) as u32
     }
@@ -49,17 +49,17 @@
     }
 }
 
-/// What makes requests with different ids the same request: the caller and all that is sent. It names no one: it is made
-/// of digests that cannot be turned back.
+/// Identifies requests with different ids that have the same caller and content. It reveals neither, because it
+/// consists of digests that cannot be inverted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint {
-    /// Of all but the body: it is had without reading the body.
+    /// The digest of everything except the body, which is available without reading the body.
     pub head: u64,
-    /// Of the whole request.
+    /// The digest of the whole request.
     pub whole: [u8; 16],
 }
 
-/// Why a text names no fingerprint.
+/// The error of a text that is not a fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, snafu::Snafu)]
 #[snafu(display("a fingerprint is 48 hexadecimal digits"))]
 pub struct FingerprintError;
@@ -87,12 +87,12 @@
     }
 }
 
-/// One try at running a request: a retry by the caller or by a router is another attempt.
+/// One attempt to run a request; a retry by the caller or by a router is another attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct AttemptId(pub u64);
 
-/// Names one call to the platform's store, so that its reply finds the caller.
+/// Identifies one call to the platform's store, so that its reply is passed to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of doorswitch, without I/O.
+//! The decision logic of doorswitch, without I/O.
 //!
-//! Time comes in as an argument, randomness as a seeded generator and messages as typed values;
-//! what comes out is a list of typed actions. Nothing here opens a socket, reads a clock, locks or
-//! logs, so tests can drive any interleaving of loss, delay, duplication, pause and death.
+//! Time is passed in as an argument, randomness as a seeded generator and messages as typed values; the output is a
+//! list of typed actions. Nothing here opens a socket, reads a clock, locks or logs, so tests can run any interleaving
+//! of loss, delay, duplication, process pauses and crashes.
 
 pub mod backoff;
 pub mod config;
--- a/core/src/log_index.rs
+++ b/core/src/log_index.rs
@@ -1,7 +1,7 @@
 //! The log of claims and settlements: its segments and the index built from them.
 //!
-//! A shard of the log is a sequence of write-once segments. The order of its entries is decisive: the first claim of an id
-//! is granted, and the first settlement of an id is billed.
+//! A shard of the log is a sequence of write-once segments. The order of its entries is decisive: the first claim of an
+//! id is granted, and the first settlement of an id is billed.
 
 mod entries;
 
@@ -186,8 +186,8 @@
     /// Merges the index of another shard, for a view of all shards.
     pub fn merge(&mut self, other: Index) {
         self.ids.extend(other.ids);
-        for (key, totals) in other.totals {
-            let sum = self.totals.entry(key).or_default();
+        for (totals_key, totals) in other.totals {
+            let sum = self.totals.entry(totals_key).or_default();
             sum.billed_tokens += totals.billed_tokens;
             sum.billed_requests += totals.billed_requests;
             sum.repeated_tokens += totals.repeated_tokens;
--- a/core/src/log_writer.rs
+++ b/core/src/log_writer.rs
@@ -85,9 +85,9 @@
 
 /// The writer of one shard of the log.
 ///
-/// Old segments are deleted once a checkpoint contains their entries. A writer that was suspended could create a deleted
-/// segment number again. Segments that were read or created are therefore not relied on until a later read of the
-/// checkpoint shows that it doesn't extend beyond them.
+/// Old segments are deleted once a checkpoint contains their entries. A writer that was suspended could create a
+/// deleted segment number again. Segments that were read or created are therefore not relied on until a later read of
+/// the checkpoint shows that it doesn't extend beyond them.
 #[derive(Debug)]
 pub struct Writer {
     shard: u32,
@@ -152,8 +152,8 @@
         self.read_state != ReadState::Verified
     }
 
-    /// Adds an entry, which is written at once if a caller waits for it, otherwise after a delay. Returns the result if the
-    /// log already contains the entry or decides the claim.
+    /// Adds an entry, which is written at once if a caller waits for it, otherwise after a delay. Returns the result if
+    /// the log already contains the entry or decides the claim.
     pub fn append(
         &mut self,
         entry: log_index::Entry,
--- a/core/src/log_writer/replies.rs
+++ b/core/src/log_writer/replies.rs
@@ -67,7 +67,7 @@
             store::Reply::Found { value, .. } => match log_index::Segment::decode(&value) {
                 Ok(segment) => {
                     self.unresolved = None;
-                    self.apply_segment(&segment);
+                    self.apply_next_segment(&segment);
                     self.set_read_state(ReadState::Behind);
                 }
                 // Continuing past an undecodable segment could grant a claim twice.
@@ -87,7 +87,7 @@
     ) {
         match reply {
             store::Reply::Written { .. } => {
-                self.apply_segment(&segment);
+                self.apply_next_segment(&segment);
                 self.set_read_state(ReadState::Unverified);
             }
             // The segment exists, perhaps this one, written by a call whose reply was lost.
@@ -121,8 +121,8 @@
             }
         };
         if upto > self.unverified_from.unwrap_or(self.next) {
-            // Other writers have saved a checkpoint beyond the segments applied here, which may therefore not be part of
-            // the log.
+            // Other writers have saved a checkpoint beyond the segments applied here, which may therefore not be part
+            // of the log.
             self.unresolved = None;
             self.set_read_state(ReadState::None);
             return Vec::new();
@@ -179,7 +179,7 @@
     }
 
     /// Applies the segment numbered `next`.
-    fn apply_segment(&mut self, segment: &log_index::Segment) {
+    fn apply_next_segment(&mut self, segment: &log_index::Segment) {
         self.unverified_from.get_or_insert(self.next);
         self.next += 1;
         self.index.apply_segment(segment);
@@ -189,10 +189,10 @@
     fn take_completed(&mut self) -> Vec<Done> {
         let mut done = Vec::new();
         let pending = std::mem::take(&mut self.pending);
-        for entry in pending {
-            match self.completed(&entry.entry, entry.waiter) {
+        for awaited in pending {
+            match self.completed(&awaited.entry, awaited.waiter) {
                 Some(completed) => done.push(completed),
-                None => self.pending.push(entry),
+                None => self.pending.push(awaited),
             }
         }
         done
--- a/core/src/members.rs
+++ b/core/src/members.rs
@@ -1,9 +1,9 @@
 //! Membership of routers by gossip, at a cost for each router that does not grow with the fleet.
 //!
-//! At each interval a router probes one member, in shuffled rounds, and adds a few updates to the datagram. A member that
-//! does not answer is suspected, then considered dead unless it refutes the suspicion in time with a higher beat. A dead
-//! member may be alive on the other side of a network partition, so dead members are probed occasionally, by which the
-//! two sides find each other again. Membership decides which router does which work, never which may spend.
+//! At each interval a router probes one member, in shuffled rounds, and adds a few updates to the datagram. A member
+//! that does not answer is suspected, then considered dead unless it refutes the suspicion in time with a higher beat.
+//! A dead member may be alive on the other side of a network partition, so dead members are probed occasionally, by
+//! which the two sides find each other again. Membership decides which router does which work, never which may spend.
 
 use crate::{ids, message};
 use rand::rngs;
--- a/core/src/message.rs
+++ b/core/src/message.rs
@@ -154,8 +154,8 @@
         /// The number of the receiver's latest write that the copy includes; each router counts its own writes.
         write: u64,
     },
-    /// The sender read a ledger shard in which an earlier incarnation at the receiver's address still holds grants. Only
-    /// the present incarnation there can be certain that the earlier one has terminated.
+    /// The sender read a ledger shard in which an earlier incarnation at the receiver's address still holds grants.
+    /// Only the present incarnation there can be certain that the earlier one has terminated.
     LeftBehind {
         /// The number of the ledger shard.
         shard: u32,
@@ -181,8 +181,8 @@
 }
 
 impl Message {
-    /// Returns whether the message is sent as a datagram. This holds for small messages that the sender retransmits until
-    /// they are answered, so that they don't wait behind a stalled connection.
+    /// Returns whether the message is sent as a datagram. This holds for small messages that the sender retransmits
+    /// until they are answered, so that they don't wait behind a stalled connection.
     pub fn by_datagram(&self) -> bool {
         matches!(
             self,
--- a/core/src/request.rs
+++ b/core/src/request.rs
@@ -1,21 +1,21 @@
-//! The life cycle of a reservation, so that wrong orders of events do not compile.
+//! The life cycle of a reservation, encoded in types so that a wrong order of events doesn't compile.
 //!
-//! A `Reservation<Held>` has sent nothing and may be released; dispatching makes it a
-//! `Reservation<Sent>`, which can only be settled. Both moves consume the value: settling twice, or
-//! dispatching without a reservation, is a type error. Neither type can be copied.
+//! The request of a `Reservation<Held>` has not been sent, and the reservation may be released. Dispatching makes it a
+//! `Reservation<Sent>`, which can only be settled. Both transitions consume the value, and neither type can be copied,
+//! so settling twice or dispatching without a reservation is a type error.
 
 use crate::ids;
 use std::marker;
 
-/// Nothing was sent yet.
+/// The state in which the request has not been sent.
 #[derive(Debug)]
 pub enum Held {}
 
-/// Something may have been sent to a backend server.
+/// The state in which the request may have been sent to a backend server.
 #[derive(Debug)]
 pub enum Sent {}
 
-/// Tokens set apart for one request.
+/// Tokens reserved for one request.
 #[derive(Debug)]
 #[must_use = "a reservation is released or settled"]
 pub struct Reservation<State> {
@@ -24,34 +24,34 @@
     state: marker::PhantomData<State>,
 }
 
-/// What is left of a reservation that ended.
+/// The budget and amount of a reservation that was released or settled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ended {
-    /// The budget it was made from.
+    /// The budget from which the tokens were reserved.
     pub budget: ids::BudgetSlot,
-    /// What had been set apart.
+    /// The number of tokens that were reserved.
     pub bound_tokens: u64,
 }
 
 impl<State> Reservation<State> {
-    /// The budget that it was made from.
+    /// Returns the budget from which the tokens are reserved.
     pub fn budget(&self) -> ids::BudgetSlot {
         self.budget
     }
 
-    /// The most that the request can cost.
+    /// Returns the most that the request can cost, in tokens.
     pub fn bound_tokens(&self) -> u64 {
         self.bound_tokens
     }
 }
 
 impl Reservation<Held> {
-    /// Records that `bound_tokens` were set apart; only the table of grants calls this.
+    /// Returns a reservation of `bound_tokens`; only the table of grants calls this.
     pub(crate) fn new(budget: ids::BudgetSlot, bound_tokens: u64) -> Self {
         Self { budget, bound_tokens, state: marker::PhantomData }
     }
 
-    /// From here on the request may run.
+    /// Marks the request as sent, after which it may run.
     pub fn dispatch(self) -> Reservation<Sent> {
         Reservation {
             budget: self.budget,
@@ -60,14 +60,14 @@
         }
     }
 
-    /// Gives the tokens back: nothing was sent.
+    /// Ends the reservation of a request that was not sent; the caller returns the tokens.
     pub(crate) fn release(self) -> Ended {
         Ended { budget: self.budget, bound_tokens: self.bound_tokens }
     }
 }
 
 impl Reservation<Sent> {
-    /// Ends the reservation; the caller books what was consumed.
+    /// Ends the reservation of a request that was sent; the caller records what was consumed.
     pub(crate) fn settle(self) -> Ended {
         Ended { budget: self.budget, bound_tokens: self.bound_tokens }
     }
--- a/core/src/store.rs
+++ b/core/src/store.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service, as the core sees it: typed calls and typed replies.
+//! The interface of the core to the platform's key-value store: typed calls and typed replies.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -33,7 +33,7 @@
     }
 }
 
-/// A call to the store. Every call counts against the platform's rates.
+/// A call to the store. Every call counts against the platform's rate limits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Request {
     /// Reads one key.
@@ -46,29 +46,29 @@
     Write {
         /// The key to write.
         key: String,
-        /// The index that the value was read at.
+        /// The index of the value when it was read.
         expected_index: Position,
         /// The new value.
         value: Vec<u8>,
         /// Also sets the marker of the era of `expected_index`, so that pending writes of earlier eras are refused.
         sets_era_marker: bool,
     },
-    /// Deletes all keys under a prefix; answered by `Written`.
+    /// Deletes all keys with a prefix; the reply is `Written`.
     DeletePrefix {
-        /// The prefix.
+        /// The prefix of the keys to delete.
         prefix: String,
     },
 }
 
 impl Request {
-    /// Whether the call counts as a write.
+    /// Returns whether the call counts as a write.
     pub fn is_write(&self) -> bool {
         matches!(self, Self::Write { .. } | Self::DeletePrefix { .. })
     }
 }
 
 impl Reply {
-    /// The store's era; `None` if the reply does not contain it.
+    /// Returns the store's era; `None` if the reply does not contain it.
     pub fn era(&self) -> Option<u64> {
         match self {
             Self::Missing { era } | Self::Written { era } => Some(*era),
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The reply without what only some stores say.
+    /// Returns the reply without the details that only some stores return.
     pub fn plain(self) -> Self {
         match self {
             Self::WrittenAt { index } => Self::Written { era: index.era },
@@ -90,14 +90,14 @@
     }
 }
 
-/// What came back, or that nothing did.
+/// The reply to a call, or that there was none.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// The key and its value.
+    /// The key exists.
     Found {
         /// The modification index of the value.
         index: Position,
-        /// The value.
+        /// The value of the key.
         value: Vec<u8>,
     },
     /// The key is absent.
@@ -117,18 +117,18 @@
     },
     /// The compare-and-swap did not take effect, and never will.
     Conflict,
-    /// The compare-and-swap did not take effect, and never will; this is what lies there.
+    /// The compare-and-swap did not take effect, and never will; contains the current value.
     Overtaken {
         /// The modification index of the value.
         index: Position,
-        /// The value.
+        /// The value of the key.
         value: Vec<u8>,
     },
-    /// What lies there is not encoded as the store encodes values. A write had no effect.
+    /// The current value is not encoded as the store encodes values. A write had no effect.
     Undecodable {
         /// The modification index of the value.
         index: Position,
     },
-    /// No reply: the call may have taken effect, may do so later, or never.
+    /// There was no reply: the call may have taken effect, may take effect later, or never.
     Unknown,
 }
--- a/core/src/watch.rs
+++ b/core/src/watch.rs
@@ -24,8 +24,8 @@
 /// How long a poll waits for a change where every router polls: a longer wait means fewer calls.
 const EVERY_ROUTER_WAIT_MS: u64 = 25_000;
 /// The part of the bound after which a copy is stale where every router polls, in percent. A router that receives no
-/// updates may have a poll that is never answered. Together with [`STALE_POLL_WINDOW_PERCENT`] this leaves the rest of the
-/// bound for the answer and for passing it on to the other routers.
+/// updates may have a poll that is never answered. Together with [`STALE_POLL_WINDOW_PERCENT`] this leaves the rest of
+/// the bound for the answer and for passing it on to the other routers.
 const EVERY_ROUTER_STALE_PERCENT: u64 = 60;
 /// The delay between freshness checks of routers of successive ranks: enough for the check of the previous rank and
 /// two gossip hops.
@@ -225,8 +225,8 @@
             return None;
         }
         if let Some(in_flight) = self.long_poll {
-            // A poll that was sent in a small fleet has a long wait and may never be answered, whatever the fleet's size
-            // is now.
+            // A poll that was sent in a small fleet has a long wait and may never be answered, whatever the fleet's
+            // size is now.
             let long = duty == Duty::EveryRouter || in_flight.wait_ms >= EVERY_ROUTER_WAIT_MS;
             let check_now = long && stale && self.freshness_check.is_none();
             if !check_now || !self.is_turn_to_check(fleet, now_ms) {
@@ -334,16 +334,16 @@
         now_ms >= at_ms
     }
 
-    /// Returns whether the store rejected this router's polls and peers have reported no newer state since. Records that
-    /// are missing from the next answer may then merely have lapsed. A missing answer doesn't count: the cause may be
-    /// this router's own connection.
+    /// Returns whether the store rejected this router's polls and peers have reported no newer state since. Records
+    /// that are missing from the next answer may then merely have lapsed. A missing answer doesn't count: the cause may
+    /// be this router's own connection.
     pub fn was_refused(&self, duty: Duty, now_ms: u64) -> bool {
         // Where every router polls, polls have long waits and peers report little, so the copy is never recent.
         self.last_rejected_ms.is_some() && (duty == Duty::EveryRouter || self.is_stale(now_ms))
     }
 
-    /// Returns whether records that a peer reports as lapsed may have lapsed for this router as well. A router whose copy
-    /// stayed current all the while has seen them being removed.
+    /// Returns whether records that a peer reports as lapsed may have lapsed for this router as well. A router whose
+    /// copy stayed current all the while has seen them being removed.
     pub fn missed_store(&self, duty: Duty, now_ms: u64) -> bool {
         match duty {
             Duty::EveryRouter | Duty::Joining => self.last_rejected_ms.is_some(),
--- a/core/src/watch/calls.rs
+++ b/core/src/watch/calls.rs
@@ -73,8 +73,8 @@
         self.sent_ms
     }
 
-    /// Returns whether an answer at `position` can be applied. Changes of another era do not continue the copy for which
-    /// they were requested.
+    /// Returns whether an answer at `position` can be applied. Changes of another era do not continue the copy for
+    /// which they were requested.
     pub fn accepts_answer_at(&self, position: store::Position) -> bool {
         self.after.is_none_or(|after| after.era == position.era)
     }
--- a/core/src/watch/copy.rs
+++ b/core/src/watch/copy.rs
@@ -7,13 +7,13 @@
 
 /// The delay of the next poll after a change, so that changes in quick succession need only one poll.
 const BATCH_DELAY_MS: u64 = 100;
-/// The same where every router polls. It must be well below the bounds of a deployment, of which the least so far is two
-/// seconds.
+/// The same where every router polls. It must be well below the bounds of a deployment, of which the least so far is
+/// two seconds.
 const EVERY_ROUTER_BATCH_DELAY_MS: u64 = 500;
 
 impl Watch {
-    /// Prepares for a full poll after a restore of the store. Returns the numbers of the polls in flight, which are to be
-    /// canceled.
+    /// Prepares for a full poll after a restore of the store. Returns the numbers of the polls in flight, which are to
+    /// be canceled.
     pub fn restart(&mut self, now_ms: u64) -> Vec<u64> {
         self.needs_full_state = true;
         self.superseded = None;
--- a/core/src/watch/watchers.rs
+++ b/core/src/watch/watchers.rs
@@ -2,8 +2,8 @@
 
 use crate::{ids, members, rendezvous};
 
-/// The number of routers that poll the store for a larger fleet: two, in different failure domains, so that polling goes
-/// on without an election if one fails.
+/// The number of routers that poll the store for a larger fleet: two, in different failure domains, so that polling
+/// goes on without an election if one fails.
 pub const WATCHERS: usize = 2;
 
 /// Returns the routers that poll for all: the first in rank, and the next one in another failure domain, or in the same
