--- a/core/src/node/eras.rs
+++ b/core/src/node/eras.rs
@@ -168,7 +168,7 @@
         self.evacuations.position = store::Position::START;
         self.relay.restart_changes(store::Position::START);
         if let Some(watching) = &mut self.watching {
-            watch::Topic::ALL.iter().for_each(|topic| watching.topic(*topic).forget_copy());
+            watch::Topic::ALL.iter().for_each(|topic| watching.topic(*topic).discard_copy());
         }
         self.restart_watches(now_ms);
     }
@@ -178,7 +178,7 @@
         let Some(watching) = &mut self.watching else { return };
         watching.announce_again();
         for topic in watch::Topic::ALL {
-            for number in watching.topic(topic).restart(now_ms) {
+            for number in watching.topic(topic).reset_after_restore(now_ms) {
                 self.actions.push(Action::CancelWatch { topic, number });
             }
         }
@@ -230,7 +230,7 @@
         }
         unconfirmed.call_at_ms = now_ms + ERA_CALL_INTERVAL_MS;
         let Some(watching) = &mut self.watching else { return };
-        if let Some(call) = watching.servers.start_era_call(now_ms) {
+        if let Some(call) = watching.servers.start_era_check(now_ms) {
             self.actions.push(Action::Watch(call));
         }
     }
--- a/core/src/node/notices.rs
+++ b/core/src/node/notices.rs
@@ -204,7 +204,7 @@
         /// What it asked for.
         topic: watch::Topic,
         /// The call.
-        call: watch::GivenUp,
+        call: watch::AbandonedPoll,
     },
     /// An answer of the store was ignored because its position precedes that of this router's copy.
     StaleAnswerIgnored {
@@ -238,7 +238,7 @@
     /// This router's part in following the store changed.
     WatchDuty {
         /// What it is now.
-        duty: watch::Duty,
+        duty: watch::Role,
     },
     /// A server failed several times in a row and gets nothing for a while.
     Ejected {
--- a/core/src/node/relay.rs
+++ b/core/src/node/relay.rs
@@ -90,7 +90,7 @@
 impl Node {
     /// What this router knows of the store.
     pub(super) fn digest(&self, now_ms: u64) -> message::Digest {
-        let seen = |watched: &watch::Watch| message::Seen {
+        let seen = |watched: &watch::Subscription| message::Seen {
             position: watched.position(),
             age_ms: watched.age_ms(now_ms),
         };
@@ -188,14 +188,14 @@
         watched.adopt(seen.position);
         let Some(age_ms) = seen.age_ms else { return };
         let gained_ms = watched.confirm(seen.position, now_ms.saturating_sub(age_ms));
-        self.relay.push_due |= passes_on && gained_ms >= watched.notable_ms();
+        self.relay.push_due |= passes_on && gained_ms >= watched.notable_improvement_ms();
     }
 
     /// Notes that a peer told news, which this router's own call should have brought.
     fn hear_news(&mut self, topic: watch::Topic, now_ms: u64) {
         self.relay.heard_news(now_ms);
         if let Some(watching) = &mut self.watching {
-            watching.topic(topic).overtake(watch::Evidence::Peer, now_ms);
+            watching.topic(topic).supersede(watch::Evidence::Peer, now_ms);
         }
     }
 
--- a/core/src/node/types.rs
+++ b/core/src/node/types.rs
@@ -241,7 +241,7 @@
         request: store::Request,
     },
     /// Asks the store for news; exactly one [`super::Node::watched`] must follow, unless the call is cancelled.
-    Watch(watch::Call),
+    Watch(watch::Poll),
     /// Nobody waits for the answer to this call any more.
     CancelWatch {
         /// What it asked for.
--- a/core/src/node/watching.rs
+++ b/core/src/node/watching.rs
@@ -19,9 +19,9 @@
 /// What following the store has to remember.
 #[derive(Debug)]
 pub(super) struct Watching {
-    pub(super) configuration: watch::Watch,
-    pub(super) servers: watch::Watch,
-    pub(super) duty: watch::Duty,
+    pub(super) configuration: watch::Subscription,
+    pub(super) servers: watch::Subscription,
+    pub(super) duty: watch::Role,
     looked_ms: u64,
     /// Whether this router has recorded in the store where peers reach it.
     announced: bool,
@@ -35,9 +35,9 @@
     pub(super) fn new(bounds: watch::Bounds) -> Self {
         let configuration = watch::Topic::Configuration;
         Self {
-            configuration: watch::Watch::new(configuration, bounds.configuration_ms),
-            servers: watch::Watch::new(watch::Topic::Servers, bounds.servers_ms),
-            duty: watch::Duty::Joining,
+            configuration: watch::Subscription::new(configuration, bounds.configuration_ms),
+            servers: watch::Subscription::new(watch::Topic::Servers, bounds.servers_ms),
+            duty: watch::Role::Joining,
             looked_ms: 0,
             announced: false,
             heard_ms: None,
@@ -45,7 +45,7 @@
         }
     }
 
-    pub(super) fn topic(&mut self, topic: watch::Topic) -> &mut watch::Watch {
+    pub(super) fn topic(&mut self, topic: watch::Topic) -> &mut watch::Subscription {
         match topic {
             watch::Topic::Configuration => &mut self.configuration,
             watch::Topic::Servers => &mut self.servers,
@@ -54,7 +54,7 @@
 
     /// Whether this router had no word of the store's servers because the store did not serve.
     pub(super) fn missed_store(&self, now_ms: u64) -> bool {
-        self.servers.missed_store(self.duty, now_ms)
+        self.servers.may_have_missed_removals(self.duty, now_ms)
     }
 
     /// How long ago this router's copies held all that the store had, in milliseconds.
@@ -75,7 +75,7 @@
 
 impl Node {
     /// This router's part in following the store; `None` if it follows by other means.
-    pub fn watch_duty(&self) -> Option<watch::Duty> {
+    pub fn watch_duty(&self) -> Option<watch::Role> {
         self.watching.as_ref().map(|watching| watching.duty)
     }
 
@@ -89,21 +89,21 @@
     }
 
     /// The calls for a topic that wait for the store now.
-    pub fn open_calls(&self, topic: watch::Topic, now_ms: u64) -> Vec<watch::OpenCall> {
+    pub fn open_calls(&self, topic: watch::Topic, now_ms: u64) -> Vec<watch::OpenPoll> {
         let Some(watching) = self.watching.as_ref() else { return Vec::new() };
         match topic {
-            watch::Topic::Configuration => watching.configuration.open_calls(now_ms),
-            watch::Topic::Servers => watching.servers.open_calls(now_ms),
+            watch::Topic::Configuration => watching.configuration.open_polls(now_ms),
+            watch::Topic::Servers => watching.servers.open_polls(now_ms),
         }
     }
 
     /// Takes the end of a call that [`Action::Watch`] asked for. One that was given up before changes nothing.
-    pub fn watched(&mut self, call: watch::Call, outcome: watch::Outcome, now_ms: u64) {
+    pub fn watched(&mut self, call: watch::Poll, outcome: watch::Outcome, now_ms: u64) {
         let topic = call.topic;
         let routers = self.members.live_count();
         let Some(watching) = &mut self.watching else { return };
         let duty = watching.duty;
-        let Some(flight) = watching.topic(topic).ended(call.number) else {
+        let Some(flight) = watching.topic(topic).finish(call.number) else {
             self.count_call(purpose(topic), CallOutcome::Late);
             return;
         };
@@ -113,7 +113,7 @@
             self.check_unconfirmed_era(era, flight.sent_ms(), now_ms);
             if self.reject_earlier_era(topic, era) {
                 let Some(watching) = &mut self.watching else { return };
-                watching.topic(topic).failed(false, duty, routers, now_ms, &mut self.rng);
+                watching.topic(topic).handle_failure(false, duty, routers, now_ms, &mut self.rng);
                 return;
             }
             if !flight.accepts_answer_at(*position) {
@@ -123,23 +123,23 @@
         self.count_watch(topic, &outcome);
         let Some(watching) = &mut self.watching else { return };
         match outcome {
-            watch::Outcome::Answered { position, news } => {
-                let any = news.any();
+            watch::Outcome::Answered { position, update: news } => {
+                let any = news.has_changes();
                 let watched = watching.topic(topic);
-                let was_refused = watched.was_refused(duty, now_ms);
-                watched.answered(duty, flight, position, any, now_ms);
+                let was_refused = watched.was_rejected(duty, now_ms);
+                watched.handle_answer(duty, flight, position, any, now_ms);
                 match any {
                     true => self.relay.heard_news(now_ms),
                     false => self.relay.push_due = true,
                 }
                 self.take_news(position, news, was_refused, now_ms);
             }
-            watch::Outcome::Forgotten => watching.topic(topic).forgotten(),
-            watch::Outcome::Refused => {
-                watching.topic(topic).failed(true, duty, routers, now_ms, &mut self.rng);
+            watch::Outcome::HistoryLost => watching.topic(topic).request_full_state(),
+            watch::Outcome::Rejected => {
+                watching.topic(topic).handle_failure(true, duty, routers, now_ms, &mut self.rng);
             }
-            watch::Outcome::Silent => {
-                watching.topic(topic).failed(false, duty, routers, now_ms, &mut self.rng);
+            watch::Outcome::NoAnswer => {
+                watching.topic(topic).handle_failure(false, duty, routers, now_ms, &mut self.rng);
             }
         }
     }
@@ -147,19 +147,19 @@
     fn take_news(
         &mut self,
         position: store::Position,
-        news: watch::News,
+        news: watch::Update,
         was_refused: bool,
         now_ms: u64,
     ) {
         match news {
-            watch::News::Configuration(news) => {
+            watch::Update::Configuration(news) => {
                 // Before the configuration: a router that starts is ready with it.
                 self.take_evacuations(position, news.evacuations, now_ms);
                 if let Some(published) = news.published {
                     self.offer_config(*published, now_ms);
                 }
             }
-            watch::News::Servers(mut changes) => {
+            watch::Update::Servers(mut changes) => {
                 // Peers may have told more meanwhile.
                 let known = self.vms_index;
                 changes.retain(|change| change.position > known);
@@ -168,12 +168,12 @@
                 }
                 self.apply_changes(position.max(known), changes, was_refused, now_ms);
             }
-            watch::News::AllServers(_) if position < self.vms_index => {
+            watch::Update::AllServers(_) if position < self.vms_index => {
                 let (topic, known) = (watch::Topic::Servers, self.vms_index);
                 let notice = Notice::StaleAnswerIgnored { topic, position, known };
                 self.actions.push(Action::Notice(notice));
             }
-            watch::News::AllServers(all) => {
+            watch::Update::AllServers(all) => {
                 if self.vms_index != store::Position::START && position.era > self.vms_index.era {
                     self.prepare_era_change(&all, now_ms);
                 } else if was_refused {
@@ -283,12 +283,12 @@
         let mut given_up = Vec::new();
         for topic in watch::Topic::ALL {
             let watched = watching.topic(topic);
-            if let Some(call) = watched.give_up(now_ms) {
+            if let Some(call) = watched.abandon_superseded(now_ms) {
                 given_up.push((topic, call));
             }
-            let alone = silent_ms >= watched.overdue_ms();
+            let alone = silent_ms >= watched.stale_after_ms();
             let fleet = watch::Fleet { routers, rank, alone };
-            if let Some(call) = watched.due(duty, fleet, now_ms, &mut self.rng) {
+            if let Some(call) = watched.due_poll(duty, fleet, now_ms, &mut self.rng) {
                 self.actions.push(Action::Watch(call));
             }
         }
@@ -307,7 +307,7 @@
         let settled = now_ms >= self.started_ms + SETTLE_MS;
         let lonely = self.members.live().next().is_none();
         let Some(watching) = &mut self.watching else { return };
-        let watches = matches!(watching.duty, watch::Duty::EveryRouter | watch::Duty::Watcher);
+        let watches = matches!(watching.duty, watch::Role::EveryRouter | watch::Role::Watcher);
         if watches && !watching.announced && (settled || lonely) {
             watching.announced = true;
             self.count_call(CallPurpose::Announce, CallOutcome::Sent);
@@ -317,7 +317,7 @@
 
     fn note_duty(&mut self, now_ms: u64) {
         let Some(watching) = &self.watching else { return };
-        let joining = watching.duty == watch::Duty::Joining;
+        let joining = watching.duty == watch::Role::Joining;
         if !joining && now_ms < watching.looked_ms + LOOK_EVERY_MS {
             return;
         }
@@ -330,36 +330,38 @@
         }
     }
 
-    fn watch_duty_now(&self, watching: &Watching, now_ms: u64) -> watch::Duty {
+    fn watch_duty_now(&self, watching: &Watching, now_ms: u64) -> watch::Role {
         let routers = self.members.live_count() as usize;
         if routers == 1 {
             let waits = now_ms < self.started_ms + JOIN_MS && !watching.knows_all();
             return match waits && self.members.asks_seeds() {
-                true => watch::Duty::Joining,
-                false => watch::Duty::EveryRouter,
+                true => watch::Role::Joining,
+                false => watch::Role::EveryRouter,
             };
         }
         if now_ms < self.started_ms + SETTLE_MS {
-            return watch::Duty::Listener;
+            return watch::Role::Listener;
         }
-        if routers <= watch::ALL_WATCH_MAX {
-            return watch::Duty::EveryRouter;
+        if routers <= watch::EVERY_ROUTER_FLEET_MAX {
+            return watch::Role::EveryRouter;
         }
         let live = self.members.live().filter(|record| record.health == members::Health::Alive);
         let watchers = watch::watchers(live.chain([self.members.own()]));
         match watchers.contains(&self.settings.incarnation) && self.lifecycle == Lifecycle::Ready {
-            true => watch::Duty::Watcher,
-            false => watch::Duty::Listener,
+            true => watch::Role::Watcher,
+            false => watch::Role::Listener,
         }
     }
 
     fn count_watch(&mut self, topic: watch::Topic, outcome: &watch::Outcome) {
         let outcome = match outcome {
-            watch::Outcome::Answered { news, .. } if news.any() => CallOutcome::News,
+            watch::Outcome::Answered { update: news, .. } if news.has_changes() => {
+                CallOutcome::News
+            }
             watch::Outcome::Answered { .. } => CallOutcome::Empty,
-            watch::Outcome::Forgotten => CallOutcome::Forgotten,
-            watch::Outcome::Refused => CallOutcome::Refused,
-            watch::Outcome::Silent => CallOutcome::Silent,
+            watch::Outcome::HistoryLost => CallOutcome::Forgotten,
+            watch::Outcome::Rejected => CallOutcome::Refused,
+            watch::Outcome::NoAnswer => CallOutcome::Silent,
         };
         self.count_call(purpose(topic), outcome);
     }
--- a/core/src/watch.rs
+++ b/core/src/watch.rs
@@ -4,13 +4,13 @@
 //! and the others receive updates and the age of the copy from peers. A router whose copy is stale polls the store
 //! itself after a random delay, so that the whole fleet makes a bounded number of such polls a second.
 
-mod calls;
 mod copy;
-mod news;
+mod polls;
+mod updates;
 mod watchers;
 
-pub use calls::{Evidence, Fleet, Flight, GivenUp, OpenCall};
-pub use news::{AllServers, ConfigurationNews, News, Outcome, ServerChange, ServerRecord};
+pub use polls::{AbandonedPoll, Evidence, Fleet, OpenPoll, PollInFlight};
+pub use updates::{AllServers, ConfigurationUpdate, Outcome, ServerChange, ServerRecord, Update};
 pub use watchers::{WATCHERS, watchers};
 
 use crate::{backoff, store};
@@ -20,7 +20,7 @@
 
 /// The largest fleet in which every router polls the store. Up to this size, two watchers with short waits would make
 /// as many calls (docs/DESIGN.md, "Who asks the store").
-pub const ALL_WATCH_MAX: usize = 12;
+pub const EVERY_ROUTER_FLEET_MAX: usize = 12;
 /// How long a poll waits for a change where every router polls: a longer wait means fewer calls.
 const EVERY_ROUTER_WAIT_MS: u64 = 25_000;
 /// The part of the bound after which a copy is stale where every router polls, in percent. A router that receives no
@@ -87,7 +87,7 @@
 /// A router's role in following the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Duty {
+pub enum Role {
     /// The router has just started and requests the state from peers first.
     Joining,
     /// The fleet is small: every router polls the store.
@@ -98,7 +98,7 @@
     Listener,
 }
 
-impl Duty {
+impl Role {
     /// The value of the key `duty` in log lines.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -112,7 +112,7 @@
 
 /// A long poll of the store that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Call {
+pub struct Poll {
     /// Distinguishes the poll from the other polls of this topic.
     pub number: u64,
     /// The topic to poll.
@@ -125,7 +125,7 @@
 
 /// One topic as one router follows it: the position and age of its copy, and the polls in flight.
 #[derive(Debug)]
-pub struct Watch {
+pub struct Subscription {
     topic: Topic,
     bound_ms: u64,
     /// The position of this router's copy; [`store::Position::START`] if it has none.
@@ -135,9 +135,9 @@
     /// The store no longer has the history since the copy's revision, so the next poll requests the full state.
     needs_full_state: bool,
     /// The poll that waits for a change.
-    long_poll: Option<Flight>,
+    long_poll: Option<PollInFlight>,
     /// A short poll beside it that checks that the copy is current.
-    freshness_check: Option<Flight>,
+    freshness_check: Option<PollInFlight>,
     polls_started: u64,
     /// Set once an update has arrived that the long poll should have returned: when, and by which way.
     superseded: Option<(u64, Evidence)>,
@@ -153,7 +153,7 @@
     stale_poll_ms: Option<u64>,
 }
 
-impl Watch {
+impl Subscription {
     /// Returns the state of a topic without a copy.
     pub fn new(topic: Topic, bound_ms: u64) -> Self {
         Self {
@@ -198,24 +198,24 @@
     }
 
     /// Returns the age from which the copy is stale, in milliseconds.
-    pub fn overdue_ms(&self) -> u64 {
+    pub fn stale_after_ms(&self) -> u64 {
         self.bound_ms * STALE_PERCENT / 100
     }
 
     /// Returns the least improvement of the copy's age that is passed on to peers, in milliseconds.
-    pub fn notable_ms(&self) -> u64 {
+    pub fn notable_improvement_ms(&self) -> u64 {
         self.bound_ms * WATCHER_WAIT_PERCENT / 200
     }
 
     /// Returns the poll to send now, if one is due.
-    pub fn due(
+    pub fn due_poll(
         &mut self,
-        duty: Duty,
+        role: Role,
         fleet: Fleet,
         now_ms: u64,
         rng: &mut rngs::StdRng,
-    ) -> Option<Call> {
-        let stale = self.is_stale_for(duty, now_ms);
+    ) -> Option<Poll> {
+        let stale = self.is_stale_for(role, now_ms);
         if !stale {
             // A peer whose copy is about as stale may repeatedly report a slightly newer state. Only a state that is
             // new enough makes the poll unnecessary.
@@ -227,61 +227,61 @@
         if let Some(in_flight) = self.long_poll {
             // A poll that was sent in a small fleet has a long wait and may never be answered, whatever the fleet's
             // size is now.
-            let long = duty == Duty::EveryRouter || in_flight.wait_ms >= EVERY_ROUTER_WAIT_MS;
+            let long = role == Role::EveryRouter || in_flight.wait_ms >= EVERY_ROUTER_WAIT_MS;
             let check_now = long && stale && self.freshness_check.is_none();
             if !check_now || !self.is_turn_to_check(fleet, now_ms) {
                 return None;
             }
             let flight = self.start_poll(FRESHNESS_CHECK_WAIT_MS, now_ms);
             self.freshness_check = Some(flight);
-            return Some(self.call(flight));
+            return Some(self.poll(flight));
         }
-        let wait_ms = match duty {
-            Duty::Joining => return None,
+        let wait_ms = match role {
+            Role::Joining => return None,
             // The first poll after an outage has a short wait, because its answer shows which records have lapsed.
-            Duty::EveryRouter if self.last_rejected_ms.is_some() || self.unanswered => {
+            Role::EveryRouter if self.last_rejected_ms.is_some() || self.unanswered => {
                 FRESHNESS_CHECK_WAIT_MS
             }
-            Duty::EveryRouter => EVERY_ROUTER_WAIT_MS,
-            Duty::Watcher if stale => FRESHNESS_CHECK_WAIT_MS,
-            Duty::Watcher => self.bound_ms * WATCHER_WAIT_PERCENT / 100,
-            Duty::Listener
+            Role::EveryRouter => EVERY_ROUTER_WAIT_MS,
+            Role::Watcher if stale => FRESHNESS_CHECK_WAIT_MS,
+            Role::Watcher => self.bound_ms * WATCHER_WAIT_PERCENT / 100,
+            Role::Listener
                 if stale && (fleet.alone || self.is_stale_poll_due(fleet.routers, now_ms, rng)) =>
             {
                 FRESHNESS_CHECK_WAIT_MS
             }
-            Duty::Listener => return None,
+            Role::Listener => return None,
         };
         let flight = self.start_poll(wait_ms, now_ms);
         self.long_poll = Some(flight);
-        Some(self.call(flight))
+        Some(self.poll(flight))
     }
 
-    fn start_poll(&mut self, wait_ms: u64, now_ms: u64) -> Flight {
+    fn start_poll(&mut self, wait_ms: u64, now_ms: u64) -> PollInFlight {
         self.polls_started += 1;
         let has_copy = self.position != store::Position::START && !self.needs_full_state;
         let after = has_copy.then_some(self.position);
-        Flight { number: self.polls_started, sent_ms: now_ms, wait_ms, after }
+        PollInFlight { number: self.polls_started, sent_ms: now_ms, wait_ms, after }
     }
 
-    fn call(&self, flight: Flight) -> Call {
-        let Flight { number, wait_ms, after, .. } = flight;
-        Call { number, topic: self.topic, after, wait_ms }
+    fn poll(&self, flight: PollInFlight) -> Poll {
+        let PollInFlight { number, wait_ms, after, .. } = flight;
+        Poll { number, topic: self.topic, after, wait_ms }
     }
 
     /// Starts a short poll whose answer contains the store's era; `None` if a freshness check is already in flight.
-    pub fn start_era_call(&mut self, now_ms: u64) -> Option<Call> {
+    pub fn start_era_check(&mut self, now_ms: u64) -> Option<Poll> {
         if self.freshness_check.is_some() {
             return None;
         }
         let flight = self.start_poll(FRESHNESS_CHECK_WAIT_MS, now_ms);
         self.freshness_check = Some(flight);
-        Some(self.call(flight))
+        Some(self.poll(flight))
     }
 
     /// Returns the polls in flight.
-    pub fn open_calls(&self, now_ms: u64) -> Vec<OpenCall> {
-        let open = |flight: &Flight| OpenCall {
+    pub fn open_polls(&self, now_ms: u64) -> Vec<OpenPoll> {
+        let open = |flight: &PollInFlight| OpenPoll {
             number: flight.number,
             wait_ms: flight.wait_ms,
             sent_ms_ago: now_ms.saturating_sub(flight.sent_ms),
@@ -290,8 +290,8 @@
     }
 
     /// Removes the poll with this number from those in flight and returns it; `None` if it was abandoned before.
-    pub fn ended(&mut self, number: u64) -> Option<Flight> {
-        let matches = |flight: &mut Flight| flight.number == number;
+    pub fn finish(&mut self, number: u64) -> Option<PollInFlight> {
+        let matches = |flight: &mut PollInFlight| flight.number == number;
         let long_poll = self.long_poll.take_if(matches);
         if long_poll.is_some() {
             self.superseded = None;
@@ -300,20 +300,20 @@
     }
 
     /// Records that an update arrived which the long poll should have returned.
-    pub fn overtake(&mut self, evidence: Evidence, now_ms: u64) {
+    pub fn supersede(&mut self, evidence: Evidence, now_ms: u64) {
         if self.long_poll.is_some() {
             self.superseded.get_or_insert((now_ms, evidence));
         }
     }
 
     /// Abandons the long poll if it was superseded and its answer did not arrive within [`ANSWER_GRACE_MS`].
-    pub fn give_up(&mut self, now_ms: u64) -> Option<GivenUp> {
+    pub fn abandon_superseded(&mut self, now_ms: u64) -> Option<AbandonedPoll> {
         let (_, evidence) =
             self.superseded.take_if(|(since_ms, _)| now_ms >= *since_ms + ANSWER_GRACE_MS)?;
         let flight = self.long_poll.take()?;
         self.unanswered = true;
         let waited_ms = now_ms.saturating_sub(flight.sent_ms);
-        Some(GivenUp { number: flight.number, waited_ms, evidence })
+        Some(AbandonedPoll { number: flight.number, waited_ms, evidence })
     }
 
     /// Returns whether it is this router's turn to check the freshness of the copy. The first router in rank checks for
@@ -337,23 +337,23 @@
     /// Returns whether the store rejected this router's polls and peers have reported no newer state since. Records
     /// that are missing from the next answer may then merely have lapsed. A missing answer doesn't count: the cause may
     /// be this router's own connection.
-    pub fn was_refused(&self, duty: Duty, now_ms: u64) -> bool {
+    pub fn was_rejected(&self, role: Role, now_ms: u64) -> bool {
         // Where every router polls, polls have long waits and peers report little, so the copy is never recent.
-        self.last_rejected_ms.is_some() && (duty == Duty::EveryRouter || self.is_stale(now_ms))
+        self.last_rejected_ms.is_some() && (role == Role::EveryRouter || self.is_stale(now_ms))
     }
 
     /// Returns whether records that a peer reports as lapsed may have lapsed for this router as well. A router whose
     /// copy stayed current all the while has seen them being removed.
-    pub fn missed_store(&self, duty: Duty, now_ms: u64) -> bool {
-        match duty {
-            Duty::EveryRouter | Duty::Joining => self.last_rejected_ms.is_some(),
-            Duty::Watcher | Duty::Listener => self.is_stale(now_ms),
+    pub fn may_have_missed_removals(&self, role: Role, now_ms: u64) -> bool {
+        match role {
+            Role::EveryRouter | Role::Joining => self.last_rejected_ms.is_some(),
+            Role::Watcher | Role::Listener => self.is_stale(now_ms),
         }
     }
 
-    fn is_stale_for(&self, duty: Duty, now_ms: u64) -> bool {
-        match duty {
-            Duty::EveryRouter => {
+    fn is_stale_for(&self, role: Role, now_ms: u64) -> bool {
+        match role {
+            Role::EveryRouter => {
                 let stale_ms = self.bound_ms * EVERY_ROUTER_STALE_PERCENT / 100;
                 self.age_ms(now_ms).is_none_or(|age_ms| age_ms >= stale_ms)
             }
@@ -362,6 +362,6 @@
     }
 
     fn is_stale(&self, now_ms: u64) -> bool {
-        self.age_ms(now_ms).is_none_or(|age_ms| age_ms >= self.overdue_ms())
+        self.age_ms(now_ms).is_none_or(|age_ms| age_ms >= self.stale_after_ms())
     }
 }
--- a/core/src/watch/copy.rs
+++ b/core/src/watch/copy.rs
@@ -1,6 +1,6 @@
 //! Updates the position and age of a copy from answers, failed polls and peers' reports.
 
-use super::{Duty, Evidence, Flight, RETRY_DELAY_FIRST_MS, STALE_POLLS_PER_S, Watch};
+use super::{Evidence, PollInFlight, RETRY_DELAY_FIRST_MS, Role, STALE_POLLS_PER_S, Subscription};
 use crate::store;
 use rand::RngExt;
 use rand::rngs;
@@ -11,10 +11,10 @@
 /// two seconds.
 const EVERY_ROUTER_BATCH_DELAY_MS: u64 = 500;
 
-impl Watch {
+impl Subscription {
     /// Prepares for a full poll after a restore of the store. Returns the numbers of the polls in flight, which are to
     /// be canceled.
-    pub fn restart(&mut self, now_ms: u64) -> Vec<u64> {
+    pub fn reset_after_restore(&mut self, now_ms: u64) -> Vec<u64> {
         self.needs_full_state = true;
         self.superseded = None;
         self.not_before_ms = now_ms;
@@ -24,16 +24,16 @@
     }
 
     /// Discards the position of the copy and the time at which it was last current.
-    pub fn forget_copy(&mut self) {
+    pub fn discard_copy(&mut self) {
         self.position = store::Position::START;
         self.confirmed_ms = None;
     }
 
     /// Handles the answer to a poll; `changed` says whether it contained changes.
-    pub fn answered(
+    pub fn handle_answer(
         &mut self,
-        duty: Duty,
-        flight: Flight,
+        role: Role,
+        flight: PollInFlight,
         position: store::Position,
         changed: bool,
         now_ms: u64,
@@ -47,13 +47,13 @@
             true => flight.sent_ms + waited_ms,
             false => flight.sent_ms,
         };
-        self.not_before_ms = match (changed, duty) {
+        self.not_before_ms = match (changed, role) {
             (false, _) => now_ms,
-            (true, Duty::EveryRouter) => now_ms + EVERY_ROUTER_BATCH_DELAY_MS,
+            (true, Role::EveryRouter) => now_ms + EVERY_ROUTER_BATCH_DELAY_MS,
             (true, _) => now_ms + BATCH_DELAY_MS,
         };
         if changed && self.long_poll.is_some_and(|long_poll| long_poll.sent_ms < flight.sent_ms) {
-            self.overtake(Evidence::LaterCall, now_ms);
+            self.supersede(Evidence::LaterCall, now_ms);
         }
         self.confirm(position, current_ms);
         self.last_rejected_ms = None;
@@ -61,32 +61,32 @@
 
     /// Records that the store no longer has the history since the copy's revision, so that the next poll requests the
     /// full state.
-    pub fn forgotten(&mut self) {
+    pub fn request_full_state(&mut self) {
         self.needs_full_state = true;
     }
 
-    /// Handles a failed poll. `refused` says whether the store rejected it; a missing answer may be caused by this
+    /// Handles a failed poll. `rejected` says whether the store rejected it; a missing answer may be caused by this
     /// router's own connection.
-    pub fn failed(
+    pub fn handle_failure(
         &mut self,
-        refused: bool,
-        duty: Duty,
+        rejected: bool,
+        role: Role,
         routers: u64,
         now_ms: u64,
         rng: &mut rngs::StdRng,
     ) {
         self.unanswered = true;
         self.last_failed_ms = Some(now_ms);
-        if refused {
+        if rejected {
             self.last_rejected_ms = Some(now_ms);
         }
         // A poll without an answer has already taken its whole timeout.
-        let delay_ms = match refused {
+        let delay_ms = match rejected {
             true => RETRY_DELAY_FIRST_MS / 2 + self.retry_backoff.next_delay_ms(rng),
             false => rng.random_range(0..RETRY_DELAY_FIRST_MS / 2),
         };
         self.not_before_ms = now_ms + delay_ms;
-        if duty == Duty::Listener {
+        if role == Role::Listener {
             // Other routers poll soon, so this one need not.
             let window_ms = routers * 1_000 / STALE_POLLS_PER_S;
             let half_ms = window_ms / 2;
--- a/core/src/watch/calls.rs
+++ b/core/src/watch/polls.rs
@@ -23,7 +23,7 @@
 
 /// A poll that was abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct GivenUp {
+pub struct AbandonedPoll {
     /// The number of the poll.
     pub number: u64,
     /// How long the poll had been in flight, in milliseconds.
@@ -34,7 +34,7 @@
 
 /// A poll in flight, as it is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OpenCall {
+pub struct OpenPoll {
     /// The number of the poll.
     pub number: u64,
     /// How long the store may wait for a change, in milliseconds.
@@ -56,7 +56,7 @@
 
 /// A poll in flight.
 #[derive(Clone, Copy, Debug)]
-pub struct Flight {
+pub struct PollInFlight {
     /// The number of the poll.
     pub(super) number: u64,
     /// When the poll was sent.
@@ -67,7 +67,7 @@
     pub(super) after: Option<store::Position>,
 }
 
-impl Flight {
+impl PollInFlight {
     /// Returns when the poll was sent.
     pub fn sent_ms(&self) -> u64 {
         self.sent_ms
--- a/core/src/watch/news.rs
+++ b/core/src/watch/updates.rs
@@ -52,7 +52,7 @@
 
 /// The part of the configuration topic that a poll returned.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ConfigurationNews {
+pub struct ConfigurationUpdate {
     /// The configuration, if it can be decoded and has changed or the full state was requested.
     pub published: Option<Box<config::Published>>,
     /// The evacuations that changed.
@@ -61,18 +61,18 @@
 
 /// The update in the answer to a poll.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum Update {
     /// Changes of the configuration and the evacuations.
-    Configuration(ConfigurationNews),
+    Configuration(ConfigurationUpdate),
     /// Changes of server records.
     Servers(Vec<ServerChange>),
     /// The full list of server records.
     AllServers(AllServers),
 }
 
-impl News {
+impl Update {
     /// Returns whether the update contains any change.
-    pub fn any(&self) -> bool {
+    pub fn has_changes(&self) -> bool {
         match self {
             Self::Configuration(update) => update.published.is_some() || update.evacuations.any(),
             Self::Servers(changes) => !changes.is_empty(),
@@ -89,12 +89,12 @@
         /// The position in the store's history after the update.
         position: store::Position,
         /// The update in the answer; it may contain no change.
-        news: News,
+        update: Update,
     },
     /// The store no longer has the history since the requested revision.
-    Forgotten,
+    HistoryLost,
     /// The store answered that it is unavailable.
-    Refused,
+    Rejected,
     /// The poll got no answer.
-    Silent,
+    NoAnswer,
 }
--- a/core/tests/arbitrary_messages.rs
+++ b/core/tests/arbitrary_messages.rs
@@ -161,5 +161,5 @@
     assert!(count >= 40, "{count} servers are known");
     let alive: Vec<&members::Record> = fleet.routers[1].node.members().live().collect();
     assert_eq!(alive.len(), 5);
-    assert_eq!(fleet.routers[1].node.watch_duty(), Some(watch::Duty::EveryRouter));
+    assert_eq!(fleet.routers[1].node.watch_duty(), Some(watch::Role::EveryRouter));
 }
--- a/core/tests/external_names.rs
+++ b/core/tests/external_names.rs
@@ -280,11 +280,11 @@
     ].map(node::CallOutcome::as_str).join(" ") => "Sent News Empty Forgotten Refused Silent Overtaken GivenUp Late EarlierEra";
     topics: watch::Topic::ALL.map(watch::Topic::as_str).join(" ") => "Configuration Servers";
     duties: [
-        watch::Duty::Joining,
-        watch::Duty::EveryRouter,
-        watch::Duty::Watcher,
-        watch::Duty::Listener,
-    ].map(watch::Duty::as_str).join(" ") => "Joining EveryRouter Watcher Listener";
+        watch::Role::Joining,
+        watch::Role::EveryRouter,
+        watch::Role::Watcher,
+        watch::Role::Listener,
+    ].map(watch::Role::as_str).join(" ") => "Joining EveryRouter Watcher Listener";
     evidence: [watch::Evidence::LaterCall, watch::Evidence::Peer]
         .map(watch::Evidence::as_str)
         .join(" ") => "LaterCall Peer";
--- a/core/tests/unanswered_calls.rs
+++ b/core/tests/unanswered_calls.rs
@@ -91,7 +91,7 @@
     fleet.leave_calls_unanswered(place);
     fleet.routers[place].group = 0;
     fleet.run_until("it listens again", 10_000, |fleet| {
-        fleet.routers[place].node.watch_duty() == Some(watch::Duty::Listener)
+        fleet.routers[place].node.watch_duty() == Some(watch::Role::Listener)
     });
     fleet.routers[place].group = 1;
     fleet.trouble(place);
--- a/core/tests/watch_fleet/mod.rs
+++ b/core/tests/watch_fleet/mod.rs
@@ -40,7 +40,7 @@
 }
 
 struct Waiting {
-    call: watch::Call,
+    call: watch::Poll,
     sent_ms: u64,
     /// The store took it and never answers it.
     unanswered: bool,
@@ -51,7 +51,7 @@
     arrives_ms: u64,
     /// The store's era when it answered; `None` if it did not.
     era: Option<u64>,
-    call: watch::Call,
+    call: watch::Poll,
     outcome: watch::Outcome,
 }
 
@@ -280,7 +280,7 @@
 
     pub fn watchers(&self) -> Vec<usize> {
         let watches = |router: &Router| {
-            router.alive && router.node.watch_duty() == Some(watch::Duty::Watcher)
+            router.alive && router.node.watch_duty() == Some(watch::Role::Watcher)
         };
         (0..self.routers.len()).filter(|place| watches(&self.routers[*place])).collect()
     }
--- a/core/tests/watch_fleet/store.rs
+++ b/core/tests/watch_fleet/store.rs
@@ -128,23 +128,25 @@
         let router = &self.routers[place];
         if *unanswered || router.cut || self.store == Store::Silent {
             let over = waited_ms >= call.wait_ms + CALL_TIMEOUT_MS;
-            return over.then_some(watch::Outcome::Silent);
+            return over.then_some(watch::Outcome::NoAnswer);
         }
         if router.turned_away || self.store == Store::Refuses {
-            return Some(watch::Outcome::Refused);
+            return Some(watch::Outcome::Rejected);
         }
         let unknown = |after: store::Position| {
             after.revision < self.forgotten || after.revision > self.revision
         };
         if call.after.is_some_and(unknown) {
-            return Some(watch::Outcome::Forgotten);
+            return Some(watch::Outcome::HistoryLost);
         }
         let news = self.news(call);
-        (news.any() || waited_ms >= call.wait_ms)
-            .then_some(watch::Outcome::Answered { position: self.position(self.revision), news })
+        (news.has_changes() || waited_ms >= call.wait_ms).then_some(watch::Outcome::Answered {
+            position: self.position(self.revision),
+            update: news,
+        })
     }
 
-    fn evacuations(&self, call: &watch::Call) -> evacuation::News {
+    fn evacuations(&self, call: &watch::Poll) -> evacuation::News {
         let Some(after) = call.after else {
             return evacuation::News::All(self.evacuated.clone());
         };
@@ -157,13 +159,13 @@
         evacuation::News::Changes(told.collect())
     }
 
-    fn news(&self, call: &watch::Call) -> watch::News {
+    fn news(&self, call: &watch::Poll) -> watch::Update {
         match call.topic {
             watch::Topic::Configuration => {
                 let changed = call.after.is_none_or(|it| self.config_revision > it.revision);
                 let published = changed.then(|| Box::new(self.published.clone()));
                 let evacuations = self.evacuations(call);
-                watch::News::Configuration(watch::ConfigurationNews { published, evacuations })
+                watch::Update::Configuration(watch::ConfigurationUpdate { published, evacuations })
             }
             watch::Topic::Servers if call.after.is_none() => {
                 let listed = self.servers.values().map(|(_, vm)| vm.clone()).collect();
@@ -171,7 +173,7 @@
                 let written =
                     self.servers.iter().map(|(vm, (revision, _))| (vm.clone(), *revision));
                 let revisions = written.collect();
-                watch::News::AllServers(watch::AllServers { listed, unreadable, revisions })
+                watch::Update::AllServers(watch::AllServers { listed, unreadable, revisions })
             }
             watch::Topic::Servers => {
                 let after = call.after.map_or(0, |after| after.revision);
@@ -181,7 +183,7 @@
                     let position = self.position(change.revision);
                     Some(watch::ServerChange { vm, position, record })
                 });
-                watch::News::Servers(changes.collect())
+                watch::Update::Servers(changes.collect())
             }
         }
     }
--- a/core/tests/watching.rs
+++ b/core/tests/watching.rs
@@ -27,7 +27,7 @@
 fn in_a_small_fleet_every_router_watches() {
     let fleet = settled(8, TIGHT, 1);
     let duties = fleet.routers.iter().map(|router| router.node.watch_duty());
-    assert!(duties.into_iter().all(|duty| duty == Some(watch::Duty::EveryRouter)));
+    assert!(duties.into_iter().all(|duty| duty == Some(watch::Role::EveryRouter)));
 }
 
 #[test]
@@ -246,7 +246,8 @@
 fn a_peer_that_is_as_late_delays_no_call() {
     for seed in 0..50 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut watch = watch::Watch::new(watch::Topic::Configuration, CLOSE.configuration_ms);
+        let mut watch =
+            watch::Subscription::new(watch::Topic::Configuration, CLOSE.configuration_ms);
         watch.confirm(store::Position::new(0, 5), 0);
         let fleet = watch::Fleet { routers: 17, rank: 3, alone: false };
         let due = (0..3_500).step_by(20).find(|now_ms| {
@@ -254,7 +255,7 @@
             if now_ms % 100 == 0 {
                 watch.confirm(store::Position::new(0, 5), now_ms / 50);
             }
-            watch.due(watch::Duty::Listener, fleet, *now_ms, &mut rng).is_some()
+            watch.due_poll(watch::Role::Listener, fleet, *now_ms, &mut rng).is_some()
         });
         // Overdue after 1,500 ms; 17 routers make 12 calls a second.
         assert!(due.is_some_and(|now_ms| now_ms <= 3_020), "seed {seed}: {due:?}");
--- a/src/control.rs
+++ b/src/control.rs
@@ -290,7 +290,7 @@
         context.spawn(done);
     }
 
-    fn ask_store(&mut self, call: watch::Call, context: &mut Context<Self>) {
+    fn ask_store(&mut self, call: watch::Poll, context: &mut Context<Self>) {
         let Some(feed) = self.feed.clone() else { return };
         let done = feed.ask(call).into_actor(self).map(move |outcome, control, context| {
             control.watches.remove(&(call.topic, call.number));
--- a/src/feed.rs
+++ b/src/feed.rs
@@ -28,7 +28,7 @@
     }
 
     /// Makes one call of the core.
-    pub async fn ask(self, call: watch::Call) -> watch::Outcome {
+    pub async fn ask(self, call: watch::Poll) -> watch::Outcome {
         let prefix = prefix(call.topic);
         let whole = call.after.is_none();
         let asked = Instant::now();
@@ -54,11 +54,11 @@
                     watch::Topic::Servers if whole => self.all_servers(&changes.changes),
                     watch::Topic::Servers => self.server_news(&changes.changes),
                 };
-                watch::Outcome::Answered { position, news }
+                watch::Outcome::Answered { position, update: news }
             }
             Err(store::Error::Forgotten) => {
                 log::info!("event=history_forgotten prefix={prefix}");
-                watch::Outcome::Forgotten
+                watch::Outcome::HistoryLost
             }
             Err(error) => {
                 log::info!(
@@ -68,15 +68,15 @@
                     logging::quoted(&error)
                 );
                 match error {
-                    store::Error::Status { .. } => watch::Outcome::Refused,
-                    store::Error::Restored => watch::Outcome::Forgotten,
-                    _ => watch::Outcome::Silent,
+                    store::Error::Status { .. } => watch::Outcome::Rejected,
+                    store::Error::Restored => watch::Outcome::HistoryLost,
+                    _ => watch::Outcome::NoAnswer,
                 }
             }
         }
     }
 
-    fn configuration_news(&self, changes: &[store::Change], whole: bool) -> watch::News {
+    fn configuration_news(&self, changes: &[store::Change], whole: bool) -> watch::Update {
         let evacuated = changes.iter().filter_map(|change| {
             let domain = configuration::evacuated_domain(&change.key)?.to_owned();
             let evacuated = change.content != store::Content::Gone;
@@ -90,7 +90,7 @@
         // One that cannot be read does not hide the one before it.
         let published = written.filter_map(|change| self.configuration(change)).next();
         let published = published.map(Box::new);
-        watch::News::Configuration(watch::ConfigurationNews { published, evacuations })
+        watch::Update::Configuration(watch::ConfigurationUpdate { published, evacuations })
     }
 
     fn configuration(&self, change: &store::Change) -> Option<config::Published> {
@@ -98,7 +98,7 @@
         decoded.inspect_err(|error| self.unreadable.report(change, error)).ok()
     }
 
-    fn all_servers(&self, items: &[store::Change]) -> watch::News {
+    fn all_servers(&self, items: &[store::Change]) -> watch::Update {
         let mut all = watch::AllServers::default();
         for item in items {
             match self.record(item) {
@@ -109,10 +109,10 @@
                 Err(_) => all.unreadable.extend(records::name(&item.key).map(str::to_owned)),
             }
         }
-        watch::News::AllServers(all)
+        watch::Update::AllServers(all)
     }
 
-    fn server_news(&self, changes: &[store::Change]) -> watch::News {
+    fn server_news(&self, changes: &[store::Change]) -> watch::Update {
         let changes = changes.iter().filter_map(|change| {
             let record = match change.content {
                 store::Content::Gone => watch::ServerRecord::Gone,
@@ -123,7 +123,7 @@
             let vm = records::name(&change.key)?.to_owned();
             Some(watch::ServerChange { vm, position: change.position, record })
         });
-        watch::News::Servers(changes.collect())
+        watch::Update::Servers(changes.collect())
     }
 
     fn record(&self, change: &store::Change) -> Result<servers::Vm, records::Error> {
