--- a/benches/capacity/messages.rs
+++ b/benches/capacity/messages.rs
@@ -35,13 +35,13 @@
     };
     let with_news = |items: usize| {
         let mut gossip = control::gossip(0);
-        gossip.news = (0..items).map(control::record).collect();
+        gossip.members = (0..items).map(control::record).collect();
         peers::encode(&gossip).len()
     };
     let transfer = message::Message::Transfer {
         number: 1_000,
         open_from: 900,
-        answers: 1_000,
+        in_reply_to: 1_000,
         budget: settlement.budget.clone(),
         tokens: 100_000,
     };
--- a/core/src/leavings.rs
+++ b/core/src/leavings.rs
@@ -90,11 +90,11 @@
     }
 
     /// What the next datagram tells.
-    pub fn take_news(&mut self) -> Vec<message::Leaving> {
+    pub fn take_news(&mut self) -> Vec<message::LeavingUpdate> {
         let vms = self.rotation.take(&mut self.known, String::len);
         let news = vms.into_iter().filter_map(|vm| {
             let Leaving { life, source, .. } = *self.known.get(&vm)?;
-            Some(message::Leaving { vm, life, source })
+            Some(message::LeavingUpdate { vm, life, source })
         });
         news.collect()
     }
--- a/core/src/message.rs
+++ b/core/src/message.rs
@@ -38,7 +38,7 @@
     /// The settlement of this attempt is in the log.
     SettleDurable(ids::AttemptId),
     /// Requests tokens that the receiver does not need now.
-    TransferAsk {
+    TransferRequest {
         /// The requester's number for the request; a retransmission has the same number.
         number: u64,
         /// The budget, as `workspace/budget`.
@@ -48,7 +48,7 @@
         /// The number of tokens that the requester lacks in total.
         wanted_tokens: u64,
         /// The requester's own record, so that a receiver without it can reply.
-        asker: members::Record,
+        requester: members::Record,
     },
     /// Transfers tokens to the receiver, which applies it once for each `(sender, number)`.
     Transfer {
@@ -57,14 +57,14 @@
         /// All lower numbers of the sender are acknowledged or abandoned and are not sent again.
         open_from: u64,
         /// The number of the receiver's request that this is the reply to; 0 if there is none.
-        answers: u64,
+        in_reply_to: u64,
         /// The budget, as `workspace/budget`.
         budget: String,
         /// The number of tokens transferred.
         tokens: u64,
     },
     /// The sender has applied a [`Message::Transfer`].
-    TransferTaken {
+    TransferApplied {
         /// The number of the transfer.
         number: u64,
     },
@@ -74,14 +74,14 @@
         number: u64,
     },
     /// The transfer request was received and is deferred until the sender has read the store.
-    TransferWait {
+    TransferDeferred {
         /// The number of the request.
         number: u64,
         /// The budget, as `workspace/budget`.
         budget: String,
     },
     /// The sender has no tokens to transfer.
-    TransferNone {
+    TransferUnavailable {
         /// The number of the request.
         number: u64,
         /// The budget, as `workspace/budget`.
@@ -90,13 +90,13 @@
         certain: bool,
     },
     /// Requests the configuration that is in force at the receiver.
-    ConfigAsk,
+    ConfigRequest,
     /// The configuration that is in force at the sender.
     Config {
         /// The version of the configuration.
         version: u64,
         /// The position and age of the sender's copy.
-        seen: Seen,
+        copy_state: CopyState,
         /// The evacuations at that position.
         evacuations: evacuation::Evacuations,
         /// The [`crate::config::Published`], encoded with `postcard` in a fifth of the size of its JSON, and forwarded
@@ -104,20 +104,20 @@
         value: Vec<u8>,
     },
     /// Requests the list of VMs, because the platform is unavailable or too many changes were missed.
-    VmsAsk,
+    VmsRequest,
     /// The sender's copy of the list of VMs.
     Vms {
         /// The position and age of the sender's copy; the position is the index of the list.
-        seen: Seen,
+        copy_state: CopyState,
         /// The listed VMs.
         vms: Vec<servers::Vm>,
     },
     /// Requests the receiver's list of live routers.
-    MembersAsk,
+    MembersRequest,
     /// The routers that the sender considers live.
     Members(Vec<members::Record>),
     /// Requests permits from the pacer of a limited server.
-    PermitAsk {
+    PermitRequest {
         /// The requester's number for the request.
         number: u64,
         /// The limit of the server as known to the requester.
@@ -125,8 +125,8 @@
         /// The permits that the requester can use.
         wanted: servers::PermitsWanted,
     },
-    /// The reply to [`Message::PermitAsk`].
-    Permits {
+    /// The reply to [`Message::PermitRequest`].
+    PermitReply {
         /// The number of the request.
         number: u64,
         /// The VM that runs the server.
@@ -156,12 +156,12 @@
     },
     /// The sender read a ledger shard in which an earlier incarnation at the receiver's address still holds grants.
     /// Only the present incarnation there can be certain that the earlier one has terminated.
-    LeftBehind {
+    StaleHolder {
         /// The number of the ledger shard.
         shard: u32,
     },
     /// Asks whether the receiver has recovered its part of ledger shards after a restore of the store.
-    RecoveryAsk {
+    RecoveryRequest {
         /// The store's era as known to the sender.
         era: u64,
         /// The numbers of the shards, each with the first era before which draws may be unknown.
@@ -169,7 +169,7 @@
         /// A digest of the addresses of the routers known to the sender.
         routers: u64,
     },
-    /// The reply to [`Message::RecoveryAsk`].
+    /// The reply to [`Message::RecoveryRequest`].
     RecoveryReply {
         /// The store's era as known to the sender.
         era: u64,
@@ -186,14 +186,14 @@
     pub fn by_datagram(&self) -> bool {
         matches!(
             self,
-            Self::TransferAsk { .. }
+            Self::TransferRequest { .. }
                 | Self::Transfer { .. }
-                | Self::TransferTaken { .. }
+                | Self::TransferApplied { .. }
                 | Self::TransferDeclined { .. }
-                | Self::TransferWait { .. }
-                | Self::TransferNone { .. }
-                | Self::PermitAsk { .. }
-                | Self::Permits { .. }
+                | Self::TransferDeferred { .. }
+                | Self::TransferUnavailable { .. }
+                | Self::PermitRequest { .. }
+                | Self::PermitReply { .. }
         )
     }
 }
@@ -204,7 +204,7 @@
     /// Its own part is not recovered yet.
     Nothing,
     /// Its own part; draws of an earlier incarnation at its address may be missing.
-    OwnLife,
+    OwnIncarnation,
     /// The parts of all incarnations at its address.
     All,
 }
@@ -219,9 +219,9 @@
     /// The sender's state of the store's contents.
     pub digest: Digest,
     /// Recently changed records of other routers.
-    pub news: Vec<members::Record>,
+    pub members: Vec<members::Record>,
     /// Updates on VMs whose backend server is leaving.
-    pub leaving: Vec<Leaving>,
+    pub leaving: Vec<LeavingUpdate>,
     /// Updates on requests that crash servers.
     pub quarantine: quarantine::News,
     /// Updates on the request limits that servers state.
@@ -241,7 +241,7 @@
 
 /// The position and age of a router's copy of a part of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct CopyState {
     /// The position in the store's history; [`store::Position::START`] if there is no copy.
     pub position: store::Position,
     /// How long before the message was sent the copy was last known to match the store, in milliseconds; `None` if it
@@ -257,11 +257,11 @@
     /// The configuration version in force.
     pub config_version: u64,
     /// The position and age of the copy of the configuration.
-    pub configuration: Seen,
+    pub configuration: CopyState,
     /// The evacuations known to the sender.
     pub evacuations: evacuation::Evacuations,
     /// The position and age of the copy of the list of VMs.
-    pub servers: Seen,
+    pub servers: CopyState,
     /// The position after which `changes` contains all changes of server records, up to the position of the copy.
     pub changes_after: store::Position,
     /// The latest changes of server records, oldest first.
@@ -281,7 +281,7 @@
 
 /// An update on a VM whose backend server is leaving.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Leaving {
+pub struct LeavingUpdate {
     /// The name of the VM.
     pub vm: String,
     /// The server incarnation that is leaving.
--- a/core/src/message/ages.rs
+++ b/core/src/message/ages.rs
@@ -1,6 +1,6 @@
 //! Adjusts the ages in a message, which are relative to its send time, for the time it was queued before being read.
 
-use super::{Digest, Gossip, Message, Seen};
+use super::{CopyState, Digest, Gossip, Message};
 
 impl Gossip {
     /// Increases all ages in the datagram by the time it was queued, in milliseconds.
@@ -15,8 +15,10 @@
     /// Increases all ages in the message by the time it was queued, in milliseconds.
     pub fn add_age_ms(&mut self, queued_ms: u64) {
         match self {
-            Self::Config { seen, .. } | Self::Vms { seen, .. } => seen.add_age_ms(queued_ms),
-            Self::PermitAsk { known, .. } => known.add_age_ms(queued_ms),
+            Self::Config { copy_state, .. } | Self::Vms { copy_state, .. } => {
+                copy_state.add_age_ms(queued_ms)
+            }
+            Self::PermitRequest { known, .. } => known.add_age_ms(queued_ms),
             _ => {}
         }
     }
@@ -29,7 +31,7 @@
     }
 }
 
-impl Seen {
+impl CopyState {
     fn add_age_ms(&mut self, queued_ms: u64) {
         self.age_ms = self.age_ms.map(|age_ms| age_ms.saturating_add(queued_ms));
     }
--- a/core/src/node/confirmations.rs
+++ b/core/src/node/confirmations.rs
@@ -56,7 +56,7 @@
         let routers = routers_digest(&self.router_addresses());
         for router in self.unconfirmed_routers(&shards) {
             let shards = shards.clone();
-            self.send(router, message::Message::RecoveryAsk { era, shards, routers });
+            self.send(router, message::Message::RecoveryRequest { era, shards, routers });
         }
         let others = self.other_router_addresses();
         let long = now_ms > self.confirmations.since_ms + SETTLE_MS;
@@ -159,7 +159,7 @@
             true if ran_long || ledger.read_before_ms(since_era).is_some() => {
                 message::Recovered::All
             }
-            true => message::Recovered::OwnLife,
+            true => message::Recovered::OwnIncarnation,
         }
     }
 
@@ -199,7 +199,7 @@
         self.confirmations.answers.entry(address.clone()).or_default().addresses = addresses;
         for (shard, recovered) in shards {
             let recovered = match recovered {
-                message::Recovered::OwnLife if self.knows_earlier_lives(*shard, from) => {
+                message::Recovered::OwnIncarnation if self.knows_earlier_lives(*shard, from) => {
                     message::Recovered::All
                 }
                 recovered => *recovered,
--- a/core/src/node/holders.rs
+++ b/core/src/node/holders.rs
@@ -223,12 +223,12 @@
         let account = self.grants.account(budget);
         let free_tokens = account.free_tokens();
         let ahead = account.rate_tokens_per_s().saturating_mul(AHEAD_MS) / 1_000;
-        let message = message::Message::TransferAsk {
+        let message = message::Message::TransferRequest {
             number,
             budget: account.name.clone(),
             needed_tokens: smallest.saturating_sub(free_tokens).max(1),
             wanted_tokens: all.saturating_add(ahead).saturating_sub(free_tokens).max(1),
-            asker: self.members.own().clone(),
+            requester: self.members.own().clone(),
         };
         self.send(holder, message);
     }
--- a/core/src/node/limits.rs
+++ b/core/src/node/limits.rs
@@ -284,7 +284,7 @@
         if let Some(known) = self.servers.limits_mut().limited_mut(slot) {
             known.share.ask(number, wanted, now_ms);
         }
-        self.send(router, message::Message::PermitAsk { number, known, wanted });
+        self.send(router, message::Message::PermitRequest { number, known, wanted });
         wanted.permits
     }
 
@@ -336,7 +336,7 @@
             None => servers::PermitsGranted::none(NOT_PACING_MS),
         };
         let trial = wanted.trial;
-        self.send(from, message::Message::Permits { number, vm, life, trial, granted });
+        self.send(from, message::Message::PermitReply { number, vm, life, trial, granted });
     }
 
     pub(super) fn take_permits(
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -29,34 +29,42 @@
             message::Message::Settle(settlement) => self.take_settlement(from, settlement, now_ms),
             message::Message::SettleStored(attempt) => self.settlement_safe(attempt),
             message::Message::SettleDurable(attempt) => self.settlement_durable(attempt),
-            message::Message::TransferAsk { ref asker, .. } => {
-                self.take_ask(asker.clone(), message, now_ms);
+            message::Message::TransferRequest { ref requester, .. } => {
+                self.take_ask(requester.clone(), message, now_ms);
             }
-            message::Message::Transfer { number, open_from, answers, budget, tokens } => {
+            message::Message::Transfer {
+                number,
+                open_from,
+                in_reply_to: answers,
+                budget,
+                tokens,
+            } => {
                 let seen = (from, number, open_from);
                 self.take_transfer(seen, answers, &budget, tokens, now_ms);
             }
-            message::Message::TransferTaken { number } => {
+            message::Message::TransferApplied { number } => {
                 self.outbox.transfers.remove(&number);
             }
             message::Message::TransferDeclined { number } => self.take_back(number),
-            message::Message::TransferWait { number, budget } => self.holder_waits(&budget, number),
-            message::Message::TransferNone { number, budget, certain } => {
+            message::Message::TransferDeferred { number, budget } => {
+                self.holder_waits(&budget, number)
+            }
+            message::Message::TransferUnavailable { number, budget, certain } => {
                 self.holder_has_none(&budget, number, certain, now_ms);
                 self.note_answer(from, &budget, now_ms);
             }
-            message::Message::ConfigAsk => self.send_config(from, now_ms),
-            message::Message::Config { seen, evacuations, value, .. } => {
+            message::Message::ConfigRequest => self.send_config(from, now_ms),
+            message::Message::Config { copy_state: seen, evacuations, value, .. } => {
                 self.take_config(from, seen, &evacuations, value, now_ms);
             }
-            message::Message::VmsAsk => self.send_vms(from, now_ms),
-            message::Message::Vms { seen, vms } => self.hear_vms(seen, vms, now_ms),
-            message::Message::MembersAsk => self.send_members(from),
+            message::Message::VmsRequest => self.send_vms(from, now_ms),
+            message::Message::Vms { copy_state: seen, vms } => self.hear_vms(seen, vms, now_ms),
+            message::Message::MembersRequest => self.send_members(from),
             message::Message::Members(records) => self.members.learn_all(records, now_ms),
-            message::Message::PermitAsk { number, known, wanted } => {
+            message::Message::PermitRequest { number, known, wanted } => {
                 self.take_permit_ask(from, number, known, wanted, now_ms);
             }
-            message::Message::Permits { number, vm, life, trial, granted } => {
+            message::Message::PermitReply { number, vm, life, trial, granted } => {
                 self.take_permits(number, &vm, life, trial, granted, now_ms);
             }
             message::Message::LedgerCopy { shard, position, value } => {
@@ -70,13 +78,13 @@
                 self.tick_waiting_budget(now_ms);
                 self.answer_questions(now_ms);
             }
-            message::Message::RecoveryAsk { era, shards, routers } => {
+            message::Message::RecoveryRequest { era, shards, routers } => {
                 self.take_recovery_ask(from, era, &shards, routers);
             }
             message::Message::RecoveryReply { era, shards, addresses } => {
                 self.take_recovery_reply(from, era, &shards, addresses);
             }
-            message::Message::LeftBehind { shard } => {
+            message::Message::StaleHolder { shard } => {
                 if let Some(ledger) = self.ledgers.get_mut(shard as usize) {
                     ledger.poke();
                 }
@@ -124,13 +132,13 @@
     /// Where the shell follows the platform: asks for what a peer knows better.
     fn ask_for_newer(&mut self, gossip: &message::Gossip, now_ms: u64) {
         if gossip.digest.config_version > self.config_version() {
-            self.send(gossip.from.id, message::Message::ConfigAsk);
+            self.send(gossip.from.id, message::Message::ConfigRequest);
         }
         let silent_ms = now_ms.saturating_sub(self.vms_heard_ms);
         let told = gossip.digest.servers.position;
         let newer = told > self.vms_index && self.accepts_era(told.era);
         if newer && silent_ms >= PLATFORM_SILENT_MS {
-            self.send(gossip.from.id, message::Message::VmsAsk);
+            self.send(gossip.from.id, message::Message::VmsRequest);
         }
     }
 
@@ -196,7 +204,7 @@
             from: self.members.own().clone(),
             kind,
             digest: self.digest(now_ms),
-            news,
+            members: news,
             leaving,
             quarantine: self.quarantine.table.news(answers, now_ms),
             limits: self.limit_news(now_ms),
@@ -227,7 +235,7 @@
 
     /// Answers a question for tokens: at once where every router holds the budget, or as its holder.
     fn take_ask(&mut self, asker: members::Record, ask: message::Message, now_ms: u64) {
-        let message::Message::TransferAsk { number, budget, wanted_tokens, .. } = &ask else {
+        let message::Message::TransferRequest { number, budget, wanted_tokens, .. } = &ask else {
             return;
         };
         let slot = self.grants.find(budget);
@@ -246,7 +254,7 @@
             Some(slot) => self.give(asker.id, slot, given, *number, now_ms),
             None => {
                 let (number, budget) = (*number, budget.clone());
-                let none = message::Message::TransferNone { number, budget, certain: false };
+                let none = message::Message::TransferUnavailable { number, budget, certain: false };
                 self.send(asker.id, none);
             }
         }
@@ -264,13 +272,13 @@
         let open = self.lifecycle == super::Lifecycle::Ready;
         match (self.outbox.earlier(from, number), slot.filter(|_| open)) {
             (outbox::Earlier::Applied, _) => {
-                self.send(from, message::Message::TransferTaken { number });
+                self.send(from, message::Message::TransferApplied { number });
             }
             (outbox::Earlier::New, Some(slot)) => {
                 self.outbox.note(from, number, open_from, true);
                 self.grants.account_mut(slot).received_tokens += tokens;
                 self.counters.transfers_received += 1;
-                self.send(from, message::Message::TransferTaken { number });
+                self.send(from, message::Message::TransferApplied { number });
                 self.holder_gave(slot, answers);
                 self.note_answer(from, budget, now_ms);
             }
--- a/core/src/node/platform.rs
+++ b/core/src/node/platform.rs
@@ -238,7 +238,7 @@
         let told: collections::BTreeSet<ids::Incarnation> =
             holders.iter().filter_map(successor).collect();
         for id in told {
-            self.send(id, message::Message::LeftBehind { shard });
+            self.send(id, message::Message::StaleHolder { shard });
         }
     }
 
--- a/core/src/node/questions.rs
+++ b/core/src/node/questions.rs
@@ -29,8 +29,9 @@
         question: message::Message,
         now_ms: u64,
     ) {
-        let message::Message::TransferAsk { number, budget, needed_tokens, wanted_tokens, .. } =
-            question
+        let message::Message::TransferRequest {
+            number, budget, needed_tokens, wanted_tokens, ..
+        } = question
         else {
             return;
         };
@@ -42,7 +43,7 @@
         }
         let ready = self.lifecycle == Lifecycle::Ready;
         let Some(slot) = self.grants.find(&budget).filter(|_| ready) else {
-            self.send(id, message::Message::TransferNone { number, budget, certain: false });
+            self.send(id, message::Message::TransferUnavailable { number, budget, certain: false });
             return;
         };
         let known = |it: &Question| it.asker == id && it.number == number;
@@ -58,7 +59,7 @@
         }
         self.answer_questions(now_ms);
         if self.holders.questions.iter().any(known) {
-            self.send(id, message::Message::TransferWait { number, budget });
+            self.send(id, message::Message::TransferDeferred { number, budget });
         }
     }
 
@@ -108,7 +109,10 @@
         if certain || away || waited || self.lifecycle != Lifecycle::Ready {
             let budget = self.grants.account(question.budget).name.clone();
             let number = question.number;
-            self.send(question.asker, message::Message::TransferNone { number, budget, certain });
+            self.send(
+                question.asker,
+                message::Message::TransferUnavailable { number, budget, certain },
+            );
             return;
         }
         self.holders.questions.push(question);
@@ -158,6 +162,9 @@
     pub(super) fn send_transfer(&mut self, number: u64, outgoing: outbox::Outgoing) {
         let outbox::Outgoing { to, budget, tokens, answers, .. } = outgoing;
         let open_from = self.outbox.open_from();
-        self.send(to, message::Message::Transfer { number, open_from, answers, budget, tokens });
+        self.send(
+            to,
+            message::Message::Transfer { number, open_from, in_reply_to: answers, budget, tokens },
+        );
     }
 }
--- a/core/src/node/relay.rs
+++ b/core/src/node/relay.rs
@@ -90,7 +90,7 @@
 impl Node {
     /// What this router knows of the store.
     pub(super) fn digest(&self, now_ms: u64) -> message::Digest {
-        let seen = |watched: &watch::Subscription| message::Seen {
+        let seen = |watched: &watch::Subscription| message::CopyState {
             position: watched.position(),
             age_ms: watched.age_ms(now_ms),
         };
@@ -101,7 +101,7 @@
             config_version: self.config_version(),
             configuration: configuration.unwrap_or_default(),
             evacuations: self.evacuations.clone(),
-            servers: message::Seen { position: self.vms_index, ..servers.unwrap_or_default() },
+            servers: message::CopyState { position: self.vms_index, ..servers.unwrap_or_default() },
             changes_after: self.relay.changes_after,
             changes: self.relay.changes.iter().map(|(_, change)| change.clone()).collect(),
             routers: self.members.live_count(),
@@ -144,11 +144,11 @@
         }
         if told > self.vms_index {
             if may_ask(&mut self.relay.asked_vms_ms, ASK_AGAIN_MS, now_ms) {
-                self.send(from, message::Message::VmsAsk);
+                self.send(from, message::Message::VmsRequest);
             }
             return;
         }
-        let seen = message::Seen { position: self.vms_index, ..digest.servers };
+        let seen = message::CopyState { position: self.vms_index, ..digest.servers };
         self.confirm(watch::Topic::Servers, seen, now_ms);
     }
 
@@ -165,7 +165,7 @@
         }
         if digest.config_version > self.config_version() {
             if may_ask(&mut self.relay.asked_config_ms, ASK_CONFIG_AGAIN_MS, now_ms) {
-                self.send(from, message::Message::ConfigAsk);
+                self.send(from, message::Message::ConfigRequest);
             }
             return;
         }
@@ -176,12 +176,12 @@
         }
         let same = digest.config_version == self.config_version();
         let position = if same { told } else { store::Position::START };
-        let seen = message::Seen { position, ..digest.configuration };
+        let seen = message::CopyState { position, ..digest.configuration };
         self.confirm(watch::Topic::Configuration, seen, now_ms);
     }
 
     /// Takes in that this router's copy held all that the store had, as a peer's does.
-    pub(super) fn confirm(&mut self, topic: watch::Topic, seen: message::Seen, now_ms: u64) {
+    pub(super) fn confirm(&mut self, topic: watch::Topic, seen: message::CopyState, now_ms: u64) {
         let passes_on = self.passes_on();
         let Some(watching) = &mut self.watching else { return };
         let watched = watching.topic(topic);
@@ -232,7 +232,7 @@
         let known = self.members.live_count();
         let more = routers > known + (known / MEMBERS_SLACK).max(1);
         if more && may_ask(&mut self.relay.asked_members_ms, MEMBERS_ASK_MS, now_ms) {
-            self.send(from, message::Message::MembersAsk);
+            self.send(from, message::Message::MembersRequest);
         }
     }
 
@@ -245,7 +245,7 @@
         let mut vms: Vec<_> = self.vms.values().cloned().collect();
         vms.sort_by(|one, other| one.vm.cmp(&other.vm));
         let seen = self.digest(now_ms).servers;
-        self.send(to, message::Message::Vms { seen, vms });
+        self.send(to, message::Message::Vms { copy_state: seen, vms });
     }
 
     pub(super) fn send_config(&mut self, to: ids::Incarnation, now_ms: u64) {
@@ -266,13 +266,13 @@
         self.relay.encoded = Some((version, value.clone()));
         let seen = self.digest(now_ms).configuration;
         let evacuations = self.evacuations.clone();
-        self.send(to, message::Message::Config { version, seen, evacuations, value });
+        self.send(to, message::Message::Config { version, copy_state: seen, evacuations, value });
     }
 
     pub(super) fn take_config(
         &mut self,
         from: ids::Incarnation,
-        seen: message::Seen,
+        seen: message::CopyState,
         evacuations: &evacuation::Evacuations,
         value: Vec<u8>,
         now_ms: u64,
@@ -302,7 +302,12 @@
     }
 
     /// Follows a peer's list of VMs, if it is newer than what is known here.
-    pub(super) fn hear_vms(&mut self, seen: message::Seen, vms: Vec<servers::Vm>, now_ms: u64) {
+    pub(super) fn hear_vms(
+        &mut self,
+        seen: message::CopyState,
+        vms: Vec<servers::Vm>,
+        now_ms: u64,
+    ) {
         self.relay.asked_vms_ms = None;
         if seen.position <= self.vms_index || !self.accepts_era(seen.position.era) {
             return;
--- a/core/src/node/said.rs
+++ b/core/src/node/said.rs
@@ -72,8 +72,12 @@
     }
 
     /// Takes in that a peer knows of a server that leaves.
-    pub(super) fn hear_leaving_of(&mut self, from: ids::Incarnation, leaving: &message::Leaving) {
-        let message::Leaving { vm, life, source } = leaving;
+    pub(super) fn hear_leaving_of(
+        &mut self,
+        from: ids::Incarnation,
+        leaving: &message::LeavingUpdate,
+    ) {
+        let message::LeavingUpdate { vm, life, source } = leaving;
         // A record that is not known here as live tells nothing new: the peer's list may be the older one.
         let live =
             |known: &servers::Vm| known.state == servers::VmState::Live && known.life == *life;
--- a/core/src/node/tokens.rs
+++ b/core/src/node/tokens.rs
@@ -139,12 +139,12 @@
         ask.unanswered = asked.iter().copied().collect();
         let asker = self.members.own().clone();
         for peer in asked {
-            let message = message::Message::TransferAsk {
+            let message = message::Message::TransferRequest {
                 number: 0,
                 budget: name.clone(),
                 needed_tokens: 1,
                 wanted_tokens: lacking,
-                asker: asker.clone(),
+                requester: asker.clone(),
             };
             self.send(peer, message);
         }
--- a/core/tests/arbitrary_messages.rs
+++ b/core/tests/arbitrary_messages.rs
@@ -64,8 +64,8 @@
         heard_age_ms: 20,
     };
     let messages = [
-        message::Message::PermitAsk { number: 1, known, wanted },
-        message::Message::Permits { number: 1, vm, life, trial: false, granted },
+        message::Message::PermitRequest { number: 1, known, wanted },
+        message::Message::PermitReply { number: 1, vm, life, trial: false, granted },
     ];
     let envelopes = messages.map(|message| message::Envelope { from: id(0), to: id(1), message });
     let datagrams = envelopes.map(message::Datagram::Message);
@@ -121,8 +121,8 @@
         life: ids::ServerLife(u64::arbitrary(g)),
         cold_ms: 0,
     };
-    let seen = message::Seen { position, age_ms: Some(0) };
-    message::Message::Vms { seen, vms: vec![vm] }
+    let seen = message::CopyState { position, age_ms: Some(0) };
+    message::Message::Vms { copy_state: seen, vms: vec![vm] }
 }
 
 #[test]
--- a/core/tests/digests.rs
+++ b/core/tests/digests.rs
@@ -11,8 +11,8 @@
 fn told(config_version: u64, position: store::Position) -> message::Digest {
     message::Digest {
         config_version,
-        configuration: message::Seen { position, age_ms: Some(0) },
-        servers: message::Seen { position, age_ms: Some(0) },
+        configuration: message::CopyState { position, age_ms: Some(0) },
+        servers: message::CopyState { position, age_ms: Some(0) },
         ..message::Digest::default()
     }
 }
@@ -52,7 +52,10 @@
     let asked = |actions: &[node::Action]| {
         let asks = actions.iter().filter(|action| {
             let node::Action::Send { envelope, .. } = action else { return false };
-            matches!(envelope.message, message::Message::VmsAsk | message::Message::ConfigAsk)
+            matches!(
+                envelope.message,
+                message::Message::VmsRequest | message::Message::ConfigRequest
+            )
         });
         asks.count()
     };
@@ -67,11 +70,11 @@
 fn a_peers_configuration_that_cannot_be_read_changes_nothing() {
     let mut fleet = settled(20, BOUNDS, 15);
     let known = fleet.routers[0].node.config_version();
-    let seen = message::Seen { position: store::Position::new(0, 1_000), age_ms: Some(0) };
+    let seen = message::CopyState { position: store::Position::new(0, 1_000), age_ms: Some(0) };
     for value in [Vec::new(), vec![0xff; 40], vec![9, 9]] {
         let message = message::Message::Config {
             version: known + 1,
-            seen,
+            copy_state: seen,
             evacuations: Default::default(),
             value,
         };
--- a/core/tests/limit_schedules.rs
+++ b/core/tests/limit_schedules.rs
@@ -519,7 +519,7 @@
         heard_age_ms: 50,
     };
     let wanted = servers::PermitsWanted { permits: 1, within_ms: 400, trial: false };
-    let message = message::Message::PermitAsk { number: 1, known, wanted };
+    let message = message::Message::PermitRequest { number: 1, known, wanted };
     let envelope = message::Envelope { from: id(asker), to: id(place), message };
     let now_ms = fleet.now_ms;
     let node = &mut fleet.routers[place].node;
@@ -527,7 +527,7 @@
     node.take_actions().iter().any(|action| match action {
         node::Action::Send { envelope, .. } => {
             let message = &envelope.message;
-            matches!(message, message::Message::Permits { granted, .. } if granted.permits > 0)
+            matches!(message, message::Message::PermitReply { granted, .. } if granted.permits > 0)
         }
         _ => false,
     })
@@ -651,7 +651,7 @@
         let actions = node.take_actions().into_iter();
         let asks = actions.filter_map(|action| match action {
             node::Action::Send { envelope, .. } => match envelope.message {
-                message::Message::PermitAsk { known, .. } => Some(known.vm),
+                message::Message::PermitRequest { known, .. } => Some(known.vm),
                 _ => None,
             },
             _ => None,
--- a/core/tests/node.rs
+++ b/core/tests/node.rs
@@ -200,7 +200,7 @@
 /// The list of VMs that a router tells a peer which asks.
 fn told_vms(world: &mut World) -> Vec<String> {
     let (from, to) = (world.routers[1].life, world.routers[0].life);
-    let ask = message::Envelope { from, to, message: message::Message::VmsAsk };
+    let ask = message::Envelope { from, to, message: message::Message::VmsRequest };
     let node = &mut world.routers[0].node;
     node.take_actions();
     node.message(ask, 100_000);
@@ -240,8 +240,8 @@
         from: world.routers[1].node.members().own().clone(),
         kind: message::GossipKind::Ack,
         digest: message::Digest::default(),
-        news: Vec::new(),
-        leaving: vec![message::Leaving {
+        members: Vec::new(),
+        leaving: vec![message::LeavingUpdate {
             vm: vm.to_owned(),
             life: Default::default(),
             source: leavings::Source::Record,
--- a/core/tests/restores.rs
+++ b/core/tests/restores.rs
@@ -174,7 +174,7 @@
     for _ in 0..20 {
         let era = 1 << 40;
         let position = store::Position::new(era, 1);
-        let seen = message::Seen { position, age_ms: Some(0) };
+        let seen = message::CopyState { position, age_ms: Some(0) };
         let digest =
             message::Digest { era, configuration: seen, servers: seen, ..Default::default() };
         fleet.gossip_from_unknown_peer(0, digest);
--- a/core/tests/transfers.rs
+++ b/core/tests/transfers.rs
@@ -78,7 +78,7 @@
         message: message::Message::Transfer {
             number,
             open_from: 1,
-            answers: 0,
+            in_reply_to: 0,
             budget: budget.clone(),
             tokens: GIVEN_TOKENS,
         },
--- a/core/tests/watch_fleet/mod.rs
+++ b/core/tests/watch_fleet/mod.rs
@@ -269,7 +269,7 @@
             from,
             kind: message::GossipKind::Push,
             digest,
-            news: Vec::new(),
+            members: Vec::new(),
             leaving: Vec::new(),
             quarantine: Default::default(),
             limits: Vec::new(),
--- a/core/tests/wire_format.rs
+++ b/core/tests/wire_format.rs
@@ -45,8 +45,8 @@
     }
 }
 
-fn seen() -> message::Seen {
-    message::Seen { position: store::Position::new(1, 2), age_ms: Some(3) }
+fn seen() -> message::CopyState {
+    message::CopyState { position: store::Position::new(1, 2), age_ms: Some(3) }
 }
 
 fn evacuations() -> evacuation::Evacuations {
@@ -111,8 +111,8 @@
             ],
             routers: 5,
         },
-        news: vec![member()],
-        leaving: vec![message::Leaving {
+        members: vec![member()],
+        leaving: vec![message::LeavingUpdate {
             vm: "a".to_owned(),
             life: ids::ServerLife(1),
             source: leavings::Source::Answer,
@@ -157,48 +157,48 @@
     settle_keeps_its_bytes: message::Message::Settle(settlement()) => "0101020201020304050106016301640701010161010162";
     settle_stored_keeps_its_bytes: message::Message::SettleStored(ids::AttemptId(1)) => "0101020301";
     settle_durable_keeps_its_bytes: message::Message::SettleDurable(ids::AttemptId(1)) => "0101020401";
-    transfer_ask_keeps_its_bytes: message::Message::TransferAsk {
+    transfer_ask_keeps_its_bytes: message::Message::TransferRequest {
         number: 1,
         budget: "a".to_owned(),
         needed_tokens: 2,
         wanted_tokens: 3,
-        asker: member(),
+        requester: member(),
     } => "010102050101610203010161016201630201";
     transfer_keeps_its_bytes: message::Message::Transfer {
         number: 1,
         open_from: 2,
-        answers: 3,
+        in_reply_to: 3,
         budget: "a".to_owned(),
         tokens: 4,
     } => "01010206010203016104";
-    transfer_taken_keeps_its_bytes: message::Message::TransferTaken { number: 1 } => "0101020701";
+    transfer_taken_keeps_its_bytes: message::Message::TransferApplied { number: 1 } => "0101020701";
     transfer_declined_keeps_its_bytes: message::Message::TransferDeclined { number: 1 } => "0101020801";
-    transfer_wait_keeps_its_bytes: message::Message::TransferWait {
+    transfer_wait_keeps_its_bytes: message::Message::TransferDeferred {
         number: 1,
         budget: "a".to_owned(),
     } => "01010209010161";
-    transfer_none_keeps_its_bytes: message::Message::TransferNone {
+    transfer_none_keeps_its_bytes: message::Message::TransferUnavailable {
         number: 1,
         budget: "a".to_owned(),
         certain: true,
     } => "0101020a01016101";
-    config_ask_keeps_its_bytes: message::Message::ConfigAsk => "0101020b";
+    config_ask_keeps_its_bytes: message::Message::ConfigRequest => "0101020b";
     config_keeps_its_bytes: message::Message::Config {
         version: 1,
-        seen: seen(),
+        copy_state: seen(),
         evacuations: evacuations(),
         value: vec![2, 3],
     } => "0101020c01010201030102010161020203";
-    vms_ask_keeps_its_bytes: message::Message::VmsAsk => "0101020d";
-    vms_keeps_its_bytes: message::Message::Vms { seen: seen(), vms: vec![vm()] } => "0101020e01020103010161016201630164016501010203";
-    members_ask_keeps_its_bytes: message::Message::MembersAsk => "0101020f";
+    vms_ask_keeps_its_bytes: message::Message::VmsRequest => "0101020d";
+    vms_keeps_its_bytes: message::Message::Vms { copy_state: seen(), vms: vec![vm()] } => "0101020e01020103010161016201630164016501010203";
+    members_ask_keeps_its_bytes: message::Message::MembersRequest => "0101020f";
     members_keeps_its_bytes: message::Message::Members(vec![member()]) => "0101021001010161016201630201";
-    permit_ask_keeps_its_bytes: message::Message::PermitAsk {
+    permit_ask_keeps_its_bytes: message::Message::PermitRequest {
         number: 1,
         known: limit(),
         wanted: servers::PermitsWanted { permits: 2, within_ms: 3, trial: true },
     } => "0101021101016101010203040506020301";
-    permits_keeps_its_bytes: message::Message::Permits {
+    permits_keeps_its_bytes: message::Message::PermitReply {
         number: 1,
         vm: "a".to_owned(),
         life: ids::ServerLife(2),
@@ -214,8 +214,8 @@
         shard: 1,
         write: 2,
     } => "010102140102";
-    left_behind_keeps_its_bytes: message::Message::LeftBehind { shard: 1 } => "0101021501";
-    recovery_ask_keeps_its_bytes: message::Message::RecoveryAsk {
+    left_behind_keeps_its_bytes: message::Message::StaleHolder { shard: 1 } => "0101021501";
+    recovery_ask_keeps_its_bytes: message::Message::RecoveryRequest {
         era: 1,
         shards: vec![(2, 3)],
         routers: 4,
@@ -224,7 +224,7 @@
         era: 1,
         shards: vec![
             (2, message::Recovered::Nothing),
-            (3, message::Recovered::OwnLife),
+            (3, message::Recovered::OwnIncarnation),
             (4, message::Recovered::All),
         ],
         addresses: vec!["a".to_owned()],
--- a/tests/peer_links.rs
+++ b/tests/peer_links.rs
@@ -56,7 +56,7 @@
         let envelope = message::Envelope {
             from: ids::Incarnation(1),
             to: ids::Incarnation(2),
-            message: message::Message::LeftBehind { shard: 0 },
+            message: message::Message::StaleHolder { shard: 0 },
         };
         from.send(to, envelope);
         actix_rt::time::sleep(Duration::from_millis(50)).await;
