--- a/benches/capacity/messages.rs
+++ b/benches/capacity/messages.rs
@@ -51,7 +51,7 @@
         ("claim", send(message::Message::Claim(claim))),
         (
             "claim reply",
-            send(message::Message::ClaimReply { claim, verdict: log_index::Verdict::Granted }),
+            send(message::Message::ClaimReply { claim, verdict: log_index::ClaimVerdict::Granted }),
         ),
         ("settlement", send(message::Message::Settle(settlement))),
         ("settlement stored", send(message::Message::SettleStored(claim.attempt))),
--- a/core/src/ledger_writer/replies.rs
+++ b/core/src/ledger_writer/replies.rs
@@ -29,7 +29,7 @@
             }
             State::Writing { call: expected, base_index, draft } if expected == call => match reply
             {
-                store::Reply::Overtaken { index, value } if self.overtaken < OVERTAKEN_MAX => {
+                store::Reply::ConflictWith { index, value } if self.overtaken < OVERTAKEN_MAX => {
                     self.overtaken += 1;
                     self.unsettled_index = self.unsettled_index.or(Some(base_index));
                     self.on_read(store::Reply::Found { index, value }, table, context, rng)
@@ -210,7 +210,7 @@
                 events
             }
             store::Reply::Conflict
-            | store::Reply::Overtaken { .. }
+            | store::Reply::ConflictWith { .. }
             | store::Reply::Undecodable { .. } => {
                 self.overtaken = 0;
                 // This write lost; an earlier one with no reply may be what it lost to.
--- a/core/src/log_index.rs
+++ b/core/src/log_index.rs
@@ -5,7 +5,7 @@
 
 mod entries;
 
-pub use entries::{Claim, Entry, IdState, Outcome, Settlement, Totals, Verdict};
+pub use entries::{Claim, ClaimVerdict, Entry, IdState, Outcome, Settlement, Totals};
 
 use crate::ids;
 use serde::{Deserialize, Serialize};
@@ -13,7 +13,7 @@
 use std::collections;
 
 /// How long an id is kept in the index, in seconds by the clocks of the log's writers.
-pub const REMEMBER_S: u64 = 24 * 3600;
+pub const ID_RETENTION_S: u64 = 24 * 3600;
 /// How long the settlement numbers of a router without new settlements are kept, in seconds.
 const ORIGIN_RETENTION_S: u64 = 7 * 24 * 3600;
 /// The number of latest released attempts that are kept.
@@ -237,18 +237,18 @@
     }
 
     /// Returns the verdict on a claim; `None` if its id is not in the index.
-    pub fn verdict(&self, claim: &Claim) -> Option<Verdict> {
+    pub fn claim_verdict(&self, claim: &Claim) -> Option<ClaimVerdict> {
         if self.released.contains(&claim.attempt) {
-            return Some(Verdict::Taken);
+            return Some(ClaimVerdict::Taken);
         }
         let verdict = match self.find(claim.key)? {
-            IdState::Claimed(known) if known.attempt == claim.attempt => Verdict::Granted,
-            IdState::Claimed(known) if known.body_hash != claim.body_hash => Verdict::Conflict,
-            IdState::Claimed(_) => Verdict::Taken,
+            IdState::Claimed(known) if known.attempt == claim.attempt => ClaimVerdict::Granted,
+            IdState::Claimed(known) if known.body_hash != claim.body_hash => ClaimVerdict::Conflict,
+            IdState::Claimed(_) => ClaimVerdict::Taken,
             IdState::Settled { body_hash, .. } if *body_hash != claim.body_hash => {
-                Verdict::Conflict
+                ClaimVerdict::Conflict
             }
-            IdState::Settled { outcome, .. } => Verdict::Done(outcome.clone()),
+            IdState::Settled { outcome, .. } => ClaimVerdict::Done(outcome.clone()),
         };
         Some(verdict)
     }
@@ -273,7 +273,7 @@
     fn expire_old(&mut self) {
         let clock_s = self.clock_s;
         while let Some((seen_s, key)) = self.order.front().copied() {
-            if seen_s + REMEMBER_S > clock_s {
+            if seen_s + ID_RETENTION_S > clock_s {
                 break;
             }
             self.order.pop_front();
--- a/core/src/log_index/entries.rs
+++ b/core/src/log_index/entries.rs
@@ -121,7 +121,7 @@
 
 /// The log's decision on a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum ClaimVerdict {
     /// Only this attempt may run the request.
     Granted,
     /// Another attempt has claimed the request and not ended, or this attempt was released.
--- a/core/src/log_writer.rs
+++ b/core/src/log_writer.rs
@@ -36,20 +36,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Urgency {
     /// A caller waits for it.
-    Waited,
+    Immediate,
     /// It may be delayed and written with others, because another router has it as well.
-    Gather,
+    Batched,
 }
 
 /// An entry that became durable, or a claim that the log already decides.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Done {
+pub struct Completed {
     /// The entry that was to be appended.
     pub entry: log_index::Entry,
     /// The recipient of this report.
     pub waiter: Waiter,
     /// For a claim, whether its request may run.
-    pub verdict: Option<log_index::Verdict>,
+    pub verdict: Option<log_index::ClaimVerdict>,
 }
 
 #[derive(Debug)]
@@ -160,18 +160,18 @@
         waiter: Waiter,
         urgency: Urgency,
         now_ms: u64,
-    ) -> Option<Done> {
+    ) -> Option<Completed> {
         match self.completed(&entry, waiter) {
             // The attempt with the claim may have ended since the last read: read further before reporting it.
-            Some(done) if done.verdict == Some(log_index::Verdict::Taken) => {
+            Some(done) if done.verdict == Some(log_index::ClaimVerdict::Taken) => {
                 self.read_state = ReadState::Behind;
             }
             Some(done) => return Some(done),
             None => {}
         }
         let due_ms = match urgency {
-            Urgency::Waited => now_ms,
-            Urgency::Gather => now_ms + BATCH_DELAY_MS,
+            Urgency::Immediate => now_ms,
+            Urgency::Batched => now_ms + BATCH_DELAY_MS,
         };
         let mut same = self.pending.iter_mut().filter(|other| other.waiter == waiter);
         match same.find(|other| other.entry == entry) {
@@ -182,7 +182,7 @@
     }
 
     /// Discards the pending claim of a request that no longer waits for it. The claim may already be in the log.
-    pub fn forget(&mut self, slot: ids::RequestSlot) {
+    pub fn withdraw_claim(&mut self, slot: ids::RequestSlot) {
         self.pending.retain(|pending| pending.waiter != Waiter::Local(slot));
     }
 
--- a/core/src/log_writer/replies.rs
+++ b/core/src/log_writer/replies.rs
@@ -1,6 +1,6 @@
 //! Processes the store's replies to a writer's calls.
 
-use super::{Done, ReadState, State, Waiter, Writer};
+use super::{Completed, ReadState, State, Waiter, Writer};
 use crate::{ids, log_index, store};
 use rand::rngs;
 
@@ -12,7 +12,7 @@
         reply: store::Reply,
         now_ms: u64,
         rng: &mut rngs::StdRng,
-    ) -> Vec<Done> {
+    ) -> Vec<Completed> {
         match std::mem::replace(&mut self.state, State::Idle) {
             State::LoadingCheckpoint(expected) if expected == call => {
                 self.handle_loaded(reply, now_ms, rng)
@@ -105,7 +105,7 @@
         reply: store::Reply,
         now_ms: u64,
         rng: &mut rngs::StdRng,
-    ) -> Vec<Done> {
+    ) -> Vec<Completed> {
         let (index, upto) = match reply {
             store::Reply::Found { index, value } => match log_index::Checkpoint::decode(&value) {
                 Ok(checkpoint) => (index, checkpoint.upto),
@@ -186,7 +186,7 @@
     }
 
     /// Removes and returns the pending entries that the verified log contains or decides.
-    fn take_completed(&mut self) -> Vec<Done> {
+    fn take_completed(&mut self) -> Vec<Completed> {
         let mut done = Vec::new();
         let pending = std::mem::take(&mut self.pending);
         for awaited in pending {
@@ -198,15 +198,15 @@
         done
     }
 
-    pub(super) fn completed(&self, entry: &log_index::Entry, waiter: Waiter) -> Option<Done> {
+    pub(super) fn completed(&self, entry: &log_index::Entry, waiter: Waiter) -> Option<Completed> {
         if self.read_state != ReadState::Verified {
             return None;
         }
         let verdict = match entry {
-            log_index::Entry::Claim(claim) => Some(self.index.verdict(claim)?),
+            log_index::Entry::Claim(claim) => Some(self.index.claim_verdict(claim)?),
             other if !self.index.contains(other) => return None,
             _ => None,
         };
-        Some(Done { entry: entry.clone(), waiter, verdict })
+        Some(Completed { entry: entry.clone(), waiter, verdict })
     }
 }
--- a/core/src/members.rs
+++ b/core/src/members.rs
@@ -141,17 +141,17 @@
     }
 
     /// Returns when the latest new member was added.
-    pub fn met_ms(&self) -> u64 {
+    pub fn last_added_ms(&self) -> u64 {
         self.last_added_ms
     }
 
     /// Returns whether this router, when it has just started, can request its initial state from a seed.
-    pub fn asks_seeds(&self) -> bool {
+    pub fn can_join_from_seeds(&self) -> bool {
         !self.is_seed && !self.seeds.is_empty()
     }
 
     /// Merges the records that another member considers live.
-    pub fn learn_all(&mut self, records: Vec<Record>, now_ms: u64) {
+    pub fn merge_all(&mut self, records: Vec<Record>, now_ms: u64) {
         for record in records {
             let id = record.id;
             let known = self.members.contains_key(&id);
@@ -174,7 +174,7 @@
     }
 
     /// Returns when this router added a member; `None` if it is unknown.
-    pub fn first_heard_ms(&self, id: ids::Incarnation) -> Option<u64> {
+    pub fn added_ms(&self, id: ids::Incarnation) -> Option<u64> {
         self.members.get(&id).map(|member| member.added_ms)
     }
 
@@ -222,7 +222,7 @@
     }
 
     /// Handles a datagram that was received directly from a member.
-    pub fn heard(&mut self, gossip: &message::Gossip, now_ms: u64) {
+    pub fn handle_gossip(&mut self, gossip: &message::Gossip, now_ms: u64) {
         let mut direct = gossip.from.clone();
         if direct.health != Health::Left {
             direct.health = Health::Alive;
@@ -237,14 +237,14 @@
     }
 
     /// Merges the record that a member sent of itself.
-    pub fn meet(&mut self, record: Record, now_ms: u64) {
+    pub fn merge_self_reported(&mut self, record: Record, now_ms: u64) {
         if record.id != self.own.id {
             self.merge_direct(record, now_ms);
         }
     }
 
     /// Returns the records to add to a datagram, those that were sent the fewest times first.
-    pub fn news(&mut self) -> Vec<Record> {
+    pub fn take_updates(&mut self) -> Vec<Record> {
         let mut queued: Vec<&mut Member> =
             self.members.values_mut().filter(|member| member.sends_left > 0).collect();
         queued.sort_by_key(|member| std::cmp::Reverse(member.sends_left));
--- a/core/src/message.rs
+++ b/core/src/message.rs
@@ -29,7 +29,7 @@
         /// The claim that was requested.
         claim: log_index::Claim,
         /// Whether the request may run.
-        verdict: log_index::Verdict,
+        verdict: log_index::ClaimVerdict,
     },
     /// Hands over a settlement: the receiver makes it durable even if the sender fails.
     Settle(log_index::Settlement),
--- a/core/src/node/admit.rs
+++ b/core/src/node/admit.rs
@@ -72,18 +72,18 @@
     pub(super) fn claim_decided(
         &mut self,
         claim: &log_index::Claim,
-        verdict: log_index::Verdict,
+        verdict: log_index::ClaimVerdict,
         now_ms: u64,
     ) {
         let Some(slot) = self.by_attempt.get(&claim.attempt).copied() else { return };
         let Some(request) = self.requests.get_mut(slot) else { return };
         let Stage::WaitingClaim { taken_ms, .. } = &mut request.stage else { return };
         match verdict {
-            log_index::Verdict::Granted => self.dispatch(slot, now_ms),
+            log_index::ClaimVerdict::Granted => self.dispatch(slot, now_ms),
             // Another attempt is at it: its outcome is this caller's answer too.
-            log_index::Verdict::Taken => *taken_ms = Some(now_ms),
-            log_index::Verdict::Conflict => self.refuse(slot, Reason::IdConflict, now_ms),
-            log_index::Verdict::Done(outcome) => {
+            log_index::ClaimVerdict::Taken => *taken_ms = Some(now_ms),
+            log_index::ClaimVerdict::Conflict => self.refuse(slot, Reason::IdConflict, now_ms),
+            log_index::ClaimVerdict::Done(outcome) => {
                 self.counters.replayed += 1;
                 self.end_unsent(slot, Answer::Replay(outcome), now_ms);
             }
@@ -199,7 +199,7 @@
             *taken_ms = taken_ms.map(|_| now_ms);
         }
         let (entry, waiter) = (log_index::Entry::Claim(claim), log_writer::Waiter::Local(slot));
-        self.append(entry, waiter, log_writer::Urgency::Waited, now_ms);
+        self.append(entry, waiter, log_writer::Urgency::Immediate, now_ms);
     }
 
     fn claim_of(&self, slot: ids::RequestSlot) -> Option<log_index::Claim> {
@@ -292,11 +292,11 @@
     ) {
         let shard = key.shard(self.logs.len() as u32) as usize;
         if let Some(log) = self.logs.get_mut(shard) {
-            log.forget(slot);
+            log.withdraw_claim(slot);
         }
         let release = log_index::Entry::Release { key, attempt };
         let waiter = log_writer::Waiter::Outbox;
-        self.append(release, waiter, log_writer::Urgency::Gather, now_ms);
+        self.append(release, waiter, log_writer::Urgency::Batched, now_ms);
     }
 
     pub(super) fn retry_after_ms(
--- a/core/src/node/confirmations.rs
+++ b/core/src/node/confirmations.rs
@@ -214,7 +214,7 @@
     /// Whether this router read the shard, before draws may be unknown, after it heard of a life: then it knows all that
     /// earlier lives at that address drew.
     fn knows_earlier_lives(&self, shard: u32, life: ids::Incarnation) -> bool {
-        let heard_ms = self.members.first_heard_ms(life);
+        let heard_ms = self.members.added_ms(life);
         let ledger = self.ledgers.get(shard as usize);
         let read_ms = ledger.and_then(|ledger| {
             ledger.read_before_ms(ledger.unconfirmed_since_era(self.store_era())?)
--- a/core/src/node/dump.rs
+++ b/core/src/node/dump.rs
@@ -27,7 +27,7 @@
             "limited_servers": self.dump_limits(now_ms),
             "members": self.members.records().collect::<Vec<_>>(),
             "requests": self.dump_requests(now_ms),
-            "unsettled": self.outbox.unsettled.len(),
+            "unsettled": self.outbox.settlements.len(),
             "transfers_unacknowledged": self.outbox.transfers.len(),
             "ledger_shards": self.dump_ledgers(),
             "log_shards": self.dump_logs(),
--- a/core/src/node/holders.rs
+++ b/core/src/node/holders.rs
@@ -126,7 +126,7 @@
     /// Whether this router has had the time to hear who else there is.
     fn view_settled(&self, now_ms: u64) -> bool {
         let met = self.members.live().next().is_some();
-        let settled = met && now_ms >= self.members.met_ms() + VIEW_SETTLED_MS;
+        let settled = met && now_ms >= self.members.last_added_ms() + VIEW_SETTLED_MS;
         settled || now_ms >= self.started_ms + SETTLE_MS
     }
 
--- a/core/src/node/lifecycle.rs
+++ b/core/src/node/lifecycle.rs
@@ -28,7 +28,7 @@
             return;
         }
         let idle = self.requests.is_empty()
-            && self.outbox.unsettled.is_empty()
+            && self.outbox.settlements.is_empty()
             && self.outbox.transfers.is_empty()
             && self.logs.iter().all(|log| log.pending() == 0)
             && self.ledgers.iter().all(|ledger| !ledger.busy())
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -21,7 +21,7 @@
             message::Message::Claim(claim) => {
                 let entry = log_index::Entry::Claim(claim);
                 let waiter = log_writer::Waiter::Peer(from);
-                self.append(entry, waiter, log_writer::Urgency::Waited, now_ms);
+                self.append(entry, waiter, log_writer::Urgency::Immediate, now_ms);
             }
             message::Message::ClaimReply { claim, verdict } => {
                 self.claim_decided(&claim, verdict, now_ms);
@@ -60,7 +60,7 @@
             message::Message::VmsRequest => self.send_vms(from, now_ms),
             message::Message::Vms { copy_state: seen, vms } => self.hear_vms(seen, vms, now_ms),
             message::Message::MembersRequest => self.send_members(from),
-            message::Message::Members(records) => self.members.learn_all(records, now_ms),
+            message::Message::Members(records) => self.members.merge_all(records, now_ms),
             message::Message::PermitRequest { number, known, wanted } => {
                 self.take_permit_ask(from, number, known, wanted, now_ms);
             }
@@ -105,7 +105,7 @@
     }
 
     fn take_gossip(&mut self, gossip: &message::Gossip, now_ms: u64) {
-        self.members.heard(gossip, now_ms);
+        self.members.handle_gossip(gossip, now_ms);
         let differs = self.hear_quarantine(&gossip.quarantine, now_ms);
         self.hear_limits(&gossip.limits, now_ms);
         for leaving in &gossip.leaving {
@@ -116,7 +116,7 @@
             None => self.ask_for_newer(gossip, now_ms),
         }
         if gossip.kind == message::GossipKind::Ping {
-            let mut news = self.members.news();
+            let mut news = self.members.take_updates();
             if news.is_empty() {
                 news = self.members.sample(&mut self.rng);
             }
@@ -144,7 +144,7 @@
 
     pub(super) fn tick_members(&mut self, now_ms: u64) {
         if let Some(probe) = self.members.tick(now_ms, &mut self.rng) {
-            let news = self.members.news();
+            let news = self.members.take_updates();
             self.push_gossip(probe.address, message::GossipKind::Ping, news, now_ms);
         }
     }
@@ -158,7 +158,7 @@
     }
 
     pub(super) fn tick_transfers(&mut self, now_ms: u64) {
-        let due: Vec<(u64, outbox::Outgoing)> = self
+        let due: Vec<(u64, outbox::OutgoingTransfer)> = self
             .outbox
             .transfers
             .iter()
@@ -171,7 +171,7 @@
                 .find(outgoing.to)
                 .is_none_or(|record| record.health > crate::members::Health::Suspect);
             let stopping = self.lifecycle == super::Lifecycle::Stopping;
-            if gone && (stopping || outgoing.given_up(now_ms)) {
+            if gone && (stopping || outgoing.is_expired(now_ms)) {
                 // Nobody can tell whether it was applied; it stays counted as sent.
                 self.outbox.transfers.remove(&number);
                 continue;
@@ -226,8 +226,8 @@
         self.send(from, message::Message::SettleStored(attempt));
         // Callers that repeat an unrepeatable request wait for its recorded outcome.
         let urgency = match settlement.outcome.is_some() {
-            true => log_writer::Urgency::Waited,
-            false => log_writer::Urgency::Gather,
+            true => log_writer::Urgency::Immediate,
+            false => log_writer::Urgency::Batched,
         };
         let entry = log_index::Entry::Settle(settlement);
         self.append(entry, log_writer::Waiter::Peer(from), urgency, now_ms);
@@ -270,21 +270,21 @@
     ) {
         let slot = self.grants.find(budget);
         let open = self.lifecycle == super::Lifecycle::Ready;
-        match (self.outbox.earlier(from, number), slot.filter(|_| open)) {
-            (outbox::Earlier::Applied, _) => {
+        match (self.outbox.transfer_status(from, number), slot.filter(|_| open)) {
+            (outbox::TransferStatus::Applied, _) => {
                 self.send(from, message::Message::TransferApplied { number });
             }
-            (outbox::Earlier::New, Some(slot)) => {
-                self.outbox.note(from, number, open_from, true);
+            (outbox::TransferStatus::New, Some(slot)) => {
+                self.outbox.record_transfer(from, number, open_from, true);
                 self.grants.account_mut(slot).received_tokens += tokens;
                 self.counters.transfers_received += 1;
                 self.send(from, message::Message::TransferApplied { number });
                 self.holder_gave(slot, answers);
                 self.note_answer(from, budget, now_ms);
             }
-            (outbox::Earlier::Declined, _) | (outbox::Earlier::New, None) => {
+            (outbox::TransferStatus::Declined, _) | (outbox::TransferStatus::New, None) => {
                 // Remembered, so that a copy that comes later is not applied after all.
-                self.outbox.note(from, number, open_from, false);
+                self.outbox.record_transfer(from, number, open_from, false);
                 self.send(from, message::Message::TransferDeclined { number });
             }
         }
--- a/core/src/node/platform.rs
+++ b/core/src/node/platform.rs
@@ -46,7 +46,7 @@
                 self.counters.platform_unknown += 1;
                 self.count_call(answered.counted_as(), CallOutcome::Silent);
             }
-            store::Reply::Conflict | store::Reply::Overtaken { .. } => {
+            store::Reply::Conflict | store::Reply::ConflictWith { .. } => {
                 self.counters.platform_conflicts += 1;
                 self.count_call(answered.counted_as(), CallOutcome::Overtaken);
             }
@@ -250,7 +250,7 @@
     }
 
     fn log_reply(&mut self, shard: usize, call: ids::CallId, reply: store::Reply, now_ms: u64) {
-        let done = self.logs[shard].reply(call, reply.plain(), now_ms, &mut self.rng);
+        let done = self.logs[shard].reply(call, reply.without_details(), now_ms, &mut self.rng);
         for item in done {
             self.log_done(item, now_ms);
         }
--- a/core/src/node/questions.rs
+++ b/core/src/node/questions.rs
@@ -36,8 +36,8 @@
             return;
         };
         let id = asker.id;
-        self.members.meet(asker, now_ms);
-        if let Some((transfer, outgoing)) = self.outbox.answer_to(id, number) {
+        self.members.merge_self_reported(asker, now_ms);
+        if let Some((transfer, outgoing)) = self.outbox.reply_to(id, number) {
             self.send_transfer(transfer, outgoing);
             return;
         }
@@ -153,14 +153,20 @@
         account.sent_tokens += tokens;
         let budget = account.name.clone();
         self.counters.transfers_sent += 1;
-        let outgoing =
-            outbox::Outgoing { to, budget, tokens, answers, since_ms: now_ms, sent_ms: now_ms };
+        let outgoing = outbox::OutgoingTransfer {
+            to,
+            budget,
+            tokens,
+            in_reply_to: answers,
+            since_ms: now_ms,
+            sent_ms: now_ms,
+        };
         let number = self.outbox.add_transfer(outgoing.clone());
         self.send_transfer(number, outgoing);
     }
 
-    pub(super) fn send_transfer(&mut self, number: u64, outgoing: outbox::Outgoing) {
-        let outbox::Outgoing { to, budget, tokens, answers, .. } = outgoing;
+    pub(super) fn send_transfer(&mut self, number: u64, outgoing: outbox::OutgoingTransfer) {
+        let outbox::OutgoingTransfer { to, budget, tokens, in_reply_to: answers, .. } = outgoing;
         let open_from = self.outbox.open_from();
         self.send(
             to,
--- a/core/src/node/relay.rs
+++ b/core/src/node/relay.rs
@@ -223,7 +223,7 @@
         let mut chosen: Vec<String> = chosen.map(|record| record.address.clone()).collect();
         chosen.extend(suspected.choose(&mut self.rng).map(|record| record.address.clone()));
         for address in chosen {
-            let news = self.members.news();
+            let news = self.members.take_updates();
             self.push_gossip(address, message::GossipKind::Push, news, now_ms);
         }
     }
--- a/core/src/node/settle.rs
+++ b/core/src/node/settle.rs
@@ -63,12 +63,12 @@
     pub(super) fn tick_settlements(&mut self, now_ms: u64) {
         let mut due = Vec::new();
         let mut impatient = Vec::new();
-        for (attempt, unsettled) in &self.outbox.unsettled {
+        for (attempt, unsettled) in &self.outbox.settlements {
             if unsettled.due(now_ms) {
                 due.push(*attempt);
             }
             let waited_ms = now_ms.saturating_sub(unsettled.since_ms);
-            if unsettled.waiting.is_some() && waited_ms >= self.settings.handover_wait_ms {
+            if unsettled.waiting_request.is_some() && waited_ms >= self.settings.handover_wait_ms {
                 impatient.push(*attempt);
             }
         }
@@ -82,7 +82,7 @@
 
     /// Another router, or the log, has the settlement: the last chunk may go.
     pub(super) fn settlement_safe(&mut self, attempt: ids::AttemptId) {
-        if let Some(unsettled) = self.outbox.unsettled.get_mut(&attempt) {
+        if let Some(unsettled) = self.outbox.settlements.get_mut(&attempt) {
             unsettled.safe = true;
         }
         self.close_answer(attempt);
@@ -91,7 +91,7 @@
     /// The settlement is in the log.
     pub(super) fn settlement_durable(&mut self, attempt: ids::AttemptId) {
         self.settlement_safe(attempt);
-        self.outbox.unsettled.remove(&attempt);
+        self.outbox.settlements.remove(&attempt);
     }
 
     /// Appends an entry to its shard of the log.
@@ -110,7 +110,7 @@
     }
 
     /// Tells whoever waits that an entry is durable.
-    pub(super) fn log_done(&mut self, done: log_writer::Done, now_ms: u64) {
+    pub(super) fn log_done(&mut self, done: log_writer::Completed, now_ms: u64) {
         match (done.waiter, done.entry, done.verdict) {
             (log_writer::Waiter::Local(_), log_index::Entry::Claim(claim), Some(verdict)) => {
                 self.claim_decided(&claim, verdict, now_ms);
@@ -211,27 +211,27 @@
             outcome,
         };
         self.counters.settled += 1;
-        let unsettled = outbox::Unsettled {
+        let unsettled = outbox::PendingSettlement {
             settlement,
-            waiting: Some(slot),
+            waiting_request: Some(slot),
             tries: 0,
             safe: false,
             sent_ms: now_ms,
             since_ms: now_ms,
         };
-        self.outbox.unsettled.insert(attempt, unsettled);
+        self.outbox.settlements.insert(attempt, unsettled);
         self.hand_over(attempt, now_ms);
     }
 
     /// Sends a settlement to another router, each time to the next one, until one has it. When that
     /// does not work at once, this router appends it itself as well.
     fn hand_over(&mut self, attempt: ids::AttemptId, now_ms: u64) {
-        let Some(unsettled) = self.outbox.unsettled.get(&attempt) else { return };
+        let Some(unsettled) = self.outbox.settlements.get(&attempt) else { return };
         let settlement = unsettled.settlement.clone();
         let (tries, safe) = (unsettled.tries, unsettled.safe);
         let late = now_ms.saturating_sub(unsettled.since_ms) >= APPEND_OWN_MS;
         let committer = self.committer(settlement.key, if safe { 0 } else { tries });
-        if let Some(unsettled) = self.outbox.unsettled.get_mut(&attempt) {
+        if let Some(unsettled) = self.outbox.settlements.get_mut(&attempt) {
             unsettled.sent_ms = now_ms;
             unsettled.tries += 1;
         }
@@ -242,8 +242,8 @@
         if committer.is_none() || helpless || late {
             let entry = log_index::Entry::Settle(settlement);
             let urgency = match safe {
-                true => log_writer::Urgency::Gather,
-                false => log_writer::Urgency::Waited,
+                true => log_writer::Urgency::Batched,
+                false => log_writer::Urgency::Immediate,
             };
             self.append(entry, log_writer::Waiter::Outbox, urgency, now_ms);
         }
@@ -268,8 +268,8 @@
     }
 
     fn close_answer(&mut self, attempt: ids::AttemptId) {
-        let Some(unsettled) = self.outbox.unsettled.get_mut(&attempt) else { return };
-        let Some(slot) = unsettled.waiting.take() else { return };
+        let Some(unsettled) = self.outbox.settlements.get_mut(&attempt) else { return };
+        let Some(slot) = unsettled.waiting_request.take() else { return };
         let safe = unsettled.safe;
         if !safe {
             self.counters.closed_unsafe += 1;
--- a/core/src/node/watching.rs
+++ b/core/src/node/watching.rs
@@ -334,7 +334,7 @@
         let routers = self.members.live_count() as usize;
         if routers == 1 {
             let waits = now_ms < self.started_ms + JOIN_MS && !watching.knows_all();
-            return match waits && self.members.asks_seeds() {
+            return match waits && self.members.can_join_from_seeds() {
                 true => watch::Role::Joining,
                 false => watch::Role::EveryRouter,
             };
--- a/core/src/outbox.rs
+++ b/core/src/outbox.rs
@@ -11,15 +11,15 @@
 /// abandoned.
 const TRANSFER_TIMEOUT_MS: u64 = 30_000;
 /// How long a router may take to acknowledge a settlement before it is also sent to the next one.
-pub const HAND_ON_MS: u64 = 150;
+pub const SETTLEMENT_TIMEOUT_MS: u64 = 150;
 
 /// A settlement that is not in the log yet.
 #[derive(Clone, Debug)]
-pub struct Unsettled {
+pub struct PendingSettlement {
     /// The settlement to append.
     pub settlement: log_index::Settlement,
     /// The request whose last chunk is withheld until the settlement is safe.
-    pub waiting: Option<ids::RequestSlot>,
+    pub waiting_request: Option<ids::RequestSlot>,
     /// How often the settlement was handed over.
     pub tries: usize,
     /// Whether another router or the log has the settlement.
@@ -30,17 +30,17 @@
     pub since_ms: u64,
 }
 
-impl Unsettled {
+impl PendingSettlement {
     /// Returns whether the settlement is due to be handed over, for the first time or again.
     pub fn due(&self, now_ms: u64) -> bool {
-        let delay_ms = if self.safe { RESEND_MS } else { HAND_ON_MS };
+        let delay_ms = if self.safe { RESEND_MS } else { SETTLEMENT_TIMEOUT_MS };
         now_ms >= self.sent_ms + delay_ms
     }
 }
 
 /// A transfer of tokens from this router's account that the receiver has not acknowledged.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Outgoing {
+pub struct OutgoingTransfer {
     /// The receiving router.
     pub to: ids::Incarnation,
     /// The budget, as `workspace/budget`.
@@ -48,14 +48,14 @@
     /// The number of tokens transferred.
     pub tokens: u64,
     /// The number of the receiver's request that this is the reply to; 0 if there is none.
-    pub answers: u64,
+    pub in_reply_to: u64,
     /// When the transfer was first sent.
     pub since_ms: u64,
     /// When the transfer was last sent.
     pub sent_ms: u64,
 }
 
-impl Outgoing {
+impl OutgoingTransfer {
     /// Returns whether the transfer is due to be sent again. The delay grows while there is no acknowledgment.
     pub fn due(&self, now_ms: u64) -> bool {
         let age_ms = self.sent_ms.saturating_sub(self.since_ms);
@@ -63,7 +63,7 @@
     }
 
     /// Returns whether the transfer is too old to expect an acknowledgment.
-    pub fn given_up(&self, now_ms: u64) -> bool {
+    pub fn is_expired(&self, now_ms: u64) -> bool {
         now_ms >= self.since_ms + TRANSFER_TIMEOUT_MS
     }
 }
@@ -79,7 +79,7 @@
 
 /// What this router has already done with a received transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Earlier {
+pub enum TransferStatus {
     /// The transfer has not been received before.
     New,
     /// The transfer was applied, or is too late to be applied.
@@ -92,16 +92,16 @@
 #[derive(Debug, Default)]
 pub struct Outbox {
     /// The settlements that are not in the log yet, by attempt.
-    pub unsettled: collections::BTreeMap<ids::AttemptId, Unsettled>,
+    pub settlements: collections::BTreeMap<ids::AttemptId, PendingSettlement>,
     /// The transfers that are not acknowledged yet, by number.
-    pub transfers: collections::BTreeMap<u64, Outgoing>,
+    pub transfers: collections::BTreeMap<u64, OutgoingTransfer>,
     received_transfers: collections::HashMap<ids::Incarnation, ReceivedTransfers>,
     next_transfer: u64,
 }
 
 impl Outbox {
     /// Adds a transfer and returns its number.
-    pub fn add_transfer(&mut self, outgoing: Outgoing) -> u64 {
+    pub fn add_transfer(&mut self, outgoing: OutgoingTransfer) -> u64 {
         self.next_transfer += 1;
         self.transfers.insert(self.next_transfer, outgoing);
         self.next_transfer
@@ -114,26 +114,33 @@
     }
 
     /// Returns the transfer that is the reply to a request, if it is not acknowledged yet.
-    pub fn answer_to(&self, to: ids::Incarnation, request: u64) -> Option<(u64, Outgoing)> {
-        let is_reply = |outgoing: &Outgoing| outgoing.to == to && outgoing.answers == request;
+    pub fn reply_to(&self, to: ids::Incarnation, request: u64) -> Option<(u64, OutgoingTransfer)> {
+        let is_reply =
+            |outgoing: &OutgoingTransfer| outgoing.to == to && outgoing.in_reply_to == request;
         let found = self.transfers.iter().rev().find(|(_, outgoing)| is_reply(outgoing));
         found.map(|(number, outgoing)| (*number, outgoing.clone()))
     }
 
     /// Returns what this router has already done with a received transfer.
-    pub fn earlier(&self, from: ids::Incarnation, number: u64) -> Earlier {
-        let Some(received) = self.received_transfers.get(&from) else { return Earlier::New };
+    pub fn transfer_status(&self, from: ids::Incarnation, number: u64) -> TransferStatus {
+        let Some(received) = self.received_transfers.get(&from) else { return TransferStatus::New };
         match received.applied.get(&number) {
-            Some(true) => Earlier::Applied,
-            Some(false) => Earlier::Declined,
+            Some(true) => TransferStatus::Applied,
+            Some(false) => TransferStatus::Declined,
             // The sender has abandoned the transfer or received its acknowledgment, so it is too late to apply it.
-            None if number < received.open_from => Earlier::Applied,
-            None => Earlier::New,
+            None if number < received.open_from => TransferStatus::Applied,
+            None => TransferStatus::New,
         }
     }
 
     /// Records whether a received transfer was applied, and discards the records of those that are not sent again.
-    pub fn note(&mut self, from: ids::Incarnation, number: u64, open_from: u64, applied: bool) {
+    pub fn record_transfer(
+        &mut self,
+        from: ids::Incarnation,
+        number: u64,
+        open_from: u64,
+        applied: bool,
+    ) {
         let received = self.received_transfers.entry(from).or_default();
         received.applied.insert(number, applied);
         received.open_from = received.open_from.max(open_from.min(number));
--- a/core/src/quarantine/keeper.rs
+++ b/core/src/quarantine/keeper.rs
@@ -126,7 +126,7 @@
                 self.pause.reset();
                 Reply::Nothing
             }
-            store::Reply::Overtaken { index, value } => {
+            store::Reply::ConflictWith { index, value } => {
                 self.has_read(index);
                 self.write_wanted = true;
                 Reply::Value(value)
--- a/core/src/store.rs
+++ b/core/src/store.rs
@@ -74,17 +74,17 @@
             Self::Missing { era } | Self::Written { era } => Some(*era),
             Self::Found { index, .. }
             | Self::WrittenAt { index }
-            | Self::Overtaken { index, .. }
+            | Self::ConflictWith { index, .. }
             | Self::Undecodable { index } => Some(index.era),
             Self::Conflict | Self::Unknown => None,
         }
     }
 
     /// Returns the reply without the details that only some stores return.
-    pub fn plain(self) -> Self {
+    pub fn without_details(self) -> Self {
         match self {
             Self::WrittenAt { index } => Self::Written { era: index.era },
-            Self::Overtaken { .. } | Self::Undecodable { .. } => Self::Conflict,
+            Self::ConflictWith { .. } | Self::Undecodable { .. } => Self::Conflict,
             other => other,
         }
     }
@@ -118,7 +118,7 @@
     /// The compare-and-swap did not take effect, and never will.
     Conflict,
     /// The compare-and-swap did not take effect, and never will; contains the current value.
-    Overtaken {
+    ConflictWith {
         /// The modification index of the value.
         index: Position,
         /// The value of the key.
--- a/core/tests/ledger_rounds.rs
+++ b/core/tests/ledger_rounds.rs
@@ -40,7 +40,7 @@
     bench.shard.draw("w/main", OTHER, 90_000);
     bench.index += 1;
     let overtaken =
-        store::Reply::Overtaken { index: bench.position(), value: bench.shard.encode() };
+        store::Reply::ConflictWith { index: bench.position(), value: bench.shard.encode() };
     let (sent, _) = bench.reply(call, overtaken);
     let sent = sent.unwrap();
     assert_eq!(sent.expected_index, bench.position());
--- a/core/tests/log.rs
+++ b/core/tests/log.rs
@@ -50,8 +50,13 @@
         }
     }
 
-    fn append(&mut self, at: usize, entry: log_index::Entry) -> Option<log_writer::Done> {
-        self.writers[at].append(entry, log_writer::Waiter::Outbox, log_writer::Urgency::Waited, 0)
+    fn append(&mut self, at: usize, entry: log_index::Entry) -> Option<log_writer::Completed> {
+        self.writers[at].append(
+            entry,
+            log_writer::Waiter::Outbox,
+            log_writer::Urgency::Immediate,
+            0,
+        )
     }
 
     fn start(&mut self, at: usize) -> (ids::CallId, store::Request) {
@@ -89,19 +94,19 @@
         at: usize,
         call: ids::CallId,
         reply: store::Reply,
-    ) -> Vec<log_writer::Done> {
+    ) -> Vec<log_writer::Completed> {
         self.writers[at].reply(call, reply, 0, &mut self.rng)
     }
 
     /// One call that works.
-    fn call(&mut self, at: usize) -> Vec<log_writer::Done> {
+    fn call(&mut self, at: usize) -> Vec<log_writer::Completed> {
         let (call, request) = self.start(at);
         let reply = self.apply(request);
         self.reply(at, call, reply)
     }
 
     /// Calls until something is done.
-    fn finish(&mut self, at: usize) -> Vec<log_writer::Done> {
+    fn finish(&mut self, at: usize) -> Vec<log_writer::Completed> {
         for _ in 0..20 {
             let done = self.call(at);
             if !done.is_empty() {
@@ -112,7 +117,7 @@
     }
 }
 
-fn verdict(done: &[log_writer::Done]) -> Option<log_index::Verdict> {
+fn verdict(done: &[log_writer::Completed]) -> Option<log_index::ClaimVerdict> {
     done.first().and_then(|done| done.verdict.clone())
 }
 
@@ -124,8 +129,8 @@
     // Both find the log empty, then both create its first segment.
     bench.call(0);
     bench.call(1);
-    assert_eq!(verdict(&bench.finish(1)), Some(log_index::Verdict::Granted));
-    assert_eq!(verdict(&bench.finish(0)), Some(log_index::Verdict::Taken));
+    assert_eq!(verdict(&bench.finish(1)), Some(log_index::ClaimVerdict::Granted));
+    assert_eq!(verdict(&bench.finish(0)), Some(log_index::ClaimVerdict::Taken));
 }
 
 #[test]
@@ -136,7 +141,7 @@
     let (call, request) = bench.start(0);
     bench.apply(request);
     assert!(bench.reply(0, call, store::Reply::Unknown).is_empty());
-    assert_eq!(verdict(&bench.finish(0)), Some(log_index::Verdict::Granted));
+    assert_eq!(verdict(&bench.finish(0)), Some(log_index::ClaimVerdict::Granted));
     assert_eq!(bench.values.len(), 1);
 }
 
@@ -147,7 +152,7 @@
     bench.call(0);
     let (call, _) = bench.start(0);
     assert!(bench.reply(0, call, store::Reply::Unknown).is_empty());
-    assert_eq!(verdict(&bench.finish(0)), Some(log_index::Verdict::Granted));
+    assert_eq!(verdict(&bench.finish(0)), Some(log_index::ClaimVerdict::Granted));
 }
 
 #[test]
@@ -156,7 +161,7 @@
     index.apply(&log_index::Entry::Release { key: KEY, attempt: ids::AttemptId(1) });
     index.apply(&log_index::Entry::Claim(claim(1)));
     index.apply(&log_index::Entry::Claim(claim(2)));
-    assert_eq!(index.verdict(&claim(2)), Some(log_index::Verdict::Granted));
+    assert_eq!(index.claim_verdict(&claim(2)), Some(log_index::ClaimVerdict::Granted));
 }
 
 #[test]
@@ -164,8 +169,8 @@
     let mut index = log_index::Index::default();
     index.apply(&log_index::Entry::Claim(claim(1)));
     index.apply(&log_index::Entry::Claim(claim(2)));
-    assert_eq!(index.verdict(&claim(1)), Some(log_index::Verdict::Granted));
-    assert_eq!(index.verdict(&claim(2)), Some(log_index::Verdict::Taken));
+    assert_eq!(index.claim_verdict(&claim(1)), Some(log_index::ClaimVerdict::Granted));
+    assert_eq!(index.claim_verdict(&claim(2)), Some(log_index::ClaimVerdict::Taken));
 }
 
 #[test]
@@ -173,7 +178,7 @@
     let mut index = log_index::Index::default();
     index.apply(&log_index::Entry::Claim(claim(1)));
     index.apply(&log_index::Entry::Release { key: KEY, attempt: ids::AttemptId(2) });
-    assert_eq!(index.verdict(&claim(3)), Some(log_index::Verdict::Taken));
+    assert_eq!(index.claim_verdict(&claim(3)), Some(log_index::ClaimVerdict::Taken));
 }
 
 #[test]
@@ -198,7 +203,7 @@
     bench.finish(0);
     // The second writer has not read the settlement yet.
     assert!(bench.append(1, log_index::Entry::Claim(claim(3))).is_none());
-    assert_eq!(verdict(&bench.finish(1)), Some(log_index::Verdict::Done(None)));
+    assert_eq!(verdict(&bench.finish(1)), Some(log_index::ClaimVerdict::Done(None)));
 }
 
 #[test]
@@ -206,9 +211,9 @@
     let mut index = log_index::Index::default();
     index.apply(&log_index::Entry::Claim(claim(1)));
     let other = log_index::Claim { body_hash: 2, ..claim(2) };
-    assert_eq!(index.verdict(&other), Some(log_index::Verdict::Conflict));
+    assert_eq!(index.claim_verdict(&other), Some(log_index::ClaimVerdict::Conflict));
     index.apply(&log_index::Entry::Settle(settlement(1, 5)));
-    assert_eq!(index.verdict(&other), Some(log_index::Verdict::Conflict));
+    assert_eq!(index.claim_verdict(&other), Some(log_index::ClaimVerdict::Conflict));
 }
 
 /// Writes segments of one settlement each, through one writer.
@@ -235,7 +240,7 @@
     let segments = bench.values.keys().filter(|key| key.contains("/log/")).count() as u64;
     assert!(segments < 2 * EPOCH_SEGMENTS, "{segments} segments are left");
     bench.append(1, log_index::Entry::Claim(claim(5)));
-    assert_eq!(verdict(&bench.finish(1)), Some(log_index::Verdict::Granted));
+    assert_eq!(verdict(&bench.finish(1)), Some(log_index::ClaimVerdict::Granted));
     let (_, _, totals) = bench.writers[1].index().totals().next().unwrap();
     assert_eq!((totals.billed_requests, totals.billed_tokens), (40, 40));
     // Numbers that the checkpoint holds are still known.
@@ -261,7 +266,7 @@
     write_segments(&mut bench, 0, 8..=40);
     assert!(!bench.values.contains_key(&log_index::key(0, 8, EPOCH_SEGMENTS)));
     let done = bench.finish(1);
-    assert_ne!(verdict(&done), Some(log_index::Verdict::Granted));
+    assert_ne!(verdict(&done), Some(log_index::ClaimVerdict::Granted));
 }
 
 #[test]
@@ -274,8 +279,8 @@
         entries,
     };
     index.apply_segment(&segment(1_000, vec![log_index::Entry::Claim(claim(1))]));
-    index.apply_segment(&segment(999 + log_index::REMEMBER_S, Vec::new()));
-    assert_eq!(index.verdict(&claim(2)), Some(log_index::Verdict::Taken));
-    index.apply_segment(&segment(1_000 + log_index::REMEMBER_S, Vec::new()));
-    assert_eq!(index.verdict(&claim(2)), None);
+    index.apply_segment(&segment(999 + log_index::ID_RETENTION_S, Vec::new()));
+    assert_eq!(index.claim_verdict(&claim(2)), Some(log_index::ClaimVerdict::Taken));
+    index.apply_segment(&segment(1_000 + log_index::ID_RETENTION_S, Vec::new()));
+    assert_eq!(index.claim_verdict(&claim(2)), None);
 }
--- a/core/tests/watch_fleet/mod.rs
+++ b/core/tests/watch_fleet/mod.rs
@@ -423,7 +423,7 @@
             (true, store::Request::Write { key, expected_index, value, .. }) => {
                 match self.values.get(key).cloned() {
                     Some((revision, value)) if revision != expected_index.revision => {
-                        store::Reply::Overtaken { index: self.position(revision), value }
+                        store::Reply::ConflictWith { index: self.position(revision), value }
                     }
                     None if expected_index.revision != 0 => store::Reply::Conflict,
                     _ => {
--- a/core/tests/wire_format.rs
+++ b/core/tests/wire_format.rs
@@ -152,7 +152,7 @@
     claim_keeps_its_bytes: message::Message::Claim(claim()) => "0101020001020304";
     claim_reply_keeps_its_bytes: message::Message::ClaimReply {
         claim: claim(),
-        verdict: log_index::Verdict::Conflict,
+        verdict: log_index::ClaimVerdict::Conflict,
     } => "010102010102030403";
     settle_keeps_its_bytes: message::Message::Settle(settlement()) => "0101020201020304050106016301640701010161010162";
     settle_stored_keeps_its_bytes: message::Message::SettleStored(ids::AttemptId(1)) => "0101020301";
