--- a/core/src/message.rs
+++ b/core/src/message.rs
@@ -198,7 +198,7 @@
     }
 }
 
-/// What a router has recovered of the part of a ledger shard that routers at its address know.
+/// How much a router has recovered of the part of a ledger shard that was known at its address before a restore.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Recovered {
     /// Its own part is not recovered yet.
--- a/core/src/watch.rs
+++ b/core/src/watch.rs
@@ -119,7 +119,7 @@
     pub topic: Topic,
     /// Request changes after this position; `None` requests the full state.
     pub after: Option<store::Position>,
-    /// How long the store may wait for a change.
+    /// How long the store may wait for a change, in milliseconds.
     pub wait_ms: u64,
 }
 
@@ -139,7 +139,7 @@
     /// A short poll beside it that checks that the copy is current.
     freshness_check: Option<PollInFlight>,
     polls_started: u64,
-    /// Set once an update has arrived that the long poll should have returned: when, and by which way.
+    /// Set once an update has arrived that the long poll should have returned: when, and what showed it.
     superseded: Option<(u64, Evidence)>,
     /// Whether the last poll got no answer: the next one may get none either, and must not wait for long.
     unanswered: bool,
@@ -191,8 +191,7 @@
     }
 
     /// Returns when the copy was last known to be current or a poll last failed, whichever is later; `None` if neither
-    /// happened.
-    /// A restore that is detected later is assumed to be later than that.
+    /// happened. A restore that is detected later is assumed to be later than that.
     pub fn last_current_or_failed_ms(&self) -> Option<u64> {
         self.confirmed_ms.max(self.last_failed_ms)
     }
