--- a/benches/capacity/control.rs
+++ b/benches/capacity/control.rs
@@ -201,7 +201,7 @@
         from: record(number),
         kind: message::GossipKind::Ack,
         digest: message::Digest { config_version: 1, ..Default::default() },
-        members: Vec::new(),
+        member_updates: Vec::new(),
         leaving: Vec::new(),
         quarantine: Default::default(),
         limits: Vec::new(),
--- a/benches/capacity/messages.rs
+++ b/benches/capacity/messages.rs
@@ -35,7 +35,7 @@
     };
     let with_news = |items: usize| {
         let mut gossip = control::gossip(0);
-        gossip.members = (0..items).map(control::record).collect();
+        gossip.member_updates = (0..items).map(control::record).collect();
         peers::encode(&gossip).len()
     };
     let transfer = message::Message::Transfer {
--- a/core/src/members.rs
+++ b/core/src/members.rs
@@ -228,7 +228,7 @@
             direct.health = Health::Alive;
         }
         self.merge_direct(direct, now_ms);
-        for record in &gossip.members {
+        for record in &gossip.member_updates {
             self.merge(record.clone(), now_ms);
         }
         if self.probing.is_some_and(|(id, _)| id == gossip.from.id) {
--- a/core/src/message.rs
+++ b/core/src/message.rs
@@ -219,7 +219,7 @@
     /// The sender's state of the store's contents.
     pub digest: Digest,
     /// Recently changed records of other routers.
-    pub members: Vec<members::Record>,
+    pub member_updates: Vec<members::Record>,
     /// Updates on VMs whose backend server is leaving.
     pub leaving: Vec<LeavingUpdate>,
     /// Updates on requests that crash servers.
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -32,15 +32,9 @@
             message::Message::TransferRequest { ref requester, .. } => {
                 self.take_ask(requester.clone(), message, now_ms);
             }
-            message::Message::Transfer {
-                number,
-                open_from,
-                in_reply_to: answers,
-                budget,
-                tokens,
-            } => {
+            message::Message::Transfer { number, open_from, in_reply_to, budget, tokens } => {
                 let seen = (from, number, open_from);
-                self.take_transfer(seen, answers, &budget, tokens, now_ms);
+                self.take_transfer(seen, in_reply_to, &budget, tokens, now_ms);
             }
             message::Message::TransferApplied { number } => {
                 self.outbox.transfers.remove(&number);
@@ -54,11 +48,11 @@
                 self.note_answer(from, &budget, now_ms);
             }
             message::Message::ConfigRequest => self.send_config(from, now_ms),
-            message::Message::Config { copy_state: seen, evacuations, value, .. } => {
-                self.take_config(from, seen, &evacuations, value, now_ms);
+            message::Message::Config { copy_state, evacuations, value, .. } => {
+                self.take_config(from, copy_state, &evacuations, value, now_ms);
             }
             message::Message::VmsRequest => self.send_vms(from, now_ms),
-            message::Message::Vms { copy_state: seen, vms } => self.hear_vms(seen, vms, now_ms),
+            message::Message::Vms { copy_state, vms } => self.hear_vms(copy_state, vms, now_ms),
             message::Message::MembersRequest => self.send_members(from),
             message::Message::Members(records) => self.members.merge_all(records, now_ms),
             message::Message::PermitRequest { number, known, wanted } => {
@@ -195,7 +189,7 @@
         &mut self,
         address: String,
         kind: message::GossipKind,
-        news: Vec<members::Record>,
+        member_updates: Vec<members::Record>,
         now_ms: u64,
     ) {
         let leaving = self.leavings.take_news();
@@ -204,7 +198,7 @@
             from: self.members.own().clone(),
             kind,
             digest: self.digest(now_ms),
-            members: news,
+            member_updates,
             leaving,
             quarantine: self.quarantine.table.news(answers, now_ms),
             limits: self.limit_news(now_ms),
@@ -263,7 +257,7 @@
     fn take_transfer(
         &mut self,
         (from, number, open_from): (ids::Incarnation, u64, u64),
-        answers: u64,
+        in_reply_to: u64,
         budget: &str,
         tokens: u64,
         now_ms: u64,
@@ -279,7 +273,7 @@
                 self.grants.account_mut(slot).received_tokens += tokens;
                 self.counters.transfers_received += 1;
                 self.send(from, message::Message::TransferApplied { number });
-                self.holder_gave(slot, answers);
+                self.holder_gave(slot, in_reply_to);
                 self.note_answer(from, budget, now_ms);
             }
             (outbox::TransferStatus::Declined, _) | (outbox::TransferStatus::New, None) => {
--- a/core/src/node/questions.rs
+++ b/core/src/node/questions.rs
@@ -143,7 +143,7 @@
         to: ids::Incarnation,
         budget: ids::BudgetSlot,
         tokens: u64,
-        answers: u64,
+        in_reply_to: u64,
         now_ms: u64,
     ) {
         if self.members.find(to).is_none() || tokens == 0 {
@@ -157,7 +157,7 @@
             to,
             budget,
             tokens,
-            in_reply_to: answers,
+            in_reply_to,
             since_ms: now_ms,
             sent_ms: now_ms,
         };
@@ -166,11 +166,11 @@
     }
 
     pub(super) fn send_transfer(&mut self, number: u64, outgoing: outbox::OutgoingTransfer) {
-        let outbox::OutgoingTransfer { to, budget, tokens, in_reply_to: answers, .. } = outgoing;
+        let outbox::OutgoingTransfer { to, budget, tokens, in_reply_to, .. } = outgoing;
         let open_from = self.outbox.open_from();
         self.send(
             to,
-            message::Message::Transfer { number, open_from, in_reply_to: answers, budget, tokens },
+            message::Message::Transfer { number, open_from, in_reply_to, budget, tokens },
         );
     }
 }
--- a/core/src/node/relay.rs
+++ b/core/src/node/relay.rs
@@ -244,8 +244,8 @@
     pub(super) fn send_vms(&mut self, to: ids::Incarnation, now_ms: u64) {
         let mut vms: Vec<_> = self.vms.values().cloned().collect();
         vms.sort_by(|one, other| one.vm.cmp(&other.vm));
-        let seen = self.digest(now_ms).servers;
-        self.send(to, message::Message::Vms { copy_state: seen, vms });
+        let copy_state = self.digest(now_ms).servers;
+        self.send(to, message::Message::Vms { copy_state, vms });
     }
 
     pub(super) fn send_config(&mut self, to: ids::Incarnation, now_ms: u64) {
@@ -264,9 +264,9 @@
             },
         };
         self.relay.encoded = Some((version, value.clone()));
-        let seen = self.digest(now_ms).configuration;
+        let copy_state = self.digest(now_ms).configuration;
         let evacuations = self.evacuations.clone();
-        self.send(to, message::Message::Config { version, copy_state: seen, evacuations, value });
+        self.send(to, message::Message::Config { version, copy_state, evacuations, value });
     }
 
     pub(super) fn take_config(
--- a/core/src/node/watching.rs
+++ b/core/src/node/watching.rs
@@ -123,8 +123,8 @@
         self.count_watch(topic, &outcome);
         let Some(watching) = &mut self.watching else { return };
         match outcome {
-            watch::Outcome::Answered { position, update: news } => {
-                let any = news.has_changes();
+            watch::Outcome::Answered { position, update } => {
+                let any = update.has_changes();
                 let watched = watching.topic(topic);
                 let was_refused = watched.was_rejected(duty, now_ms);
                 watched.handle_answer(duty, flight, position, any, now_ms);
@@ -132,7 +132,7 @@
                     true => self.relay.heard_news(now_ms),
                     false => self.relay.push_due = true,
                 }
-                self.take_news(position, news, was_refused, now_ms);
+                self.take_news(position, update, was_refused, now_ms);
             }
             watch::Outcome::HistoryLost => watching.topic(topic).request_full_state(),
             watch::Outcome::Rejected => {
@@ -355,9 +355,7 @@
 
     fn count_watch(&mut self, topic: watch::Topic, outcome: &watch::Outcome) {
         let outcome = match outcome {
-            watch::Outcome::Answered { update: news, .. } if news.has_changes() => {
-                CallOutcome::News
-            }
+            watch::Outcome::Answered { update, .. } if update.has_changes() => CallOutcome::News,
             watch::Outcome::Answered { .. } => CallOutcome::Empty,
             watch::Outcome::HistoryLost => CallOutcome::Forgotten,
             watch::Outcome::Rejected => CallOutcome::Refused,
--- a/core/tests/arbitrary_messages.rs
+++ b/core/tests/arbitrary_messages.rs
@@ -121,8 +121,8 @@
         life: ids::ServerLife(u64::arbitrary(g)),
         cold_ms: 0,
     };
-    let seen = message::CopyState { position, age_ms: Some(0) };
-    message::Message::Vms { copy_state: seen, vms: vec![vm] }
+    let copy_state = message::CopyState { position, age_ms: Some(0) };
+    message::Message::Vms { copy_state, vms: vec![vm] }
 }
 
 #[test]
--- a/core/tests/digests.rs
+++ b/core/tests/digests.rs
@@ -70,11 +70,12 @@
 fn a_peers_configuration_that_cannot_be_read_changes_nothing() {
     let mut fleet = settled(20, BOUNDS, 15);
     let known = fleet.routers[0].node.config_version();
-    let seen = message::CopyState { position: store::Position::new(0, 1_000), age_ms: Some(0) };
+    let copy_state =
+        message::CopyState { position: store::Position::new(0, 1_000), age_ms: Some(0) };
     for value in [Vec::new(), vec![0xff; 40], vec![9, 9]] {
         let message = message::Message::Config {
             version: known + 1,
-            copy_state: seen,
+            copy_state,
             evacuations: Default::default(),
             value,
         };
--- a/core/tests/node.rs
+++ b/core/tests/node.rs
@@ -240,7 +240,7 @@
         from: world.routers[1].node.members().own().clone(),
         kind: message::GossipKind::Ack,
         digest: message::Digest::default(),
-        members: Vec::new(),
+        member_updates: Vec::new(),
         leaving: vec![message::LeavingUpdate {
             vm: vm.to_owned(),
             life: Default::default(),
--- a/core/tests/watch_fleet/mod.rs
+++ b/core/tests/watch_fleet/mod.rs
@@ -269,7 +269,7 @@
             from,
             kind: message::GossipKind::Push,
             digest,
-            members: Vec::new(),
+            member_updates: Vec::new(),
             leaving: Vec::new(),
             quarantine: Default::default(),
             limits: Vec::new(),
--- a/core/tests/watch_fleet/store.rs
+++ b/core/tests/watch_fleet/store.rs
@@ -139,11 +139,9 @@
         if call.after.is_some_and(unknown) {
             return Some(watch::Outcome::HistoryLost);
         }
-        let news = self.news(call);
-        (news.has_changes() || waited_ms >= call.wait_ms).then_some(watch::Outcome::Answered {
-            position: self.position(self.revision),
-            update: news,
-        })
+        let update = self.news(call);
+        (update.has_changes() || waited_ms >= call.wait_ms)
+            .then_some(watch::Outcome::Answered { position: self.position(self.revision), update })
     }
 
     fn evacuations(&self, call: &watch::Poll) -> evacuation::News {
--- a/core/tests/wire_format.rs
+++ b/core/tests/wire_format.rs
@@ -111,7 +111,7 @@
             ],
             routers: 5,
         },
-        members: vec![member()],
+        member_updates: vec![member()],
         leaving: vec![message::LeavingUpdate {
             vm: "a".to_owned(),
             life: ids::ServerLife(1),
--- a/src/feed.rs
+++ b/src/feed.rs
@@ -49,12 +49,12 @@
                         position.revision,
                     );
                 }
-                let news = match call.topic {
+                let update = match call.topic {
                     watch::Topic::Configuration => self.configuration_news(&changes.changes, whole),
                     watch::Topic::Servers if whole => self.all_servers(&changes.changes),
                     watch::Topic::Servers => self.server_news(&changes.changes),
                 };
-                watch::Outcome::Answered { position, update: news }
+                watch::Outcome::Answered { position, update }
             }
             Err(store::Error::Forgotten) => {
                 log::info!("event=history_forgotten prefix={prefix}");
