--- a/core/src/message.rs
+++ b/core/src/message.rs
@@ -160,7 +160,8 @@
         /// The number of the ledger shard.
         shard: u32,
     },
-    /// Asks whether the receiver has recovered its part of ledger shards after a restore of the store.
+    /// Asks whether the receiver has recovered what was known at its address of ledger shards before a restore of the
+    /// store.
     RecoveryRequest {
         /// The store's era as known to the sender.
         era: u64,
@@ -216,7 +217,7 @@
     pub from: members::Record,
     /// Whether the datagram is a probe, the reply to one, or neither.
     pub kind: GossipKind,
-    /// The sender's state of the store's contents.
+    /// A summary of the sender's copies of the store's contents.
     pub digest: Digest,
     /// Recently changed records of other routers.
     pub member_updates: Vec<members::Record>,
@@ -249,7 +250,7 @@
     pub age_ms: Option<u64>,
 }
 
-/// A router's state of the store's contents.
+/// A summary of a router's copies of the store's contents.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
     /// The store's era as known to the sender.
