--- a/core/src/members.rs
+++ b/core/src/members.rs
@@ -91,7 +91,7 @@
     next_probe_ms: u64,
     probes: u64,
     next_seed: usize,
-    /// Whether this router's own address is among the seeds.
+    /// Whether this router's own address is among the seeds, which other routers contact first.
     is_seed: bool,
     /// When the latest new member was added.
     last_added_ms: u64,
--- a/core/src/outbox.rs
+++ b/core/src/outbox.rs
@@ -7,8 +7,8 @@
 pub const RESEND_MS: u64 = 1_000;
 /// The delay before a transfer is first sent again.
 const TRANSFER_RESEND_FIRST_MS: u64 = 100;
-/// How long a transfer to a router that isn't known to be live waits for its acknowledgment; after this it is
-/// abandoned.
+/// How long a transfer to a router that isn't known to be live waits for its acknowledgment; after this it counts
+/// as lost.
 const TRANSFER_TIMEOUT_MS: u64 = 30_000;
 /// How long a router may take to acknowledge a settlement before it is also sent to the next one.
 pub const SETTLEMENT_TIMEOUT_MS: u64 = 150;
