--- a/benches/capacity/control.rs
+++ b/benches/capacity/control.rs
@@ -202,7 +202,7 @@
         from: record(number),
         kind: message::GossipKind::Ack,
         digest: message::Digest { config_version: 1, ..Default::default() },
-        news: Vec::new(),
+        member_updates: Vec::new(),
         leaving: Vec::new(),
         quarantine: Default::default(),
         limits: Vec::new(),
--- a/benches/capacity/messages.rs
+++ b/benches/capacity/messages.rs
@@ -35,13 +35,13 @@
     };
     let with_news = |items: usize| {
         let mut gossip = control::gossip(0);
-        gossip.news = (0..items).map(control::record).collect();
+        gossip.member_updates = (0..items).map(control::record).collect();
         peers::encode(&gossip).len()
     };
     let transfer = message::Message::Transfer {
         number: 1_000,
         open_from: 900,
-        answers: 1_000,
+        in_reply_to: 1_000,
         budget: settlement.budget.clone(),
         tokens: 100_000,
     };
@@ -51,7 +51,7 @@
         ("claim", send(message::Message::Claim(claim))),
         (
             "claim reply",
-            send(message::Message::ClaimReply { claim, verdict: log_index::Verdict::Granted }),
+            send(message::Message::ClaimReply { claim, verdict: log_index::ClaimVerdict::Granted }),
         ),
         ("settlement", send(message::Message::Settle(settlement))),
         ("settlement stored", send(message::Message::SettleStored(claim.attempt))),
--- a/core/src/ledger_writer/replies.rs
+++ b/core/src/ledger_writer/replies.rs
@@ -30,7 +30,7 @@
             }
             State::Writing { call: expected, base_index, draft } if expected == call => match reply
             {
-                store::Reply::Overtaken { index, value }
+                store::Reply::ConflictWith { index, value }
                     if self.overtaken_writes < OVERTAKEN_WRITES_MAX =>
                 {
                     self.overtaken_writes += 1;
@@ -222,7 +222,7 @@
                 events
             }
             store::Reply::Conflict
-            | store::Reply::Overtaken { .. }
+            | store::Reply::ConflictWith { .. }
             | store::Reply::Undecodable { .. } => {
                 self.overtaken_writes = 0;
                 // This write had no effect. The write that it lost to may be an earlier one of this router without a
--- a/core/src/node/admit.rs
+++ b/core/src/node/admit.rs
@@ -80,18 +80,18 @@
     pub(super) fn handle_claim_verdict(
         &mut self,
         claim: &log_index::Claim,
-        verdict: log_index::Verdict,
+        verdict: log_index::ClaimVerdict,
         now_ms: u64,
     ) {
         let Some(slot) = self.by_attempt.get(&claim.attempt).copied() else { return };
         let Some(request) = self.requests.get_mut(slot) else { return };
         let Stage::WaitingClaim { other_attempt_seen_ms, .. } = &mut request.stage else { return };
         match verdict {
-            log_index::Verdict::Granted => self.dispatch(slot, now_ms),
+            log_index::ClaimVerdict::Granted => self.dispatch(slot, now_ms),
             // Another attempt is running: its outcome answers this caller as well.
-            log_index::Verdict::Taken => *other_attempt_seen_ms = Some(now_ms),
-            log_index::Verdict::Conflict => self.refuse(slot, Reason::IdConflict, now_ms),
-            log_index::Verdict::Done(outcome) => {
+            log_index::ClaimVerdict::Taken => *other_attempt_seen_ms = Some(now_ms),
+            log_index::ClaimVerdict::Conflict => self.refuse(slot, Reason::IdConflict, now_ms),
+            log_index::ClaimVerdict::Done(outcome) => {
                 self.counters.replayed += 1;
                 self.end_unsent(slot, Answer::Replay(outcome), now_ms);
             }
@@ -226,7 +226,7 @@
             *other_attempt_seen_ms = other_attempt_seen_ms.map(|_| now_ms);
         }
         let (entry, waiter) = (log_index::Entry::Claim(claim), log_writer::Waiter::Local(slot));
-        self.append_to_log(entry, waiter, log_writer::Urgency::Waited, now_ms);
+        self.append_to_log(entry, waiter, log_writer::Urgency::Immediate, now_ms);
     }
 
     fn build_claim(&self, slot: ids::RequestSlot) -> Option<log_index::Claim> {
@@ -321,11 +321,11 @@
     ) {
         let shard = key.shard(self.logs.len() as u32) as usize;
         if let Some(log) = self.logs.get_mut(shard) {
-            log.forget(slot);
+            log.withdraw_claim(slot);
         }
         let release = log_index::Entry::Release { key, attempt };
         let waiter = log_writer::Waiter::Outbox;
-        self.append_to_log(release, waiter, log_writer::Urgency::Gather, now_ms);
+        self.append_to_log(release, waiter, log_writer::Urgency::Batched, now_ms);
     }
 
     /// The retry delay returned with a refusal, in milliseconds.
--- a/core/src/node/confirmations.rs
+++ b/core/src/node/confirmations.rs
@@ -59,7 +59,7 @@
         let routers = routers_digest(&self.router_addresses());
         for router in self.unconfirmed_routers(&shards) {
             let shards = shards.clone();
-            self.send(router, message::Message::RecoveryAsk { era, shards, routers });
+            self.send(router, message::Message::RecoveryRequest { era, shards, routers });
         }
         let others = self.other_router_addresses();
         let replies_final = now_ms > self.confirmations.since_ms + REPLIES_FINAL_MS;
@@ -174,7 +174,7 @@
             true if ran_longer_than_backups || ledger.read_before_ms(since_era).is_some() => {
                 message::Recovered::All
             }
-            true => message::Recovered::OwnLife,
+            true => message::Recovered::OwnIncarnation,
         }
     }
 
@@ -214,7 +214,9 @@
         self.confirmations.replies.entry(address.clone()).or_default().addresses = addresses;
         for (shard, recovered) in shards {
             let recovered = match recovered {
-                message::Recovered::OwnLife if self.covers_earlier_incarnations(*shard, from) => {
+                message::Recovered::OwnIncarnation
+                    if self.covers_earlier_incarnations(*shard, from) =>
+                {
                     message::Recovered::All
                 }
                 recovered => *recovered,
@@ -229,7 +231,7 @@
     /// Whether this router read the shard after it discovered the router `life`, and before draws may have been lost.
     /// Then it has read all draws of earlier incarnations at that address.
     fn covers_earlier_incarnations(&self, shard: u32, life: ids::Incarnation) -> bool {
-        let discovered_ms = self.members.first_heard_ms(life);
+        let discovered_ms = self.members.added_ms(life);
         let ledger = self.ledgers.get(shard as usize);
         let read_ms = ledger.and_then(|ledger| {
             ledger.read_before_ms(ledger.unconfirmed_since_era(self.store_era())?)
--- a/core/src/node/directives.rs
+++ b/core/src/node/directives.rs
@@ -77,8 +77,12 @@
     }
 
     /// Merges a peer's report of a leaving server.
-    pub(super) fn merge_leaving(&mut self, from: ids::Incarnation, leaving: &message::Leaving) {
-        let message::Leaving { vm, life, source } = leaving;
+    pub(super) fn merge_leaving(
+        &mut self,
+        from: ids::Incarnation,
+        leaving: &message::LeavingUpdate,
+    ) {
+        let message::LeavingUpdate { vm, life, source } = leaving;
         // Without a live record here the report is ignored: the peer's list may be the older one.
         let live =
             |known: &servers::Vm| known.state == servers::VmState::Live && known.life == *life;
--- a/core/src/node/holders.rs
+++ b/core/src/node/holders.rs
@@ -149,7 +149,7 @@
     /// Whether this router has had the time to discover the other routers.
     fn membership_settled(&self, now_ms: u64) -> bool {
         let has_peers = self.members.live().next().is_some();
-        let settled = has_peers && now_ms >= self.members.met_ms() + MEMBERSHIP_QUIET_MS;
+        let settled = has_peers && now_ms >= self.members.last_added_ms() + MEMBERSHIP_QUIET_MS;
         settled || now_ms >= self.started_ms + MEMBERSHIP_SETTLE_MS
     }
 
@@ -267,12 +267,12 @@
         let free_tokens = account.free_tokens();
         let headroom_tokens =
             account.rate_tokens_per_s().saturating_mul(REQUEST_HEADROOM_MS) / 1_000;
-        let message = message::Message::TransferAsk {
+        let message = message::Message::TransferRequest {
             number,
             budget: account.name.clone(),
             needed_tokens: smallest.saturating_sub(free_tokens).max(1),
             wanted_tokens: all.saturating_add(headroom_tokens).saturating_sub(free_tokens).max(1),
-            asker: self.members.own().clone(),
+            requester: self.members.own().clone(),
         };
         self.send(holder, message);
     }
--- a/core/src/node/limits.rs
+++ b/core/src/node/limits.rs
@@ -293,7 +293,7 @@
         if let Some(limited) = self.servers.limits_mut().limited_mut(slot) {
             limited.share.ask(number, wanted, now_ms);
         }
-        self.send(router, message::Message::PermitAsk { number, known, wanted });
+        self.send(router, message::Message::PermitRequest { number, known, wanted });
         wanted.permits
     }
 
@@ -350,7 +350,7 @@
             None => servers::PermitsGranted::none(NOT_PACER_RETRY_MS),
         };
         let trial = wanted.trial;
-        self.send(from, message::Message::Permits { number, vm, life, trial, granted });
+        self.send(from, message::Message::PermitReply { number, vm, life, trial, granted });
     }
 
     /// Handles a pacer's reply to a request for permits.
--- a/core/src/node/notices.rs
+++ b/core/src/node/notices.rs
@@ -206,8 +206,9 @@
     PollGivenUp {
         /// Topic of the poll.
         topic: watch::Topic,
+
         /// The poll that was given up.
-        call: watch::GivenUp,
+        call: watch::AbandonedPoll,
     },
     /// An answer of the store was ignored because its position precedes that of this router's copy.
     StaleAnswerIgnored {
@@ -238,10 +239,11 @@
         /// The maximum duration in milliseconds.
         for_ms: u64,
     },
+
     /// This router's role in following the store changed.
     WatchRole {
         /// The new role.
-        role: watch::Duty,
+        role: watch::Role,
     },
     /// A server failed several times in a row and gets no requests for some time.
     Ejected {
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -21,7 +21,7 @@
             message::Message::Claim(claim) => {
                 let entry = log_index::Entry::Claim(claim);
                 let waiter = log_writer::Waiter::Peer(from);
-                self.append_to_log(entry, waiter, log_writer::Urgency::Waited, now_ms);
+                self.append_to_log(entry, waiter, log_writer::Urgency::Immediate, now_ms);
             }
             message::Message::ClaimReply { claim, verdict } => {
                 self.handle_claim_verdict(&claim, verdict, now_ms);
@@ -31,36 +31,36 @@
             }
             message::Message::SettleStored(attempt) => self.mark_settlement_safe(attempt),
             message::Message::SettleDurable(attempt) => self.mark_settlement_durable(attempt),
-            message::Message::TransferAsk { ref asker, .. } => {
-                self.handle_transfer_request(asker.clone(), message, now_ms);
+            message::Message::TransferRequest { ref requester, .. } => {
+                self.handle_transfer_request(requester.clone(), message, now_ms);
             }
-            message::Message::Transfer { number, open_from, answers, budget, tokens } => {
+            message::Message::Transfer { number, open_from, in_reply_to, budget, tokens } => {
                 let seen = (from, number, open_from);
-                self.handle_transfer(seen, answers, &budget, tokens, now_ms);
+                self.handle_transfer(seen, in_reply_to, &budget, tokens, now_ms);
             }
-            message::Message::TransferTaken { number } => {
+            message::Message::TransferApplied { number } => {
                 self.outbox.transfers.remove(&number);
             }
             message::Message::TransferDeclined { number } => self.revert_transfer(number),
-            message::Message::TransferWait { number, budget } => {
+            message::Message::TransferDeferred { number, budget } => {
                 self.handle_transfer_deferred(&budget, number)
             }
-            message::Message::TransferNone { number, budget, certain } => {
+            message::Message::TransferUnavailable { number, budget, certain } => {
                 self.handle_transfer_unavailable(&budget, number, certain, now_ms);
                 self.record_transfer_reply(from, &budget, now_ms);
             }
-            message::Message::ConfigAsk => self.send_config(from, now_ms),
-            message::Message::Config { seen, evacuations, value, .. } => {
-                self.handle_config(from, seen, &evacuations, value, now_ms);
+            message::Message::ConfigRequest => self.send_config(from, now_ms),
+            message::Message::Config { copy_state, evacuations, value, .. } => {
+                self.handle_config(from, copy_state, &evacuations, value, now_ms);
             }
-            message::Message::VmsAsk => self.send_vms(from, now_ms),
-            message::Message::Vms { seen, vms } => self.handle_vms(seen, vms, now_ms),
-            message::Message::MembersAsk => self.send_members(from),
-            message::Message::Members(records) => self.members.learn_all(records, now_ms),
-            message::Message::PermitAsk { number, known, wanted } => {
+            message::Message::VmsRequest => self.send_vms(from, now_ms),
+            message::Message::Vms { copy_state, vms } => self.handle_vms(copy_state, vms, now_ms),
+            message::Message::MembersRequest => self.send_members(from),
+            message::Message::Members(records) => self.members.merge_all(records, now_ms),
+            message::Message::PermitRequest { number, known, wanted } => {
                 self.handle_permit_request(from, number, known, wanted, now_ms);
             }
-            message::Message::Permits { number, vm, life, trial, granted } => {
+            message::Message::PermitReply { number, vm, life, trial, granted } => {
                 self.handle_permit_reply(number, &vm, life, trial, granted, now_ms);
             }
             message::Message::LedgerCopy { shard, position, value } => {
@@ -74,13 +74,13 @@
                 self.tick_waiting_budget(now_ms);
                 self.answer_transfer_requests(now_ms);
             }
-            message::Message::RecoveryAsk { era, shards, routers } => {
+            message::Message::RecoveryRequest { era, shards, routers } => {
                 self.handle_recovery_request(from, era, &shards, routers);
             }
             message::Message::RecoveryReply { era, shards, addresses } => {
                 self.handle_recovery_reply(from, era, &shards, addresses);
             }
-            message::Message::LeftBehind { shard } => {
+            message::Message::StaleHolder { shard } => {
                 if let Some(ledger) = self.ledgers.get_mut(shard as usize) {
                     ledger.request_sync();
                 }
@@ -101,7 +101,7 @@
     }
 
     fn merge_gossip(&mut self, gossip: &message::Gossip, now_ms: u64) {
-        self.members.heard(gossip, now_ms);
+        self.members.handle_gossip(gossip, now_ms);
         let table_differs = self.merge_quarantine(&gossip.quarantine, now_ms);
         self.merge_limits(&gossip.limits, now_ms);
         for leaving in &gossip.leaving {
@@ -112,7 +112,7 @@
             None => self.request_newer_copies(gossip, now_ms),
         }
         if gossip.kind == message::GossipKind::Ping {
-            let mut records = self.members.news();
+            let mut records = self.members.take_updates();
             if records.is_empty() {
                 records = self.members.sample(&mut self.rng);
             }
@@ -133,19 +133,19 @@
     /// Requests newer copies from a peer. Used where the shell follows the store.
     fn request_newer_copies(&mut self, gossip: &message::Gossip, now_ms: u64) {
         if gossip.digest.config_version > self.config_version() {
-            self.send(gossip.from.id, message::Message::ConfigAsk);
+            self.send(gossip.from.id, message::Message::ConfigRequest);
         }
         let silent_ms = now_ms.saturating_sub(self.vms_received_ms);
         let reported = gossip.digest.servers.position;
         let newer = reported > self.vms_index && self.accepts_era(reported.era);
         if newer && silent_ms >= VMS_MISSING_MS {
-            self.send(gossip.from.id, message::Message::VmsAsk);
+            self.send(gossip.from.id, message::Message::VmsRequest);
         }
     }
 
     pub(super) fn tick_members(&mut self, now_ms: u64) {
         if let Some(probe) = self.members.tick(now_ms, &mut self.rng) {
-            let records = self.members.news();
+            let records = self.members.take_updates();
             self.push_gossip(probe.address, message::GossipKind::Ping, records, now_ms);
         }
     }
@@ -159,7 +159,7 @@
     }
 
     pub(super) fn tick_transfers(&mut self, now_ms: u64) {
-        let due: Vec<(u64, outbox::Outgoing)> = self
+        let due: Vec<(u64, outbox::OutgoingTransfer)> = self
             .outbox
             .transfers
             .iter()
@@ -172,7 +172,7 @@
                 .find(outgoing.to)
                 .is_none_or(|record| record.health > crate::members::Health::Suspect);
             let stopping = self.lifecycle == super::Lifecycle::Stopping;
-            if receiver_gone && (stopping || outgoing.given_up(now_ms)) {
+            if receiver_gone && (stopping || outgoing.is_expired(now_ms)) {
                 // Whether it was applied cannot be determined any more; it stays counted as sent.
                 self.outbox.transfers.remove(&number);
                 continue;
@@ -196,7 +196,7 @@
         &mut self,
         address: String,
         kind: message::GossipKind,
-        news: Vec<members::Record>,
+        member_updates: Vec<members::Record>,
         now_ms: u64,
     ) {
         let leaving = self.leaving_servers.take_news();
@@ -205,7 +205,7 @@
             from: self.members.own().clone(),
             kind,
             digest: self.digest(now_ms),
-            news,
+            member_updates,
             leaving,
             quarantine: self.quarantine.table.news(peer_differs, now_ms),
             limits: self.take_limit_updates(now_ms),
@@ -227,8 +227,8 @@
         self.send(from, message::Message::SettleStored(attempt));
         // Callers that repeat a request which runs at most once wait for its recorded outcome.
         let urgency = match settlement.outcome.is_some() {
-            true => log_writer::Urgency::Waited,
-            false => log_writer::Urgency::Gather,
+            true => log_writer::Urgency::Immediate,
+            false => log_writer::Urgency::Batched,
         };
         let entry = log_index::Entry::Settle(settlement);
         self.append_to_log(entry, log_writer::Waiter::Peer(from), urgency, now_ms);
@@ -242,7 +242,8 @@
         request: message::Message,
         now_ms: u64,
     ) {
-        let message::Message::TransferAsk { number, budget, wanted_tokens, .. } = &request else {
+        let message::Message::TransferRequest { number, budget, wanted_tokens, .. } = &request
+        else {
             return;
         };
         let slot = self.grants.find(budget);
@@ -261,7 +262,8 @@
             Some(slot) => self.send_tokens(requester.id, slot, sent_tokens, *number, now_ms),
             None => {
                 let (number, budget) = (*number, budget.clone());
-                let reply = message::Message::TransferNone { number, budget, certain: false };
+                let reply =
+                    message::Message::TransferUnavailable { number, budget, certain: false };
                 self.send(requester.id, reply);
             }
         }
@@ -270,28 +272,28 @@
     fn handle_transfer(
         &mut self,
         (from, number, open_from): (ids::Incarnation, u64, u64),
-        answers: u64,
+        in_reply_to: u64,
         budget: &str,
         tokens: u64,
         now_ms: u64,
     ) {
         let slot = self.grants.find(budget);
         let accepts = self.lifecycle == super::Lifecycle::Ready;
-        match (self.outbox.earlier(from, number), slot.filter(|_| accepts)) {
-            (outbox::Earlier::Applied, _) => {
-                self.send(from, message::Message::TransferTaken { number });
+        match (self.outbox.transfer_status(from, number), slot.filter(|_| accepts)) {
+            (outbox::TransferStatus::Applied, _) => {
+                self.send(from, message::Message::TransferApplied { number });
             }
-            (outbox::Earlier::New, Some(slot)) => {
-                self.outbox.note(from, number, open_from, true);
+            (outbox::TransferStatus::New, Some(slot)) => {
+                self.outbox.record_transfer(from, number, open_from, true);
                 self.grants.account_mut(slot).received_tokens += tokens;
                 self.counters.transfers_received += 1;
-                self.send(from, message::Message::TransferTaken { number });
-                self.complete_holder_request(slot, answers);
+                self.send(from, message::Message::TransferApplied { number });
+                self.complete_holder_request(slot, in_reply_to);
                 self.record_transfer_reply(from, budget, now_ms);
             }
-            (outbox::Earlier::Declined, _) | (outbox::Earlier::New, None) => {
+            (outbox::TransferStatus::Declined, _) | (outbox::TransferStatus::New, None) => {
                 // Recorded, so that a duplicate that arrives later is not applied.
-                self.outbox.note(from, number, open_from, false);
+                self.outbox.record_transfer(from, number, open_from, false);
                 self.send(from, message::Message::TransferDeclined { number });
             }
         }
--- a/core/src/node/platform.rs
+++ b/core/src/node/platform.rs
@@ -46,7 +46,7 @@
                 self.counters.platform_unknown += 1;
                 self.count_call(completed.metric_purpose(), CallOutcome::Silent);
             }
-            store::Reply::Conflict | store::Reply::Overtaken { .. } => {
+            store::Reply::Conflict | store::Reply::ConflictWith { .. } => {
                 self.counters.platform_conflicts += 1;
                 self.count_call(completed.metric_purpose(), CallOutcome::Overtaken);
             }
@@ -248,7 +248,7 @@
         let successors: collections::BTreeSet<ids::Incarnation> =
             holders.iter().filter_map(successor).collect();
         for id in successors {
-            self.send(id, message::Message::LeftBehind { shard });
+            self.send(id, message::Message::StaleHolder { shard });
         }
     }
 
@@ -260,7 +260,7 @@
     }
 
     fn log_reply(&mut self, shard: usize, call: ids::CallId, reply: store::Reply, now_ms: u64) {
-        let done = self.logs[shard].reply(call, reply.plain(), now_ms, &mut self.rng);
+        let done = self.logs[shard].reply(call, reply.without_details(), now_ms, &mut self.rng);
         for appended in done {
             self.handle_appended(appended, now_ms);
         }
--- a/core/src/node/relay.rs
+++ b/core/src/node/relay.rs
@@ -91,7 +91,7 @@
 impl Node {
     /// Summary of this router's copies of the store, for datagrams.
     pub(super) fn digest(&self, now_ms: u64) -> message::Digest {
-        let copy_state = |subscription: &watch::Watch| message::Seen {
+        let copy_state = |subscription: &watch::Subscription| message::CopyState {
             position: subscription.position(),
             age_ms: subscription.age_ms(now_ms),
         };
@@ -103,7 +103,7 @@
             config_version: self.config_version(),
             configuration: configuration.unwrap_or_default(),
             evacuations: self.evacuations.clone(),
-            servers: message::Seen { position: self.vms_index, ..servers.unwrap_or_default() },
+            servers: message::CopyState { position: self.vms_index, ..servers.unwrap_or_default() },
             changes_after: self.relay.changes_after,
             changes: self.relay.changes.iter().map(|(_, change)| change.clone()).collect(),
             routers: self.members.live_count(),
@@ -149,11 +149,11 @@
         }
         if reported > self.vms_index {
             if may_request(&mut self.relay.vms_requested_ms, VMS_REQUEST_RETRY_MS, now_ms) {
-                self.send(from, message::Message::VmsAsk);
+                self.send(from, message::Message::VmsRequest);
             }
             return;
         }
-        let copy_state = message::Seen { position: self.vms_index, ..digest.servers };
+        let copy_state = message::CopyState { position: self.vms_index, ..digest.servers };
         self.confirm_copy(watch::Topic::Servers, copy_state, now_ms);
     }
 
@@ -170,7 +170,7 @@
         }
         if digest.config_version > self.config_version() {
             if may_request(&mut self.relay.config_requested_ms, CONFIG_REQUEST_RETRY_MS, now_ms) {
-                self.send(from, message::Message::ConfigAsk);
+                self.send(from, message::Message::ConfigRequest);
             }
             return;
         }
@@ -181,7 +181,7 @@
         }
         let same = digest.config_version == self.config_version();
         let position = if same { reported } else { store::Position::START };
-        let copy_state = message::Seen { position, ..digest.configuration };
+        let copy_state = message::CopyState { position, ..digest.configuration };
         self.confirm_copy(watch::Topic::Configuration, copy_state, now_ms);
     }
 
@@ -189,7 +189,7 @@
     pub(super) fn confirm_copy(
         &mut self,
         topic: watch::Topic,
-        copy_state: message::Seen,
+        copy_state: message::CopyState,
         now_ms: u64,
     ) {
         let gossips_store_updates = self.gossips_store_updates();
@@ -198,14 +198,15 @@
         subscription.adopt(copy_state.position);
         let Some(age_ms) = copy_state.age_ms else { return };
         let gained_ms = subscription.confirm(copy_state.position, now_ms.saturating_sub(age_ms));
-        self.relay.push_due |= gossips_store_updates && gained_ms >= subscription.notable_ms();
+        self.relay.push_due |=
+            gossips_store_updates && gained_ms >= subscription.notable_improvement_ms();
     }
 
     /// Records that a peer sent an update, which supersedes this router's own poll.
     fn record_peer_update(&mut self, topic: watch::Topic, now_ms: u64) {
         self.relay.schedule_pushes(now_ms);
         if let Some(watching) = &mut self.watching {
-            watching.topic(topic).overtake(watch::Evidence::Peer, now_ms);
+            watching.topic(topic).supersede(watch::Evidence::Peer, now_ms);
         }
     }
 
@@ -235,7 +236,7 @@
         let mut chosen: Vec<String> = chosen.map(|record| record.address.clone()).collect();
         chosen.extend(suspected.choose(&mut self.rng).map(|record| record.address.clone()));
         for address in chosen {
-            let updates = self.members.news();
+            let updates = self.members.take_updates();
             self.push_gossip(address, message::GossipKind::Push, updates, now_ms);
         }
     }
@@ -250,7 +251,7 @@
                 now_ms,
             )
         {
-            self.send(from, message::Message::MembersAsk);
+            self.send(from, message::Message::MembersRequest);
         }
     }
 
@@ -262,8 +263,8 @@
     pub(super) fn send_vms(&mut self, to: ids::Incarnation, now_ms: u64) {
         let mut vms: Vec<_> = self.vms.values().cloned().collect();
         vms.sort_by(|one, other| one.vm.cmp(&other.vm));
-        let seen = self.digest(now_ms).servers;
-        self.send(to, message::Message::Vms { seen, vms });
+        let copy_state = self.digest(now_ms).servers;
+        self.send(to, message::Message::Vms { copy_state, vms });
     }
 
     pub(super) fn send_config(&mut self, to: ids::Incarnation, now_ms: u64) {
@@ -282,15 +283,15 @@
             },
         };
         self.relay.encoded = Some((version, value.clone()));
-        let seen = self.digest(now_ms).configuration;
+        let copy_state = self.digest(now_ms).configuration;
         let evacuations = self.evacuations.clone();
-        self.send(to, message::Message::Config { version, seen, evacuations, value });
+        self.send(to, message::Message::Config { version, copy_state, evacuations, value });
     }
 
     pub(super) fn handle_config(
         &mut self,
         from: ids::Incarnation,
-        copy_state: message::Seen,
+        copy_state: message::CopyState,
         evacuations: &evacuation::Evacuations,
         value: Vec<u8>,
         now_ms: u64,
@@ -322,7 +323,7 @@
     /// Replaces this router's list of VMs by a peer's if that is newer.
     pub(super) fn handle_vms(
         &mut self,
-        copy_state: message::Seen,
+        copy_state: message::CopyState,
         vms: Vec<servers::Vm>,
         now_ms: u64,
     ) {
--- a/core/src/node/tokens.rs
+++ b/core/src/node/tokens.rs
@@ -145,12 +145,12 @@
         ask.unanswered = requested.iter().copied().collect();
         let asker = self.members.own().clone();
         for peer in requested {
-            let message = message::Message::TransferAsk {
+            let message = message::Message::TransferRequest {
                 number: 0,
                 budget: name.clone(),
                 needed_tokens: 1,
                 wanted_tokens: missing_tokens,
-                asker: asker.clone(),
+                requester: asker.clone(),
             };
             self.send(peer, message);
         }
--- a/core/src/node/transfer_requests.rs
+++ b/core/src/node/transfer_requests.rs
@@ -30,20 +30,21 @@
         request: message::Message,
         now_ms: u64,
     ) {
-        let message::Message::TransferAsk { number, budget, needed_tokens, wanted_tokens, .. } =
-            request
+        let message::Message::TransferRequest {
+            number, budget, needed_tokens, wanted_tokens, ..
+        } = request
         else {
             return;
         };
         let id = requester.id;
-        self.members.meet(requester, now_ms);
-        if let Some((transfer, outgoing)) = self.outbox.answer_to(id, number) {
+        self.members.merge_self_reported(requester, now_ms);
+        if let Some((transfer, outgoing)) = self.outbox.reply_to(id, number) {
             self.send_transfer(transfer, outgoing);
             return;
         }
         let ready = self.lifecycle == Lifecycle::Ready;
         let Some(slot) = self.grants.find(&budget).filter(|_| ready) else {
-            self.send(id, message::Message::TransferNone { number, budget, certain: false });
+            self.send(id, message::Message::TransferUnavailable { number, budget, certain: false });
             return;
         };
         let same_request =
@@ -60,7 +61,7 @@
         }
         self.answer_transfer_requests(now_ms);
         if self.holders.received_requests.iter().any(same_request) {
-            self.send(id, message::Message::TransferWait { number, budget });
+            self.send(id, message::Message::TransferDeferred { number, budget });
         }
     }
 
@@ -84,7 +85,7 @@
         let budgets: Vec<ids::BudgetSlot> =
             self.holders.received_requests.iter().map(|request| request.budget).collect();
         for budget in budgets {
-            self.grants.account_mut(budget).draws = true;
+            self.grants.account_mut(budget).draws_on_demand = true;
             self.request_ledger_sync(budget);
         }
         self.tick_platform(now_ms);
@@ -113,7 +114,7 @@
             let number = request.number;
             self.send(
                 request.requester,
-                message::Message::TransferNone { number, budget, certain },
+                message::Message::TransferUnavailable { number, budget, certain },
             );
             return;
         }
@@ -147,7 +148,7 @@
         to: ids::Incarnation,
         budget: ids::BudgetSlot,
         tokens: u64,
-        answers: u64,
+        in_reply_to: u64,
         now_ms: u64,
     ) {
         if self.members.find(to).is_none() || tokens == 0 {
@@ -157,15 +158,24 @@
         account.sent_tokens += tokens;
         let budget = account.name.clone();
         self.counters.transfers_sent += 1;
-        let outgoing =
-            outbox::Outgoing { to, budget, tokens, answers, since_ms: now_ms, sent_ms: now_ms };
+        let outgoing = outbox::OutgoingTransfer {
+            to,
+            budget,
+            tokens,
+            in_reply_to,
+            since_ms: now_ms,
+            sent_ms: now_ms,
+        };
         let number = self.outbox.add_transfer(outgoing.clone());
         self.send_transfer(number, outgoing);
     }
 
-    pub(super) fn send_transfer(&mut self, number: u64, outgoing: outbox::Outgoing) {
-        let outbox::Outgoing { to, budget, tokens, answers, .. } = outgoing;
+    pub(super) fn send_transfer(&mut self, number: u64, outgoing: outbox::OutgoingTransfer) {
+        let outbox::OutgoingTransfer { to, budget, tokens, in_reply_to, .. } = outgoing;
         let open_from = self.outbox.open_from();
-        self.send(to, message::Message::Transfer { number, open_from, answers, budget, tokens });
+        self.send(
+            to,
+            message::Message::Transfer { number, open_from, in_reply_to, budget, tokens },
+        );
     }
 }
--- a/core/src/node/types.rs
+++ b/core/src/node/types.rs
@@ -243,8 +243,9 @@
         /// Content of the call.
         request: store::Request,
     },
+
     /// Polls the store for updates; exactly one [`super::Node::poll_ended`] must follow, unless the poll is cancelled.
-    Poll(watch::Call),
+    Poll(watch::Poll),
     /// Cancels a poll of the store; its answer is no longer needed.
     CancelPoll {
         /// Topic of the poll.
--- a/core/src/node/watching.rs
+++ b/core/src/node/watching.rs
@@ -19,9 +19,9 @@
 /// State of following the store.
 #[derive(Debug)]
 pub(super) struct Watching {
-    pub(super) configuration: watch::Watch,
-    pub(super) servers: watch::Watch,
-    pub(super) role: watch::Duty,
+    pub(super) configuration: watch::Subscription,
+    pub(super) servers: watch::Subscription,
+    pub(super) role: watch::Role,
     role_checked_ms: u64,
     /// Whether this router has recorded its address for peers in the store.
     announced: bool,
@@ -35,9 +35,9 @@
     pub(super) fn new(bounds: watch::Bounds) -> Self {
         let configuration = watch::Topic::Configuration;
         Self {
-            configuration: watch::Watch::new(configuration, bounds.configuration_ms),
-            servers: watch::Watch::new(watch::Topic::Servers, bounds.servers_ms),
-            role: watch::Duty::Joining,
+            configuration: watch::Subscription::new(configuration, bounds.configuration_ms),
+            servers: watch::Subscription::new(watch::Topic::Servers, bounds.servers_ms),
+            role: watch::Role::Joining,
             role_checked_ms: 0,
             announced: false,
             gossip_received_ms: None,
@@ -45,7 +45,7 @@
         }
     }
 
-    pub(super) fn topic(&mut self, topic: watch::Topic) -> &mut watch::Watch {
+    pub(super) fn topic(&mut self, topic: watch::Topic) -> &mut watch::Subscription {
         match topic {
             watch::Topic::Configuration => &mut self.configuration,
             watch::Topic::Servers => &mut self.servers,
@@ -54,7 +54,7 @@
 
     /// Whether this router missed updates of the list of servers because the store was unavailable.
     pub(super) fn missed_server_updates(&self, now_ms: u64) -> bool {
-        self.servers.missed_store(self.role, now_ms)
+        self.servers.may_have_missed_removals(self.role, now_ms)
     }
 
     /// Staleness of this router's copies, by topic: the time since they were last known to be current, in milliseconds.
@@ -76,7 +76,7 @@
 
 impl Node {
     /// This router's role in following the store; `None` if the shell follows it.
-    pub fn watch_role(&self) -> Option<watch::Duty> {
+    pub fn watch_role(&self) -> Option<watch::Role> {
         self.watching.as_ref().map(|watching| watching.role)
     }
 
@@ -90,22 +90,22 @@
     }
 
     /// The polls of a topic that are in flight.
-    pub fn open_polls(&self, topic: watch::Topic, now_ms: u64) -> Vec<watch::OpenCall> {
+    pub fn open_polls(&self, topic: watch::Topic, now_ms: u64) -> Vec<watch::OpenPoll> {
         let Some(watching) = self.watching.as_ref() else { return Vec::new() };
         match topic {
-            watch::Topic::Configuration => watching.configuration.open_calls(now_ms),
-            watch::Topic::Servers => watching.servers.open_calls(now_ms),
+            watch::Topic::Configuration => watching.configuration.open_polls(now_ms),
+            watch::Topic::Servers => watching.servers.open_polls(now_ms),
         }
     }
 
     /// Handles the end of a poll that was requested with [`Action::Poll`]. The end of a poll that was given up before
     /// is only counted.
-    pub fn poll_ended(&mut self, call: watch::Call, outcome: watch::Outcome, now_ms: u64) {
+    pub fn poll_ended(&mut self, call: watch::Poll, outcome: watch::Outcome, now_ms: u64) {
         let topic = call.topic;
         let routers = self.members.live_count();
         let Some(watching) = &mut self.watching else { return };
         let role = watching.role;
-        let Some(poll) = watching.topic(topic).ended(call.number) else {
+        let Some(poll) = watching.topic(topic).finish(call.number) else {
             self.count_call(poll_purpose(topic), CallOutcome::Late);
             return;
         };
@@ -115,7 +115,7 @@
             self.check_unconfirmed_era(era, poll.sent_ms(), now_ms);
             if self.reject_earlier_era(topic, era) {
                 let Some(watching) = &mut self.watching else { return };
-                watching.topic(topic).failed(false, role, routers, now_ms, &mut self.rng);
+                watching.topic(topic).handle_failure(false, role, routers, now_ms, &mut self.rng);
                 return;
             }
             if !poll.accepts_answer_at(*position) {
@@ -125,23 +125,23 @@
         self.count_poll(topic, &outcome);
         let Some(watching) = &mut self.watching else { return };
         match outcome {
-            watch::Outcome::Answered { position, news } => {
-                let has_update = news.any();
+            watch::Outcome::Answered { position, update } => {
+                let has_update = update.has_changes();
                 let subscription = watching.topic(topic);
-                let was_refused = subscription.was_refused(role, now_ms);
-                subscription.answered(role, poll, position, has_update, now_ms);
+                let was_refused = subscription.was_rejected(role, now_ms);
+                subscription.handle_answer(role, poll, position, has_update, now_ms);
                 match has_update {
                     true => self.relay.schedule_pushes(now_ms),
                     false => self.relay.push_due = true,
                 }
-                self.apply_update(position, news, was_refused, now_ms);
+                self.apply_update(position, update, was_refused, now_ms);
             }
-            watch::Outcome::Forgotten => watching.topic(topic).forgotten(),
-            watch::Outcome::Refused => {
-                watching.topic(topic).failed(true, role, routers, now_ms, &mut self.rng);
+            watch::Outcome::HistoryLost => watching.topic(topic).request_full_state(),
+            watch::Outcome::Rejected => {
+                watching.topic(topic).handle_failure(true, role, routers, now_ms, &mut self.rng);
             }
-            watch::Outcome::Silent => {
-                watching.topic(topic).failed(false, role, routers, now_ms, &mut self.rng);
+            watch::Outcome::NoAnswer => {
+                watching.topic(topic).handle_failure(false, role, routers, now_ms, &mut self.rng);
             }
         }
     }
@@ -149,19 +149,19 @@
     fn apply_update(
         &mut self,
         position: store::Position,
-        update: watch::News,
+        update: watch::Update,
         was_refused: bool,
         now_ms: u64,
     ) {
         match update {
-            watch::News::Configuration(update) => {
+            watch::Update::Configuration(update) => {
                 // Before the configuration, with which a starting router becomes ready.
                 self.apply_evacuations(position, update.evacuations, now_ms);
                 if let Some(published) = update.published {
                     self.offer_config(*published, now_ms);
                 }
             }
-            watch::News::Servers(mut changes) => {
+            watch::Update::Servers(mut changes) => {
                 // Peers may have sent later changes in the meantime.
                 let own_position = self.vms_index;
                 changes.retain(|change| change.position > own_position);
@@ -170,12 +170,12 @@
                 }
                 self.apply_changes(position.max(own_position), changes, was_refused, now_ms);
             }
-            watch::News::AllServers(_) if position < self.vms_index => {
+            watch::Update::AllServers(_) if position < self.vms_index => {
                 let (topic, known) = (watch::Topic::Servers, self.vms_index);
                 let notice = Notice::StaleAnswerIgnored { topic, position, known };
                 self.actions.push(Action::Notice(notice));
             }
-            watch::News::AllServers(all) => {
+            watch::Update::AllServers(all) => {
                 if self.vms_index != store::Position::START && position.era > self.vms_index.era {
                     self.prepare_era_change(&all, now_ms);
                 } else if was_refused {
@@ -291,12 +291,12 @@
         let mut given_up = Vec::new();
         for topic in watch::Topic::ALL {
             let subscription = watching.topic(topic);
-            if let Some(call) = subscription.give_up(now_ms) {
+            if let Some(call) = subscription.abandon_superseded(now_ms) {
                 given_up.push((topic, call));
             }
-            let alone = silent_ms >= subscription.overdue_ms();
+            let alone = silent_ms >= subscription.stale_after_ms();
             let fleet = watch::Fleet { routers, rank, alone };
-            if let Some(call) = subscription.due(role, fleet, now_ms, &mut self.rng) {
+            if let Some(call) = subscription.due_poll(role, fleet, now_ms, &mut self.rng) {
                 self.actions.push(Action::Poll(call));
             }
         }
@@ -315,7 +315,7 @@
         let settled = now_ms >= self.started_ms + MEMBERSHIP_SETTLE_MS;
         let without_peers = self.members.live().next().is_none();
         let Some(watching) = &mut self.watching else { return };
-        let polls = matches!(watching.role, watch::Duty::EveryRouter | watch::Duty::Watcher);
+        let polls = matches!(watching.role, watch::Role::EveryRouter | watch::Role::Watcher);
         if polls && !watching.announced && (settled || without_peers) {
             watching.announced = true;
             self.count_call(CallPurpose::Announce, CallOutcome::Sent);
@@ -325,7 +325,7 @@
 
     fn update_role(&mut self, now_ms: u64) {
         let Some(watching) = &self.watching else { return };
-        let is_joining = watching.role == watch::Duty::Joining;
+        let is_joining = watching.role == watch::Role::Joining;
         if !is_joining && now_ms < watching.role_checked_ms + ROLE_CHECK_INTERVAL_MS {
             return;
         }
@@ -338,37 +338,37 @@
         }
     }
 
-    fn current_role(&self, watching: &Watching, now_ms: u64) -> watch::Duty {
+    fn current_role(&self, watching: &Watching, now_ms: u64) -> watch::Role {
         let routers = self.members.live_count() as usize;
         if routers == 1 {
             let awaits_peers =
                 now_ms < self.started_ms + JOIN_TIMEOUT_MS && !watching.has_all_copies();
-            return match awaits_peers && self.members.asks_seeds() {
-                true => watch::Duty::Joining,
-                false => watch::Duty::EveryRouter,
+            return match awaits_peers && self.members.can_join_from_seeds() {
+                true => watch::Role::Joining,
+                false => watch::Role::EveryRouter,
             };
         }
         if now_ms < self.started_ms + MEMBERSHIP_SETTLE_MS {
-            return watch::Duty::Listener;
+            return watch::Role::Listener;
         }
-        if routers <= watch::ALL_WATCH_MAX {
-            return watch::Duty::EveryRouter;
+        if routers <= watch::EVERY_ROUTER_FLEET_MAX {
+            return watch::Role::EveryRouter;
         }
         let live = self.members.live().filter(|record| record.health == members::Health::Alive);
         let watchers = watch::watchers(live.chain([self.members.own()]));
         match watchers.contains(&self.settings.incarnation) && self.lifecycle == Lifecycle::Ready {
-            true => watch::Duty::Watcher,
-            false => watch::Duty::Listener,
+            true => watch::Role::Watcher,
+            false => watch::Role::Listener,
         }
     }
 
     fn count_poll(&mut self, topic: watch::Topic, outcome: &watch::Outcome) {
         let outcome = match outcome {
-            watch::Outcome::Answered { news, .. } if news.any() => CallOutcome::News,
+            watch::Outcome::Answered { update, .. } if update.has_changes() => CallOutcome::News,
             watch::Outcome::Answered { .. } => CallOutcome::Empty,
-            watch::Outcome::Forgotten => CallOutcome::Forgotten,
-            watch::Outcome::Refused => CallOutcome::Refused,
-            watch::Outcome::Silent => CallOutcome::Silent,
+            watch::Outcome::HistoryLost => CallOutcome::Forgotten,
+            watch::Outcome::Rejected => CallOutcome::Refused,
+            watch::Outcome::NoAnswer => CallOutcome::Silent,
         };
         self.count_call(poll_purpose(topic), outcome);
     }
--- a/core/tests/watch_fleet/mod.rs
+++ b/core/tests/watch_fleet/mod.rs
@@ -40,7 +40,7 @@
 }
 
 struct Waiting {
-    call: watch::Call,
+    call: watch::Poll,
     sent_ms: u64,
     /// The store took it and never answers it.
     unanswered: bool,
@@ -51,7 +51,7 @@
     arrives_ms: u64,
     /// The store's era when it answered; `None` if it did not.
     era: Option<u64>,
-    call: watch::Call,
+    call: watch::Poll,
     outcome: watch::Outcome,
 }
 
@@ -269,7 +269,7 @@
             from,
             kind: message::GossipKind::Push,
             digest,
-            news: Vec::new(),
+            member_updates: Vec::new(),
             leaving: Vec::new(),
             quarantine: Default::default(),
             limits: Vec::new(),
@@ -280,7 +280,7 @@
 
     pub fn watchers(&self) -> Vec<usize> {
         let watches = |router: &Router| {
-            router.alive && router.node.watch_role() == Some(watch::Duty::Watcher)
+            router.alive && router.node.watch_role() == Some(watch::Role::Watcher)
         };
         (0..self.routers.len()).filter(|place| watches(&self.routers[*place])).collect()
     }
@@ -423,7 +423,7 @@
             (true, store::Request::Write { key, expected_index, value, .. }) => {
                 match self.values.get(key).cloned() {
                     Some((revision, value)) if revision != expected_index.revision => {
-                        store::Reply::Overtaken { index: self.position(revision), value }
+                        store::Reply::ConflictWith { index: self.position(revision), value }
                     }
                     None if expected_index.revision != 0 => store::Reply::Conflict,
                     _ => {
