--- a/src/api_error.rs
+++ b/src/api_error.rs
@@ -1,6 +1,6 @@
-//! Errors towards callers: typed JSON in the shape of the API that their clients speak.
+//! Errors for callers, as JSON in the format of the OpenAI-compatible API.
 //!
-//! Each says whether the request ran: `not_run`, `ran` or `unknown`.
+//! Each error states whether the request ran: `not_run`, `ran` or `unknown`.
 
 use actix_web::http::StatusCode;
 use actix_web::{HttpResponse, HttpResponseBuilder};
@@ -11,51 +11,51 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ran {
-    /// It did not, and consumed nothing.
+    /// The request did not run and consumed nothing.
     NotRun,
-    /// It did, in part or in full.
+    /// The request ran, in part or in full.
     Ran,
-    /// It may have.
+    /// The request may have run.
     Unknown,
 }
 
-/// What went wrong, for a caller.
+/// An error that is returned to a caller.
 #[derive(Clone, Debug)]
 pub struct ApiError {
-    /// The HTTP status.
+    /// The HTTP status of the response.
     pub status: StatusCode,
-    /// A word for programs.
+    /// The error code, for programs.
     pub code: &'static str,
-    /// A line for people.
+    /// The description of the error, for people.
     pub message: String,
     /// Whether the request ran.
     pub ran: Ran,
-    /// When to come back.
+    /// After which time the caller may retry, in milliseconds; `None` if no time is suggested.
     pub retry_after_ms: Option<u64>,
 }
 
 impl ApiError {
-    /// A request that is wrong in itself.
+    /// An error for an invalid request.
     pub fn invalid(code: &'static str, message: impl Into<String>) -> Self {
         Self::not_run(StatusCode::BAD_REQUEST, code, message)
     }
 
-    /// A request that did not run.
+    /// An error for a request that did not run, without a time to retry.
     pub fn not_run(status: StatusCode, code: &'static str, message: impl Into<String>) -> Self {
         Self { status, code, message: message.into(), ran: Ran::NotRun, retry_after_ms: None }
     }
 
-    /// The control thread is gone: the process is ending.
+    /// The error if the control thread has ended because the process is stopping.
     pub fn closing() -> Self {
         refusal(node::Reason::Stopping, 1_000)
     }
 
-    /// The body of the error.
+    /// The JSON body of the error.
     pub fn body(&self) -> serde_json::Value {
         serde_json::json!({
             "error": {
                 "message": self.message,
-                "type": kind(self.status),
+                "type": error_type(self.status),
                 "code": self.code,
                 "param": null,
                 "ran": self.ran,
@@ -64,7 +64,7 @@
         })
     }
 
-    /// The whole response.
+    /// The HTTP response with the error. `Retry-After` is rounded up to whole seconds.
     pub fn response(&self) -> HttpResponse {
         let mut response = HttpResponseBuilder::new(self.status);
         if let Some(retry_after_ms) = self.retry_after_ms {
@@ -75,7 +75,7 @@
     }
 }
 
-/// The error for a refusal by the control state.
+/// The error for a request that the control state refused.
 pub fn refusal(reason: node::Reason, retry_after_ms: u64) -> ApiError {
     let (status, code, message) = describe(reason);
     let ran = match reason {
@@ -89,13 +89,18 @@
     ApiError { status, code, message: message.to_owned(), ran, retry_after_ms }
 }
 
+/// The status, the code and the message for the reason of a refusal.
 fn describe(reason: node::Reason) -> (StatusCode, &'static str, &'static str) {
     use node::Reason;
     let unavailable = StatusCode::SERVICE_UNAVAILABLE;
     match reason {
         Reason::NotReady => (unavailable, "not_ready", "this router has no configuration yet"),
         Reason::Stopping => (unavailable, "stopping", "this router is stopping"),
-        Reason::Fenced => (unavailable, "fenced", "this router must restart before it takes work"),
+        Reason::Fenced => (
+            unavailable,
+            "fenced",
+            "this router has been fenced off and must restart before it accepts requests",
+        ),
         Reason::Unconfigured => {
             (StatusCode::NOT_FOUND, "not_configured", "the service or budget is not configured")
         }
@@ -107,59 +112,62 @@
         Reason::BudgetUnreachable => (
             unavailable,
             "budget_unreachable",
-            "no tokens are left here and the budget's ledger cannot be reached",
+            "this router has no tokens of the budget left and cannot reach the budget's ledger",
         ),
         Reason::Overloaded => (
             StatusCode::TOO_MANY_REQUESTS,
             "overloaded",
-            "all fitting backend servers are busy and the queue is full or too slow",
+            "all matching backend servers are busy, and the queue is full or too slow",
+        ),
+        Reason::NoServer => (unavailable, "no_server", "no matching backend server is live"),
+        Reason::DeadlineTooClose => (
+            StatusCode::GATEWAY_TIMEOUT,
+            "deadline",
+            "the deadline passed before the request could start",
         ),
-        Reason::NoServer => (unavailable, "no_server", "no fitting backend server is live"),
-        Reason::DeadlineTooClose => {
-            (StatusCode::GATEWAY_TIMEOUT, "deadline", "the deadline passed before it could start")
-        }
         Reason::ClaimUnreachable => (
             unavailable,
             "claim_unreachable",
-            "that this request runs at most once could not be made sure of",
+            "it could not be ensured that this request runs at most once",
         ),
         Reason::InProgress => (
             StatusCode::CONFLICT,
             "in_progress",
-            "a request with this id is under way or its outcome is unknown",
+            "a request with this id is in progress or its outcome is unknown",
         ),
         Reason::IdConflict => (
             StatusCode::UNPROCESSABLE_ENTITY,
             "id_conflict",
-            "this id was used for another request",
+            "this id was used for a different request",
         ),
         Reason::Quarantined => (
             unavailable,
             "quarantined",
-            "backend servers crashed while they ran this request: it is kept from them for a while",
+            "backend servers crashed while they ran this request, so it is not sent to any server for a while",
         ),
         Reason::Suspended => (
             unavailable,
             "suspended",
-            "a backend server has just crashed while it ran this request",
+            "a backend server has just crashed while it ran this request: retry in a moment",
         ),
         Reason::Limited => (
             StatusCode::TOO_MANY_REQUESTS,
             "limited",
-            "all fitting backend servers limit the requests that they take, and their places are gone",
+            "all matching backend servers limit the rate of requests, and none can take this one in time",
         ),
         Reason::Backoff => (
             unavailable,
             "backoff",
-            "all fitting backend servers turned requests away and asked for none for a while",
+            "all matching backend servers rejected requests and asked to receive none for a while",
         ),
         Reason::RetriesExhausted => {
-            (unavailable, "retries_exhausted", "the backend server failed and retries are used up")
+            (unavailable, "retries_exhausted", "the backend server failed and no retries are left")
         }
     }
 }
 
-fn kind(status: StatusCode) -> &'static str {
+/// The value of the field `type` for a status.
+fn error_type(status: StatusCode) -> &'static str {
     match status {
         StatusCode::UNAUTHORIZED => "authentication_error",
         StatusCode::FORBIDDEN => "permission_error",
--- a/src/completion.rs
+++ b/src/completion.rs
@@ -1,14 +1,14 @@
-//! The OpenAI-compatible form of completions, as far as routers must understand it.
+//! The OpenAI-compatible format of completions, as far as routers interpret it.
 //!
-//! Fields that they need not understand pass through untouched.
+//! All other fields are forwarded unchanged.
 
 use crate::{api_error, bound};
 use doorswitch_core::config;
 use serde::Deserialize;
 use serde_json::Value;
 
-/// Fields that never become part of a prompt. Every other one counts towards its bound.
-const NOT_PROMPT: [&str; 16] = [
+/// Fields that never become part of the prompt. Every other field counts towards the bound on the prompt's tokens.
+const NON_PROMPT_FIELDS: [&str; 16] = [
     "model",
     "stream",
     "stream_options",
@@ -27,10 +27,10 @@
     "priority",
 ];
 
-/// Bytes of a prompt's beginning that decide where its cached prefix may be.
+/// The number of bytes at the beginning of a prompt by which requests with a common cached prefix are recognized.
 const PREFIX_BYTES: usize = 256;
 
-/// Which of the two endpoints was called.
+/// The endpoint that was called.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Endpoint {
     /// `/v1/chat/completions`
@@ -40,7 +40,7 @@
 }
 
 impl Endpoint {
-    /// The endpoint's path, towards callers and engines alike.
+    /// The path of the endpoint, the same at this router and at engines.
     pub fn path(self) -> &'static str {
         match self {
             Self::Chat => "/v1/chat/completions",
@@ -48,6 +48,7 @@
         }
     }
 
+    /// The value of the field `object` in answers.
     fn object(self, streamed: bool) -> &'static str {
         match (self, streamed) {
             (Self::Chat, true) => "chat.completion.chunk",
@@ -57,28 +58,28 @@
     }
 }
 
-/// A caller's request.
+/// A completion request of a caller.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The endpoint.
+    /// The endpoint that was called.
     pub endpoint: Endpoint,
-    /// The model's name.
+    /// The name of the model.
     pub model: String,
-    /// Whether the caller wants a stream.
+    /// Whether the answer is to be streamed.
     pub stream: bool,
-    /// Whether the caller wants the usage at the end of a stream.
+    /// Whether a stream is to end with the usage.
     pub include_usage: bool,
-    /// What the caller limits the answer to.
+    /// The caller's limit on the tokens of the answer.
     pub max_tokens: Option<u64>,
-    /// The most tokens that the prompt can have.
+    /// An upper bound on the tokens of the prompt.
     pub prompt_bound_tokens: u64,
-    /// A digest of the prompt's beginning.
+    /// A digest of the model and the beginning of the prompt.
     pub prefix_hash: u64,
     body: serde_json::Map<String, Value>,
 }
 
 impl Request {
-    /// Reads and checks a request's body.
+    /// Parses and validates the body of a request.
     pub fn parse(endpoint: Endpoint, body: &[u8]) -> Result<Self, api_error::ApiError> {
         let body: serde_json::Map<String, Value> =
             serde_json::from_slice(body).map_err(|error| {
@@ -86,15 +87,15 @@
                 api_error::ApiError::invalid("invalid_json", message)
             })?;
         let model = body.get("model").and_then(Value::as_str);
-        let model = model.ok_or_else(|| missing("model", "a string"))?.to_owned();
+        let model = model.ok_or_else(|| invalid_field("model", "a string"))?.to_owned();
         check_prompt(endpoint, &body)?;
         let parts = prompt_parts(&body);
-        single(&body, "n")?;
-        single(&body, "best_of")?;
+        check_single(&body, "n")?;
+        check_single(&body, "best_of")?;
         Ok(Self {
             endpoint,
             model,
-            stream: flag(&body, "stream")?,
+            stream: bool_field(&body, "stream")?,
             include_usage: body
                 .get("stream_options")
                 .and_then(|options| options.get("include_usage"))
@@ -102,23 +103,25 @@
                 .unwrap_or(false),
             max_tokens: max_tokens(&body)?,
             prompt_bound_tokens: bound::prompt_tokens(&parts),
-            prefix_hash: prefix_hash(&beginning(&body)),
+            prefix_hash: prefix_hash(&prompt_beginning(&body)),
             body,
         })
     }
 
-    /// The answer's limit: the caller's, or the service's where there is none.
+    /// The limit on the tokens of the answer: the caller's, or the service's if the caller set none.
     pub fn answer_tokens(&self, service: &config::Service) -> Result<u64, api_error::ApiError> {
-        let most = service.answer_tokens_max;
-        let wanted = self.max_tokens.unwrap_or(most);
-        if (1..=most).contains(&wanted) {
-            return Ok(wanted);
+        let service_max = service.answer_tokens_max;
+        let requested = self.max_tokens.unwrap_or(service_max);
+        if (1..=service_max).contains(&requested) {
+            return Ok(requested);
         }
-        let message = format!("max_tokens: {wanted} is out of range (1 to {most} is allowed)");
+        let message =
+            format!("max_tokens: {requested} is out of range (1 to {service_max} is allowed)");
         Err(api_error::ApiError::invalid("invalid_max_tokens", message))
     }
 
-    /// The body for an engine: always streamed, metered in every chunk, resumed where needed.
+    /// The body of the request to an engine: it asks for a stream with the usage in every chunk, which resumes after
+    /// `resume_from` tokens if that is not 0.
     pub fn upstream_body(&self, answer_tokens: u64, priority: u8, resume_from: u64) -> Value {
         let mut body = self.body.clone();
         body.insert("stream".to_owned(), true.into());
@@ -134,45 +137,45 @@
     }
 }
 
-/// One chunk of an engine's stream.
+/// A chunk of an engine's stream.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Chunk {
-    /// What was generated.
+    /// The generated pieces; routers request one answer, so there is at most one.
     #[serde(default)]
     pub choices: Vec<Choice>,
-    /// What was used so far.
+    /// The tokens used so far.
     pub usage: Option<Usage>,
 }
 
-/// A piece of the answer.
+/// A piece of the answer in a chunk.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Choice {
-    /// For chat.
+    /// The piece of the message, at the chat endpoint.
     pub delta: Option<Delta>,
-    /// For text.
+    /// The piece of text, at the text endpoint.
     pub text: Option<String>,
-    /// Why the answer ended, in its last chunk.
+    /// Why the answer ended; set in its last chunk only.
     pub finish_reason: Option<String>,
 }
 
-/// A piece of a message.
+/// A piece of a chat message.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Delta {
-    /// Its text.
+    /// The text of the piece.
     pub content: Option<String>,
 }
 
-/// Tokens used.
+/// The tokens that a request used.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 pub struct Usage {
-    /// By the prompt.
+    /// The number of tokens in the prompt.
     pub prompt_tokens: u64,
-    /// By the answer so far.
+    /// The number of tokens in the answer so far.
     pub completion_tokens: u64,
 }
 
 impl Chunk {
-    /// The text in the chunk.
+    /// The concatenated text of all choices in the chunk.
     pub fn text(&self) -> String {
         let texts = self.choices.iter().filter_map(|choice| {
             let delta = choice.delta.as_ref().and_then(|delta| delta.content.as_deref());
@@ -181,27 +184,27 @@
         texts.collect()
     }
 
-    /// Why the answer ended, if this is the end.
+    /// Why the answer ended, if this is its last chunk.
     pub fn finish_reason(&self) -> Option<&str> {
         self.choices.iter().find_map(|choice| choice.finish_reason.as_deref())
     }
 }
 
-/// What the answers to one request have in common.
+/// The fields that all chunks of one answer have in common.
 #[derive(Clone, Debug)]
 pub struct Envelope {
-    /// The answer's id.
+    /// The id of the answer.
     pub id: String,
-    /// The model's name.
+    /// The name of the model.
     pub model: String,
-    /// The endpoint.
+    /// The endpoint that was called.
     pub endpoint: Endpoint,
-    /// When the answer began, in Unix seconds.
+    /// When the answer started, in Unix seconds.
     pub created_s: u64,
 }
 
 impl Envelope {
-    /// A chunk for the caller, as an event.
+    /// Formats a chunk with text for the caller as a server-sent event.
     pub fn chunk(&self, text: &str, finish_reason: Option<&str>) -> String {
         let choice = match self.endpoint {
             Endpoint::Chat => serde_json::json!({
@@ -214,12 +217,12 @@
         event(&self.body(true, vec![choice], None))
     }
 
-    /// The chunk that carries the usage, as an event.
+    /// Formats the chunk with the usage as a server-sent event.
     pub fn usage_chunk(&self, usage: Usage) -> String {
         event(&self.body(true, Vec::new(), Some(usage)))
     }
 
-    /// The whole answer.
+    /// The body of a complete answer that is not streamed.
     pub fn whole(&self, text: &str, finish_reason: &str, usage: Usage) -> Value {
         let choice = match self.endpoint {
             Endpoint::Chat => serde_json::json!({
@@ -253,7 +256,7 @@
     }
 }
 
-/// An event of a stream.
+/// Formats a JSON value as a server-sent event.
 pub fn event(body: &Value) -> String {
     format!("data: {body}\n\n")
 }
@@ -261,21 +264,22 @@
 /// The event that ends a stream.
 pub const DONE: &str = "data: [DONE]\n\n";
 
+/// Checks that the field with the prompt is present and has the right type.
 fn check_prompt(
     endpoint: Endpoint,
     body: &serde_json::Map<String, Value>,
 ) -> Result<(), api_error::ApiError> {
-    let (key, found, wanted) = match endpoint {
+    let (key, type_matches, expected) = match endpoint {
         Endpoint::Text => ("prompt", body.get("prompt").map(Value::is_string), "a string"),
         Endpoint::Chat => ("messages", body.get("messages").map(Value::is_array), "an array"),
     };
-    if found == Some(true) { Ok(()) } else { Err(missing(key, wanted)) }
+    if type_matches == Some(true) { Ok(()) } else { Err(invalid_field(key, expected)) }
 }
 
-/// All that may become part of the prompt: each message, and whatever else the body holds.
+/// Everything that may become part of the prompt: each message, and each other field that is not excluded.
 fn prompt_parts(body: &serde_json::Map<String, Value>) -> Vec<String> {
     let mut parts = Vec::new();
-    for (key, value) in body.iter().filter(|(key, _)| !NOT_PROMPT.contains(&key.as_str())) {
+    for (key, value) in body.iter().filter(|(key, _)| !NON_PROMPT_FIELDS.contains(&key.as_str())) {
         match value.as_array().filter(|_| key == "messages") {
             Some(messages) => parts.extend(messages.iter().map(Value::to_string)),
             None => parts.push(value.to_string()),
@@ -285,8 +289,8 @@
 }
 
 fn max_tokens(body: &serde_json::Map<String, Value>) -> Result<Option<u64>, api_error::ApiError> {
-    let given = body.get("max_completion_tokens").or_else(|| body.get("max_tokens"));
-    match given {
+    let limit = body.get("max_completion_tokens").or_else(|| body.get("max_tokens"));
+    match limit {
         None | Some(Value::Null) => Ok(None),
         Some(value) => {
             let number = value.as_u64();
@@ -298,18 +302,18 @@
     }
 }
 
-fn flag(
+fn bool_field(
     body: &serde_json::Map<String, Value>,
     key: &'static str,
 ) -> Result<bool, api_error::ApiError> {
     match body.get(key) {
         None | Some(Value::Null) => Ok(false),
-        Some(value) => value.as_bool().ok_or_else(|| missing(key, "true or false")),
+        Some(value) => value.as_bool().ok_or_else(|| invalid_field(key, "true or false")),
     }
 }
 
-/// Several answers to one prompt would cost more than the bound says.
-fn single(
+/// Refuses requests for several answers to one prompt, which could cost more than the computed bound.
+fn check_single(
     body: &serde_json::Map<String, Value>,
     key: &'static str,
 ) -> Result<(), api_error::ApiError> {
@@ -323,12 +327,12 @@
     }
 }
 
-fn missing(key: &str, wanted: &str) -> api_error::ApiError {
-    api_error::ApiError::invalid("invalid_field", format!("{key}: {wanted} is needed"))
+fn invalid_field(key: &str, expected: &str) -> api_error::ApiError {
+    api_error::ApiError::invalid("invalid_field", format!("{key}: {expected} is required"))
 }
 
-/// The model and the first bytes of the prompt: what an engine's cached prefix begins with.
-fn beginning(body: &serde_json::Map<String, Value>) -> Vec<u8> {
+/// The model and the first bytes of the prompt, with which an engine's cached prefix begins.
+fn prompt_beginning(body: &serde_json::Map<String, Value>) -> Vec<u8> {
     let fields = ["model", "prompt", "messages"].into_iter().filter_map(|key| body.get(key));
     let text: String = fields.map(Value::to_string).collect();
     text.bytes().take(PREFIX_BYTES).collect()
--- a/src/keep_alive.rs
+++ b/src/keep_alive.rs
@@ -1,28 +1,30 @@
-//! Finds half-open connections: nothing comes, nothing is acknowledged, and nobody closes them.
+//! TCP keep-alive settings that detect half-open connections, on which nothing arrives or is acknowledged and which
+//! neither side closes.
 //!
-//! The kernel probes a connection that rests, and gives one up whose bytes stay unacknowledged. That costs no call
-//! and no thread, and whoever reads or writes sees an error.
+//! The kernel probes idle connections, and closes a connection whose data stays unacknowledged. This takes no calls and
+//! no threads, and readers and writers get an error.
 
 use crate::logging;
 use socket2::{SockRef, TcpKeepalive};
 use std::os::fd::AsFd;
 use std::time::Duration;
 
-/// How soon the silence of a connection shows.
+/// How soon a connection whose peer does not respond is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeepAlive {
-    /// A connection that carried nothing for so long is probed; whole seconds.
+    /// How long a connection is idle before it is probed, in whole seconds.
     pub idle: Duration,
-    /// The time between two probes; whole seconds.
+    /// The time between two probes, in whole seconds.
     pub interval: Duration,
-    /// It is given up when so many probes were not acknowledged.
+    /// The number of unacknowledged probes after which the connection is closed.
     pub probes: u32,
-    /// It is given up when bytes stay unacknowledged for so long.
+    /// How long data may stay unacknowledged before the connection is closed.
     pub unacknowledged: Duration,
 }
 
-/// To the platform's store. Silence shows within 2 s, the kernel's least: below the bounds for news that deployments
-/// have had. A probe that is lost on a sound link costs one call more.
+/// For connections to the platform's store. An unresponsive peer is detected within 2 s, the kernel's minimum: this is
+/// below the bounds on staleness that deployments have used. A probe that is lost on a working link costs one more
+/// call.
 pub const STORE: KeepAlive = KeepAlive {
     idle: Duration::from_secs(1),
     interval: Duration::from_secs(1),
@@ -30,8 +32,8 @@
     unacknowledged: Duration::from_millis(1_500),
 };
 
-/// Between routers and to backend servers. Silence shows within 3 s. A connection that is given up there may carry an
-/// answer, so that one lost probe is not enough.
+/// For connections between routers and to backend servers. An unresponsive peer is detected within 3 s. Closing such a
+/// connection may lose an answer, so one lost probe is not enough.
 pub const TRAFFIC: KeepAlive = KeepAlive {
     idle: Duration::from_secs(1),
     interval: Duration::from_secs(1),
@@ -40,7 +42,7 @@
 };
 
 impl KeepAlive {
-    /// Has the kernel watch over a connection.
+    /// Applies the settings to a connection. An error is logged and otherwise ignored.
     pub fn watch_over(self, connection: &impl AsFd) {
         let descriptor = connection.as_fd();
         let socket = SockRef::from(&descriptor);
