--- a/src/auth.rs
+++ b/src/auth.rs
@@ -29,7 +29,7 @@
 }
 
 /// Whether two digests are equal. The time of the comparison does not depend on where they differ.
-pub fn same(one: &KeyDigest, other: &KeyDigest) -> bool {
+pub fn digests_equal(one: &KeyDigest, other: &KeyDigest) -> bool {
     one.ct_eq(other).into()
 }
 
--- a/src/gateway/socket.rs
+++ b/src/gateway/socket.rs
@@ -66,7 +66,7 @@
             socket.bind(net::SocketAddr::new(local, 0))?;
         }
         let stream = socket.connect(target).await?;
-        keep_alive::TRAFFIC.watch_over(&stream);
+        keep_alive::TRAFFIC.apply_to(&stream);
         Ok(Self::new(stream))
     }
 
--- a/src/http_client.rs
+++ b/src/http_client.rs
@@ -15,7 +15,7 @@
 ) -> awc::Client {
     let tcp = connect::Connector::new(connect::Resolver::default()).service();
     let with_keep_alive = tcp.map(move |connection: connect::Connection<awc::http::Uri, _>| {
-        keep_alive.watch_over(connection.io_ref());
+        keep_alive.apply_to(connection.io_ref());
         connection
     });
     let connector = awc::Connector::new().connector(with_keep_alive).timeout(connect_timeout);
--- a/src/keep_alive.rs
+++ b/src/keep_alive.rs
@@ -43,7 +43,7 @@
 
 impl KeepAlive {
     /// Applies the settings to a connection. An error is logged and otherwise ignored.
-    pub fn watch_over(self, connection: &impl AsFd) {
+    pub fn apply_to(self, connection: &impl AsFd) {
         let descriptor = connection.as_fd();
         let socket = SockRef::from(&descriptor);
         let probing = TcpKeepalive::new()
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -144,7 +144,7 @@
 }
 
 async fn receive<R: Receiver>(stream: tokio::net::TcpStream, receiver: Addr<R>) {
-    keep_alive::TRAFFIC.watch_over(&stream);
+    keep_alive::TRAFFIC.apply_to(&stream);
     let mut framed = codec::Framed::new(stream, frame_codec());
     while let Some(Ok(frame)) = framed.next().await {
         match decode::<message::Envelope>(&frame) {
--- a/src/peers/link.rs
+++ b/src/peers/link.rs
@@ -104,6 +104,6 @@
     let stream = socket.connect(target).await?;
     stream.set_nodelay(true)?;
     // Frames sent into a silent connection would be lost as long as it looks open.
-    keep_alive::TRAFFIC.watch_over(&stream);
+    keep_alive::TRAFFIC.apply_to(&stream);
     Ok(stream)
 }
--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -47,7 +47,8 @@
     pub fn workspace(&self, key: &str) -> Option<&config::Workspace> {
         let digest = auth::digest(key);
         let candidates = self.keys.get(&first_bytes(&digest))?;
-        let (_, place) = candidates.iter().find(|(known, _)| auth::same(known, &digest))?;
+        let (_, place) =
+            candidates.iter().find(|(known, _)| auth::digests_equal(known, &digest))?;
         self.document.workspaces.get(*place)
     }
 
