--- a/src/api_error.rs
+++ b/src/api_error.rs
@@ -10,7 +10,7 @@
 /// Whether a request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ran {
+pub enum Execution {
     /// The request did not run and consumed nothing.
     NotRun,
     /// The request ran, in part or in full.
@@ -29,7 +29,7 @@
     /// The description of the error, for people.
     pub message: String,
     /// Whether the request ran.
-    pub ran: Ran,
+    pub execution: Execution,
     /// After which time the caller may retry, in milliseconds; `None` if no time is suggested.
     pub retry_after_ms: Option<u64>,
 }
@@ -42,7 +42,13 @@
 
     /// An error for a request that did not run, without a time to retry.
     pub fn not_run(status: StatusCode, code: &'static str, message: impl Into<String>) -> Self {
-        Self { status, code, message: message.into(), ran: Ran::NotRun, retry_after_ms: None }
+        Self {
+            status,
+            code,
+            message: message.into(),
+            execution: Execution::NotRun,
+            retry_after_ms: None,
+        }
     }
 
     /// The error if the control thread has ended because the process is stopping.
@@ -58,7 +64,7 @@
                 "type": error_type(self.status),
                 "code": self.code,
                 "param": null,
-                "ran": self.ran,
+                "ran": self.execution,
                 "retry_after_ms": self.retry_after_ms,
             }
         })
@@ -78,15 +84,15 @@
 /// The error for a request that the control state refused.
 pub fn refusal(reason: node::Reason, retry_after_ms: u64) -> ApiError {
     let (status, code, message) = describe(reason);
-    let ran = match reason {
-        node::Reason::InProgress => Ran::Unknown,
-        _ => Ran::NotRun,
+    let execution = match reason {
+        node::Reason::InProgress => Execution::Unknown,
+        _ => Execution::NotRun,
     };
     let retry_after_ms = match reason {
         node::Reason::IdConflict | node::Reason::Unconfigured => None,
         _ => Some(retry_after_ms),
     };
-    ApiError { status, code, message: message.to_owned(), ran, retry_after_ms }
+    ApiError { status, code, message: message.to_owned(), execution, retry_after_ms }
 }
 
 /// The status, the code and the message for the reason of a refusal.
--- a/src/gateway/refusal.rs
+++ b/src/gateway/refusal.rs
@@ -54,7 +54,7 @@
     let status = actix_web::http::StatusCode::BAD_GATEWAY;
     let message = "the request was sent and may have run; no complete answer was received";
     let mut error = not_run(status, "outcome_unknown", message);
-    error.ran = api_error::Ran::Unknown;
+    error.execution = api_error::Execution::Unknown;
     error
 }
 
@@ -62,7 +62,7 @@
 pub fn deadline_exceeded() -> api_error::ApiError {
     let status = actix_web::http::StatusCode::GATEWAY_TIMEOUT;
     let mut error = not_run(status, "timeout", "the answer was not received before the deadline");
-    error.ran = api_error::Ran::Unknown;
+    error.execution = api_error::Execution::Unknown;
     error
 }
 
--- a/src/model.rs
+++ b/src/model.rs
@@ -283,7 +283,8 @@
         }
         self.settle(slot, progress, false).await;
         let delivered = progress.delivered_tokens > 0;
-        error.ran = if delivered { api_error::Ran::Ran } else { api_error::Ran::Unknown };
+        error.execution =
+            if delivered { api_error::Execution::Ran } else { api_error::Execution::Unknown };
         Err(Failure { error })
     }
 }
--- a/src/plain.rs
+++ b/src/plain.rs
@@ -105,7 +105,7 @@
             };
             upstream::finish(&self.control, slot, ending).await;
             if may_have_run {
-                error.ran = api_error::Ran::Unknown;
+                error.execution = api_error::Execution::Unknown;
             }
             return error.response();
         }
@@ -157,7 +157,7 @@
     let Some(body) = outcome.body else {
         let message = "the request ran, and its answer was too large to be recorded";
         let mut error = api_error::ApiError::not_run(StatusCode::CONFLICT, "replayed", message);
-        error.ran = api_error::Ran::Ran;
+        error.execution = api_error::Execution::Ran;
         return error.response();
     };
     HttpResponseBuilder::new(status)
@@ -183,6 +183,6 @@
     let message = "the request was sent once and its outcome is unknown; it will not run again";
     let mut error =
         api_error::ApiError::not_run(StatusCode::BAD_GATEWAY, "outcome_unknown", message);
-    error.ran = api_error::Ran::Unknown;
+    error.execution = api_error::Execution::Unknown;
     error
 }
