--- a/src/gateway/backends.rs
+++ b/src/gateway/backends.rs
@@ -132,7 +132,7 @@
     local: net::IpAddr,
     idle: RefCell<HashMap<Upstream, Vec<Idle>>>,
     open: RefCell<Vec<Open>>,
-    probes: RefCell<HashMap<Upstream, Rc<OnceCell<probe::Probed>>>>,
+    probes: RefCell<HashMap<Upstream, Rc<OnceCell<probe::ProbeResult>>>>,
     /// Tasks that check for a while whether connections that probes established stay open.
     probe_watches: RefCell<task::JoinSet<()>>,
 }
@@ -197,7 +197,7 @@
         &self,
         placement: &upstream::Placement,
         control: &Addr<control::Control>,
-    ) -> probe::Probed {
+    ) -> probe::ProbeResult {
         let upstream = Upstream { address: placement.address.clone(), life: placement.life };
         let shared = self.probes.borrow_mut().entry(upstream.clone()).or_default().clone();
         let result = *shared.get_or_init(|| self.run_probe(placement, control)).await;
@@ -212,7 +212,7 @@
         &self,
         placement: &upstream::Placement,
         control: &Addr<control::Control>,
-    ) -> probe::Probed {
+    ) -> probe::ProbeResult {
         let lost = Instant::now();
         let others_open = || self.has_connection_before(placement, lost);
         let (result, socket) = probe::probe(&placement.address, self.local, others_open).await;
--- a/src/probe.rs
+++ b/src/probe.rs
@@ -26,7 +26,7 @@
 
 /// How a server's address reacts to a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Probed {
+pub enum ProbeResult {
     /// The connection was accepted.
     Accepts,
     /// The connection was refused: nothing listens there, so the server process has ended.
@@ -35,7 +35,7 @@
     Silent,
 }
 
-impl Probed {
+impl ProbeResult {
     /// The value of the key `server` in log lines.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -54,22 +54,22 @@
     address: &str,
     local: net::IpAddr,
     others_open: impl Fn() -> bool,
-) -> (Probed, Option<socket::Socket>) {
-    let Ok(target) = address.parse() else { return (Probed::Silent, None) };
+) -> (ProbeResult, Option<socket::Socket>) {
+    let Ok(target) = address.parse() else { return (ProbeResult::Silent, None) };
     for _ in 0..CONNECTIONS_MAX {
         let connecting = socket::Socket::connect(target, local);
         let socket = match tokio::time::timeout(PROBE_TIMEOUT, connecting).await {
             Ok(Ok(socket)) => socket,
-            Ok(Err(error)) if is_refusal(&error) => return (Probed::Refuses, None),
-            Ok(Err(_)) | Err(_) => return (Probed::Silent, None),
+            Ok(Err(error)) if is_refusal(&error) => return (ProbeResult::Refuses, None),
+            Ok(Err(_)) | Err(_) => return (ProbeResult::Silent, None),
         };
         let ended = socket.ends_within(OPEN_TIME_MIN).await
             || (!others_open() && socket.ends_within(OPEN_TIME_MIN_ALONE - OPEN_TIME_MIN).await);
         if !ended {
-            return (Probed::Accepts, Some(socket));
+            return (ProbeResult::Accepts, Some(socket));
         }
     }
-    (Probed::Accepts, None)
+    (ProbeResult::Accepts, None)
 }
 
 /// Watches the connection that a probe established, and probes again if it ends within `WATCH_TIME`: the server process
@@ -84,7 +84,7 @@
     if tokio::time::timeout(WATCH_TIME, ended).await.is_err() {
         return;
     }
-    if let (Probed::Refuses, _) = probe(&address, local, || true).await {
+    if let (ProbeResult::Refuses, _) = probe(&address, local, || true).await {
         log::info!("event=server_refuses vm={} after=accepted", server.vm);
         control.do_send(control::ServerRefused(server));
     }
@@ -102,7 +102,7 @@
     place: &upstream::Placement,
     id: &str,
     request: ids::Fingerprint,
-    probing: impl Future<Output = Probed>,
+    probing: impl Future<Output = ProbeResult>,
 ) {
     let server = place.server();
     let (slot, address) = (place.slot, place.address.clone());
@@ -115,11 +115,11 @@
         result.as_str()
     );
     match result {
-        Probed::Refuses => {
+        ProbeResult::Refuses => {
             control.do_send(control::ServerRefused(server));
             tokio::time::sleep(UPDATE_LEAD_TIME).await;
         }
-        Probed::Accepts => control.do_send(control::ServerAccepted(server)),
-        Probed::Silent => {}
+        ProbeResult::Accepts => control.do_send(control::ServerAccepted(server)),
+        ProbeResult::Silent => {}
     }
 }
--- a/tests/external_names.rs
+++ b/tests/external_names.rs
@@ -9,8 +9,9 @@
 
 #[test]
 fn results_of_probes() {
-    let probed = [probe::Probed::Accepts, probe::Probed::Refuses, probe::Probed::Silent];
-    assert_eq!(probed.map(probe::Probed::as_str), ["Accepts", "Refuses", "Silent"]);
+    let probed =
+        [probe::ProbeResult::Accepts, probe::ProbeResult::Refuses, probe::ProbeResult::Silent];
+    assert_eq!(probed.map(probe::ProbeResult::as_str), ["Accepts", "Refuses", "Silent"]);
 }
 
 const SETTINGS: &str = "{vm: a, region: b, failure_domain: c, operators: {listen: '127.0.0.1:1'}, \
