--- a/src/front.rs
+++ b/src/front.rs
@@ -432,7 +432,7 @@
     ids::RequestKey { high: first_u64(&digest[..8]), low: first_u64(&digest[8..16]) }
 }
 
-/// A digest that tells a repeated request from another one with the same id.
+/// A digest that distinguishes a repeated request from another one with the same id.
 fn body_hash(target: &str, body: &[u8]) -> u64 {
     let mut hasher = sha2::Sha256::new();
     hasher.update(target.as_bytes());
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,8 +1,8 @@
 //! The gateway: forwards requests to backend servers by routes, which match host and path, and returns the answers
 //! unchanged.
 //!
-//! Both sides are `hyper` connections: they end when the peer closes, and an answer that is cut short can be told from
-//! a complete one (see `tests/http_ends.rs`). Everything runs on the control thread.
+//! Both sides are `hyper` connections: they end when the peer closes, and an answer that is cut short can be
+//! distinguished from a complete one (see `tests/http_ends.rs`). Everything runs on the control thread.
 
 mod attempt;
 mod backends;
--- a/src/probe.rs
+++ b/src/probe.rs
@@ -99,19 +99,19 @@
 /// result of the probe. Returns once an answer to the client may be sent.
 pub async fn report_connection_lost(
     control: &Addr<control::Control>,
-    place: &upstream::Placement,
+    placement: &upstream::Placement,
     id: &str,
     request: ids::Fingerprint,
     probing: impl Future<Output = ProbeResult>,
 ) {
-    let server = place.server();
-    let (slot, address) = (place.slot, place.address.clone());
+    let server = placement.server();
+    let (slot, address) = (placement.slot, placement.address.clone());
     let run = node::BrokenRun { slot, server: server.clone(), address, request };
     control.do_send(control::RunBroken(run));
     let result = probing.await;
     log::info!(
         "event=run_broken id={id} vm={} fingerprint={request} server={}",
-        place.vm,
+        placement.vm,
         result.as_str()
     );
     match result {
