--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,8 +1,8 @@
-//! The time of day.
+//! The wall clock.
 
 use std::time;
 
-/// The time of day in Unix seconds; 0 before 1970.
+/// The current time in Unix seconds; 0 if the clock shows a time before 1970.
 pub fn unix_time_s() -> u64 {
     let since = time::SystemTime::now().duration_since(time::UNIX_EPOCH);
     since.map_or(0, |since| since.as_secs())
--- a/src/control.rs
+++ b/src/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: an actor that owns the core's state and all platform and peer traffic.
+//! The control actor: owns the core's state and all traffic with the platform and with peers.
 
 mod handlers;
 mod messages;
@@ -17,30 +17,30 @@
 use std::{collections, net};
 use tokio::sync::oneshot;
 
-/// The time between two ticks.
-const TICK: Duration = Duration::from_millis(20);
-/// How long a connection of the callers' API to a backend server may take to come up; the client library's default.
+/// The time between two calls of the core's periodic work.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// The connect timeout from the callers' API to a backend server; the default of the client library.
 const SERVER_CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
-/// After a failed watch the next one waits about this long.
-const WATCH_AGAIN: Duration = Duration::from_millis(500);
+/// The mean delay before a watch that failed is repeated; jitter is added.
+const WATCH_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// The minimum time between two log lines for unreadable eras, in milliseconds.
 const ERA_UNREADABLE_LOG_INTERVAL_MS: u64 = 60_000;
-/// The answers to requests in the order asked; the sender side lives in the actor.
+/// Receives the core's answer for a request; the actor keeps the sender.
 pub type Reply = oneshot::Receiver<node::Answer>;
 
-/// What the control thread is made of.
+/// The parameters of a new control actor.
 pub struct Parts {
-    /// The process's settings.
+    /// The settings of this process.
     pub settings: Arc<settings::Settings>,
-    /// What traffic threads read.
+    /// The state that traffic threads read.
     pub published: Arc<snapshot::Published>,
-    /// The bound peer sockets.
+    /// The bound sockets for peers: connections and datagrams.
     pub sockets: (net::TcpListener, net::UdpSocket),
-    /// This life of the process.
+    /// The incarnation of this router process.
     pub incarnation: ids::Incarnation,
 }
 
-/// The actor.
+/// The control actor. All access to the core goes through its messages.
 pub struct Control {
     settings: Arc<settings::Settings>,
     published: Arc<snapshot::Published>,
@@ -48,7 +48,7 @@
     incarnation: ids::Incarnation,
     node: node::Node,
     platform: stores::Store,
-    /// Asks for what the core follows, where that is not followed by other means.
+    /// Polls the store for the core; `None` if the protocol has its own watches.
     feed: Option<feed::Feed>,
     http: awc::Client,
     peers: Option<peers::Peers>,
@@ -58,20 +58,20 @@
     vms_index: u64,
     /// The number of times the index of the platform's list of VMs decreased.
     platform_era: u64,
-    polling: collections::HashSet<ids::ServerSlot>,
-    /// Calls for news in flight.
-    watches: collections::HashMap<(watch::Topic, u64), actix::SpawnHandle>,
+    load_polls: collections::HashSet<ids::ServerSlot>,
+    /// Polls in flight, by topic and number.
+    polls: collections::HashMap<(watch::Topic, u64), actix::SpawnHandle>,
     telemetry: telemetry::Reporter,
-    /// The revision of the suspected requests that traffic threads know.
+    /// The last published revision of the suspected requests.
     suspected_revision: u64,
     /// The last logged era of the store.
     logged_era: Option<u64>,
-    /// When an unreadable era was last logged.
+    /// The time at which an unreadable era was last logged, in milliseconds since the start.
     era_unreadable_logged_ms: Option<u64>,
 }
 
 impl Control {
-    /// An actor that has not started.
+    /// Creates an actor without starting it.
     pub fn new(parts: Parts) -> Self {
         let settings = parts.settings;
         let local = settings.peers.listen.ip();
@@ -90,8 +90,8 @@
             config_index: 0,
             vms_index: 0,
             platform_era: 0,
-            polling: Default::default(),
-            watches: Default::default(),
+            load_polls: Default::default(),
+            polls: Default::default(),
             telemetry: telemetry::Reporter::default(),
             suspected_revision: 0,
             logged_era: None,
@@ -107,7 +107,7 @@
     fn tick(&mut self, context: &mut Context<Self>) {
         let now_ms = self.now_ms();
         self.node.tick(now_ms);
-        self.carry_out(context);
+        self.perform_actions(context);
         let age_ms = self.node.age_ms(watch::Topic::Configuration, now_ms);
         self.published.set_config_age_ms(age_ms);
         if self.node.lifecycle() == node::Lifecycle::Stopped {
@@ -116,7 +116,7 @@
         self.telemetry.report(&self.node, now_ms);
     }
 
-    fn carry_out(&mut self, context: &mut Context<Self>) {
+    fn perform_actions(&mut self, context: &mut Context<Self>) {
         self.published.set_ready(self.node.lifecycle() == node::Lifecycle::Ready);
         self.publish_suspected();
         self.published.set_knows_limits(!self.node.servers().limits().is_empty());
@@ -128,9 +128,9 @@
                         peers.send(&address, envelope);
                     }
                 }
-                node::Action::Watch(call) => self.ask_store(call, context),
+                node::Action::Watch(call) => self.poll_store(call, context),
                 node::Action::CancelWatch { topic, number } => {
-                    self.cancel_watch(topic, number, context);
+                    self.cancel_poll(topic, number, context);
                 }
                 node::Action::Announce => self.announce(context),
                 node::Action::Gossip { address, gossip } => {
@@ -151,7 +151,7 @@
     }
 
     /// Passes the store's era to the core, including that of answers without other content.
-    fn hear_store_era(&mut self) {
+    fn handle_store_era(&mut self) {
         let Some(store) = self.platform.revisions().cloned() else { return };
         let era = store.era();
         if era != self.logged_era {
@@ -189,10 +189,10 @@
         let platform = self.platform.clone();
         let reply = async move { platform.call(request).await };
         let done = reply.into_actor(self).map(move |reply, control, context| {
-            control.hear_store_era();
+            control.handle_store_era();
             let now_ms = control.now_ms();
             control.node.store_reply(call, reply, now_ms);
-            control.carry_out(context);
+            control.perform_actions(context);
         });
         context.spawn(done);
     }
@@ -201,7 +201,7 @@
         let Some(waiter) = self.waiters.remove(&slot) else { return };
         let dispatched = matches!(answer, node::Answer::Dispatch { .. });
         if waiter.send(answer).is_err() && dispatched {
-            // The caller left while the request waited: nothing was sent.
+            // The caller disconnected while the request was queued: nothing was sent to a server.
             let now_ms = self.now_ms();
             self.node.finish(slot, node::Ending::NotRun, now_ms);
         }
@@ -217,26 +217,26 @@
         telemetry::log_config(&self.node, version, source, prepaid_tokens, self.now_ms());
     }
 
-    fn wait_for(&mut self, slot: ids::RequestSlot) -> Reply {
+    fn register_waiter(&mut self, slot: ids::RequestSlot) -> Reply {
         let (sender, receiver) = oneshot::channel();
         self.waiters.insert(slot, sender);
         receiver
     }
 
     fn watch_config(&self, platform: platform::Client, context: &mut Context<Self>) {
-        let again = platform.clone();
+        let next_client = platform.clone();
         let index = self.config_index;
         let watch = async move { platform.watch(config::KEY, index).await };
         let done = watch.into_actor(self).map(move |result, control, context| {
-            let pause = control.take_config(result);
-            control.carry_out(context);
-            context.run_later(pause, |control, context| control.watch_config(again, context));
+            let pause = control.handle_config_watch(result);
+            control.perform_actions(context);
+            context.run_later(pause, |control, context| control.watch_config(next_client, context));
         });
         context.spawn(done);
     }
 
-    /// Takes a watch's result; returns how long to wait before the next one.
-    fn take_config(
+    /// Passes the result of a watch to the core. Returns the delay before the next watch.
+    fn handle_config_watch(
         &mut self,
         result: Result<Option<platform::Entry>, platform::Error>,
     ) -> Duration {
@@ -254,16 +254,16 @@
                 }
                 jittered(Duration::from_millis(20))
             }
-            Ok(None) => jittered(WATCH_AGAIN),
+            Ok(None) => jittered(WATCH_RETRY_DELAY),
             Err(error) => {
                 log::debug!("event=config_watch_failed fault={}", logging::quoted(error));
-                jittered(WATCH_AGAIN)
+                jittered(WATCH_RETRY_DELAY)
             }
         }
     }
 
     fn watch_vms(&self, platform: platform::Client, context: &mut Context<Self>) {
-        let again = platform.clone();
+        let next_client = platform.clone();
         let index = self.vms_index;
         let watch = async move { platform.vms(index).await };
         let done = watch.into_actor(self).map(move |result, control, context| {
@@ -275,36 +275,36 @@
                     let now_ms = control.now_ms();
                     let index = store::Position { era: control.platform_era, revision: list.index };
                     control.node.offer_vms(index, list.vms, now_ms);
-                    control.carry_out(context);
+                    control.perform_actions(context);
                     Duration::from_millis(20)
                 }
                 Err(error) => {
                     log::debug!("event=vms_watch_failed fault={}", logging::quoted(error));
-                    WATCH_AGAIN
+                    WATCH_RETRY_DELAY
                 }
             };
             context.run_later(jittered(pause), |control, context| {
-                control.watch_vms(again, context);
+                control.watch_vms(next_client, context);
             });
         });
         context.spawn(done);
     }
 
-    fn ask_store(&mut self, call: watch::Call, context: &mut Context<Self>) {
+    fn poll_store(&mut self, call: watch::Call, context: &mut Context<Self>) {
         let Some(feed) = self.feed.clone() else { return };
-        let done = feed.ask(call).into_actor(self).map(move |outcome, control, context| {
-            control.watches.remove(&(call.topic, call.number));
-            control.hear_store_era();
+        let done = feed.poll(call).into_actor(self).map(move |outcome, control, context| {
+            control.polls.remove(&(call.topic, call.number));
+            control.handle_store_era();
             let now_ms = control.now_ms();
             control.node.watched(call, outcome, now_ms);
-            control.carry_out(context);
+            control.perform_actions(context);
         });
-        self.watches.insert((call.topic, call.number), context.spawn(done));
+        self.polls.insert((call.topic, call.number), context.spawn(done));
     }
 
-    /// Drops a call for news, and the connection that carries it.
-    fn cancel_watch(&mut self, topic: watch::Topic, number: u64, context: &mut Context<Self>) {
-        if let Some(call) = self.watches.remove(&(topic, number)) {
+    /// Cancels a poll, which closes its connection.
+    fn cancel_poll(&mut self, topic: watch::Topic, number: u64, context: &mut Context<Self>) {
+        if let Some(call) = self.polls.remove(&(topic, number)) {
             context.cancel_future(call);
         }
     }
@@ -317,21 +317,21 @@
     }
 
     fn poll_loads(&mut self, context: &mut Context<Self>) {
-        let most = self.settings.limits.load_subset as usize;
+        let servers_max = self.settings.limits.load_subset as usize;
         let due: Vec<(ids::ServerSlot, String)> = self
             .node
             .servers()
-            .subset(self.incarnation, most, self.now_ms())
+            .subset(self.incarnation, servers_max, self.now_ms())
             .into_iter()
-            .filter(|(slot, _)| !self.polling.contains(slot))
+            .filter(|(slot, _)| !self.load_polls.contains(slot))
             .map(|(slot, server)| (slot, server.vm.address.clone()))
             .collect();
         for (slot, address) in due {
-            self.polling.insert(slot);
+            self.load_polls.insert(slot);
             let http = self.http.clone();
-            let load = async move { ask_load(&http, &address).await };
+            let load = async move { fetch_load(&http, &address).await };
             let done = load.into_actor(self).map(move |load, control, _| {
-                control.polling.remove(&slot);
+                control.load_polls.remove(&slot);
                 if let Some(load) = load {
                     control.node.report_load(slot, load);
                 }
@@ -354,7 +354,7 @@
                 }
             }
         }
-        context.run_interval(TICK, Control::tick);
+        context.run_interval(TICK_INTERVAL, Control::tick);
         match self.platform.clone() {
             stores::Store::Consul(client) => {
                 self.watch_config(client.clone(), context);
@@ -362,13 +362,13 @@
                 let poll = Duration::from_millis(self.settings.limits.load_poll_ms);
                 context.run_interval(poll, Control::poll_loads);
             }
-            // The core asks for what it wants to follow.
+            // The core requests its polls by actions.
             stores::Store::Revisions(_) => {}
         }
     }
 }
 
-/// Asks the control thread and waits for the answer; `None` if the thread is gone.
+/// Waits for the answer to a message of the control actor; `None` if the actor has stopped.
 pub async fn ask(reply: Result<Reply, actix::MailboxError>) -> Option<node::Answer> {
     match reply {
         Ok(receiver) => receiver.await.ok(),
@@ -376,12 +376,12 @@
     }
 }
 
-/// A client whose connections come from the router's own address.
+/// An HTTP client that binds its connections to the router's own address.
 pub fn local_client(local: net::IpAddr) -> awc::Client {
     http_client::build(keep_alive::TRAFFIC, SERVER_CONNECT_TIMEOUT, Some(local))
 }
 
-async fn ask_load(http: &awc::Client, address: &str) -> Option<servers::Load> {
+async fn fetch_load(http: &awc::Client, address: &str) -> Option<servers::Load> {
     let request = http.get(format!("http://{address}/load")).timeout(Duration::from_secs(1));
     let mut response = request.send().await.ok()?;
     if !response.status().is_success() {
--- a/src/control/handlers.rs
+++ b/src/control/handlers.rs
@@ -1,4 +1,4 @@
-//! What the actor does with each message.
+//! The message handlers of the control actor.
 
 use super::{Control, messages};
 use crate::peers;
@@ -13,7 +13,7 @@
     fn handle(&mut self, arrived: peers::Arrived, context: &mut Self::Context) {
         let now_ms = self.now_ms();
         self.node.message(arrived.0, now_ms);
-        self.carry_out(context);
+        self.perform_actions(context);
     }
 }
 
@@ -23,7 +23,7 @@
     fn handle(&mut self, arrived: peers::GossipArrived, context: &mut Self::Context) {
         let now_ms = self.now_ms();
         self.node.gossip(&arrived.0, now_ms);
-        self.carry_out(context);
+        self.perform_actions(context);
     }
 }
 
@@ -34,8 +34,8 @@
         let now_ms = self.now_ms();
         admit.wanted.deadline_ms = admit.wanted.deadline_ms.saturating_add(now_ms);
         let slot = self.node.admit(admit.wanted, now_ms);
-        let reply = self.wait_for(slot);
-        self.carry_out(context);
+        let reply = self.register_waiter(slot);
+        self.perform_actions(context);
         actix::MessageResult((slot, reply))
     }
 }
@@ -45,9 +45,9 @@
 
     fn handle(&mut self, finish: messages::Finish, context: &mut Self::Context) -> Self::Result {
         let now_ms = self.now_ms();
-        let reply = self.wait_for(finish.slot);
+        let reply = self.register_waiter(finish.slot);
         self.node.finish(finish.slot, finish.ending, now_ms);
-        self.carry_out(context);
+        self.perform_actions(context);
         actix::MessageResult(reply)
     }
 }
@@ -57,9 +57,9 @@
 
     fn handle(&mut self, retry: messages::Retry, context: &mut Self::Context) -> Self::Result {
         let now_ms = self.now_ms();
-        let reply = self.wait_for(retry.slot);
+        let reply = self.register_waiter(retry.slot);
         self.node.retry(retry.slot, retry.tried, now_ms);
-        self.carry_out(context);
+        self.perform_actions(context);
         actix::MessageResult(reply)
     }
 }
@@ -83,7 +83,7 @@
             heard_ms: heard.elapsed().as_millis() as u64,
         };
         self.node.report_said(&vm, life, &said, age, now_ms);
-        self.carry_out(context);
+        self.perform_actions(context);
     }
 }
 
@@ -93,7 +93,7 @@
     fn handle(&mut self, broken: messages::RunBroken, context: &mut Self::Context) {
         let now_ms = self.now_ms();
         self.node.run_broken(&broken.0, now_ms);
-        self.carry_out(context);
+        self.perform_actions(context);
     }
 }
 
@@ -103,7 +103,7 @@
     fn handle(&mut self, refused: messages::ServerRefused, context: &mut Self::Context) {
         let now_ms = self.now_ms();
         self.node.server_refused(&refused.0, now_ms);
-        self.carry_out(context);
+        self.perform_actions(context);
     }
 }
 
@@ -121,7 +121,7 @@
     fn handle(&mut self, ended: messages::EndedWell, context: &mut Self::Context) {
         let now_ms = self.now_ms();
         self.node.ended_well(ended.0, now_ms);
-        self.carry_out(context);
+        self.perform_actions(context);
     }
 }
 
@@ -131,7 +131,7 @@
     fn handle(&mut self, release: messages::Release, context: &mut Self::Context) -> usize {
         let now_ms = self.now_ms();
         let crashes = self.node.release(release.request, release.dry_run, now_ms);
-        self.carry_out(context);
+        self.perform_actions(context);
         crashes
     }
 }
@@ -148,7 +148,7 @@
         if !release.dry_run && tokens > 0 {
             log::warn!("event=withheld_released budget={} tokens={tokens}", release.budget);
         }
-        self.carry_out(context);
+        self.perform_actions(context);
         Some(tokens)
     }
 }
@@ -194,6 +194,6 @@
         log::info!("event=stopping");
         let now_ms = self.now_ms();
         self.node.stop(now_ms);
-        self.carry_out(context);
+        self.perform_actions(context);
     }
 }
--- a/src/control/messages.rs
+++ b/src/control/messages.rs
@@ -1,127 +1,128 @@
-//! What the control thread is told and asked.
+//! The messages of the control actor.
 
 use super::Reply;
 use actix::prelude::Message;
 use doorswitch_core::{ids, node, quarantine, servers};
 use std::time::Instant;
 
-/// Asks to admit a request. The reply names its slot, for what follows.
+/// Asks to admit a request. The reply holds its slot, which later messages of the request name.
 #[derive(Debug, Message)]
 #[rtype(result = "(ids::RequestSlot, Reply)")]
 pub struct Admit {
-    /// The request; its deadline is a time left, in milliseconds.
+    /// The request. Its deadline counts from now, in milliseconds.
     pub wanted: node::Wanted,
 }
 
-/// Reports the end of a dispatched request. The reply comes when its end is safe.
+/// Reports the end of a dispatched request. The reply comes when its settlement is safe.
 #[derive(Debug, Message)]
 #[rtype(result = "Reply")]
 pub struct Finish {
     /// The request.
     pub slot: ids::RequestSlot,
-    /// How it ended.
+    /// The outcome of the request.
     pub ending: node::Ending,
 }
 
-/// Asks for another server after one failed.
+/// Asks for another server after an attempt failed.
 #[derive(Debug, Message)]
 #[rtype(result = "Reply")]
 pub struct Retry {
     /// The request.
     pub slot: ids::RequestSlot,
-    /// What became of the try.
+    /// How the attempt failed.
     pub tried: node::Tried,
 }
 
-/// A server said on an answer how loaded it is.
+/// The load that a server reported with an answer.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct Reported {
     /// The server's VM.
     pub vm: String,
-    /// The life of the server that said so.
+    /// The incarnation of the server that reported it.
     pub life: ids::ServerLife,
-    /// Its load.
+    /// The load.
     pub load: servers::Load,
 }
 
-/// A server said something of itself in the head of an answer.
+/// The directives of a server in the head of an answer.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct HeadReported {
     /// The server's VM.
     pub vm: String,
-    /// The life of the server that said so.
+    /// The incarnation of the server that sent them.
     pub life: ids::ServerLife,
-    /// What it said.
+    /// The directives.
     pub said: servers::Said,
-    /// When the request was sent.
+    /// The time at which the request was sent.
     pub sent: Instant,
-    /// When the head came.
+    /// The time at which the head was received.
     pub heard: Instant,
 }
 
-/// A run broke off before its answer was whole.
+/// A run whose connection ended before its answer was complete.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct RunBroken(pub node::BrokenRun);
 
-/// A server's address refuses connections.
+/// A server instance whose address refuses connections.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct ServerRefused(pub quarantine::LifeOf);
 
-/// A server took a connection after a run on it broke off.
+/// A server instance that accepted a connection after a run on it broke off.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct ServerAccepted(pub quarantine::LifeOf);
 
-/// A run of a request ended well against which a crash may count.
+/// A request that a crash may count against, of which a run succeeded.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct EndedWell(pub ids::Fingerprint);
 
-/// Releases a request from quarantine; how many crashes counted against it.
+/// Releases a request from quarantine. The reply is the number of crashes that counted against it.
 #[derive(Debug, Message)]
 #[rtype(result = "usize")]
 pub struct Release {
     /// The request.
     pub request: ids::Fingerprint,
-    /// Only tells.
+    /// Only counts the crashes, without a release.
     pub dry_run: bool,
 }
 
-/// Releases what is withheld of a budget since a restore of the store; how many tokens, `None` if the budget is unknown.
+/// Releases the tokens of a budget that are withheld since the store was restored. The reply is their number, `None`
+/// if the budget is unknown.
 #[derive(Debug, Message)]
 #[rtype(result = "Option<u64>")]
 pub struct ReleaseWithheld {
     /// The budget's name in the ledger.
     pub budget: String,
-    /// Only tells.
+    /// Only counts the tokens, without a release.
     pub dry_run: bool,
 }
 
-/// The answer of a dispatched request has begun.
+/// A dispatched request whose answer has started.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct Answering(pub ids::RequestSlot);
 
-/// The settings now name these rates of the platform.
+/// Sets the rates of the platform after a change of the settings.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "()")]
 pub struct Rates {
-    /// Reads that it takes a second, from all together.
+    /// Reads per second that the platform accepts from all routers together.
     pub reads_per_s: u64,
-    /// Writes that it takes a second, from all together.
+    /// Writes per second that the platform accepts from all routers together.
     pub writes_per_s: u64,
 }
 
-/// Addresses were found where other routers may be.
+/// Adds addresses at which other routers may be reached.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct OfferSeeds(pub Vec<String>);
 
-/// Asks for the whole state.
+/// Asks for the complete state of the router as JSON.
 #[derive(Debug, Message)]
 #[rtype(result = "serde_json::Value")]
 pub struct Dump;
--- a/src/control/stores.rs
+++ b/src/control/stores.rs
@@ -1,11 +1,11 @@
-//! The platform's store, whichever protocol it speaks.
+//! The client of the platform's store, for each protocol.
 
 use crate::{http_client, keep_alive, platform, settings};
 use doorswitch_core::store as core_store;
 use doorswitch_platform::store;
 use std::time::Duration;
 
-/// The platform's store, by the protocol that the settings name.
+/// A client of the platform's store, by the protocol in the settings.
 #[derive(Clone)]
 pub(super) enum Store {
     Consul(platform::Client),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The client of a store that the core follows.
+    /// The client, if the protocol is the one whose changes the core polls for.
     pub(super) fn revisions(&self) -> Option<&store::Client> {
         match self {
             Self::Consul(_) => None,
--- a/src/feed.rs
+++ b/src/feed.rs
@@ -1,4 +1,4 @@
-//! Asks the platform's store for what the core wants to follow.
+//! Polls the platform's store for the topics that the core follows.
 
 mod pause;
 mod unreadable;
@@ -11,27 +11,27 @@
 use std::time::{Duration, Instant};
 use std::{net, str};
 
-/// Under this prefix routers record where their peers reach them.
-const ROUTERS: &str = "doorswitch/routers/";
+/// The prefix under which each router records its address for peers.
+const ROUTERS_PREFIX: &str = "doorswitch/routers/";
 
-/// Asks the store, and reports once each entry that cannot be read.
+/// Polls the store, and reports each unreadable entry once.
 #[derive(Clone)]
 pub struct Feed {
     store: store::Client,
-    unreadable: unreadable::Reported,
+    unreadable: unreadable::ReportedEntries,
 }
 
 impl Feed {
-    /// Asks by this client.
+    /// Creates a feed that polls with this client.
     pub fn new(store: store::Client) -> Self {
-        Self { store, unreadable: unreadable::Reported::default() }
+        Self { store, unreadable: unreadable::ReportedEntries::default() }
     }
 
-    /// Makes one call of the core.
-    pub async fn ask(self, call: watch::Call) -> watch::Outcome {
+    /// Makes one poll for the core.
+    pub async fn poll(self, call: watch::Call) -> watch::Outcome {
         let prefix = prefix(call.topic);
-        let whole = call.after.is_none();
-        let asked = Instant::now();
+        let complete = call.after.is_none();
+        let started = Instant::now();
         let answer = match call.after {
             None => self.store.list(prefix).await,
             Some(after) => {
@@ -50,9 +50,11 @@
                     );
                 }
                 let news = match call.topic {
-                    watch::Topic::Configuration => self.configuration_news(&changes.changes, whole),
-                    watch::Topic::Servers if whole => self.all_servers(&changes.changes),
-                    watch::Topic::Servers => self.server_news(&changes.changes),
+                    watch::Topic::Configuration => {
+                        self.configuration_update(&changes.changes, complete)
+                    }
+                    watch::Topic::Servers if complete => self.all_servers(&changes.changes),
+                    watch::Topic::Servers => self.server_updates(&changes.changes),
                 };
                 watch::Outcome::Answered { position, news }
             }
@@ -64,7 +66,7 @@
                 log::info!(
                     "event=watch_failed prefix={prefix} wait_ms={} after_ms={} fault={}",
                     call.wait_ms,
-                    asked.elapsed().as_millis(),
+                    started.elapsed().as_millis(),
                     logging::quoted(&error)
                 );
                 match error {
@@ -76,18 +78,18 @@
         }
     }
 
-    fn configuration_news(&self, changes: &[store::Change], whole: bool) -> watch::News {
+    fn configuration_update(&self, changes: &[store::Change], complete: bool) -> watch::News {
         let evacuated = changes.iter().filter_map(|change| {
             let domain = configuration::evacuated_domain(&change.key)?.to_owned();
             let evacuated = change.content != store::Content::Gone;
             Some(evacuation::Change { position: change.position, domain, evacuated })
         });
-        let evacuations = match whole {
+        let evacuations = match complete {
             true => evacuation::News::All(evacuated.map(|change| change.domain).collect()),
             false => evacuation::News::Changes(evacuated.collect()),
         };
         let written = changes.iter().rev().filter(|change| change.key == configuration::KEY);
-        // One that cannot be read does not hide the one before it.
+        // An unreadable configuration does not hide the one before it.
         let published = written.filter_map(|change| self.configuration(change)).next();
         let published = published.map(Box::new);
         watch::News::Configuration(watch::ConfigurationNews { published, evacuations })
@@ -112,7 +114,7 @@
         watch::News::AllServers(all)
     }
 
-    fn server_news(&self, changes: &[store::Change]) -> watch::News {
+    fn server_updates(&self, changes: &[store::Change]) -> watch::News {
         let changes = changes.iter().filter_map(|change| {
             let record = match change.content {
                 store::Content::Gone => watch::ServerRecord::Gone,
@@ -132,22 +134,22 @@
     }
 }
 
-/// Records this router's address for peers, and learns those of the others: whoever records itself
-/// later finds who did before, and gossip does the rest.
+/// Records this router's address for peers and reads those of the others. Of two routers, the one that records its
+/// address later finds the other; gossip spreads the addresses from there.
 pub async fn find_peers(
     store: store::Client,
     vm: String,
     address: String,
     control: Addr<control::Control>,
 ) {
-    let key = format!("{ROUTERS}{vm}");
-    let mut pause = pause::Pause::default();
-    let unreadable = unreadable::Reported::default();
+    let key = format!("{ROUTERS_PREFIX}{vm}");
+    let mut retry_delay = pause::RetryDelay::default();
+    let unreadable = unreadable::ReportedEntries::default();
     while let Err(error) = store.put(&key, address.as_bytes()).await {
-        pause.wait("router_record_failed", ROUTERS, &error).await;
+        retry_delay.wait("router_record_failed", ROUTERS_PREFIX, &error).await;
     }
     loop {
-        match store.list(ROUTERS).await {
+        match store.list(ROUTERS_PREFIX).await {
             Ok(found) => {
                 let addresses =
                     found.changes.iter().filter_map(|change| peer_address(change, &unreadable));
@@ -155,24 +157,27 @@
                 control.do_send(control::OfferSeeds(seeds));
                 return;
             }
-            Err(error) => pause.wait("list_failed", ROUTERS, &error).await,
+            Err(error) => retry_delay.wait("list_failed", ROUTERS_PREFIX, &error).await,
         }
     }
 }
 
-/// Why a record of a router names no address.
+/// Why the address in a router's record cannot be read.
 #[derive(Debug, snafu::Snafu)]
 enum AddressError {
     #[snafu(display("the value is not encoded as the store encodes values"))]
     Undecodable,
-    #[snafu(display("the value is no text: {source}"))]
+    #[snafu(display("the value is not UTF-8: {source}"))]
     Text { source: str::Utf8Error },
-    #[snafu(display("the text is no address: {source}"))]
+    #[snafu(display("the value is not a socket address: {source}"))]
     Address { source: net::AddrParseError },
 }
 
-/// The address in a router's record.
-fn peer_address(change: &store::Change, unreadable: &unreadable::Reported) -> Option<String> {
+/// Decodes the address in a router's record; reports a record that is unreadable.
+fn peer_address(
+    change: &store::Change,
+    unreadable: &unreadable::ReportedEntries,
+) -> Option<String> {
     let read = || {
         let value = match &change.content {
             store::Content::Value(value) => value,
--- a/src/feed/unreadable.rs
+++ b/src/feed/unreadable.rs
@@ -1,4 +1,4 @@
-//! Reports entries in the store that cannot be read, once for each key and revision.
+//! Reports unreadable entries of the store, once for each key and revision.
 
 use crate::logging;
 use doorswitch_core::store::Position;
@@ -7,21 +7,21 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Entries that are remembered; a writer of more than these makes some be reported again.
-const REMEMBERED: usize = 1_024;
+/// Entries that are remembered as reported. When there are more, all are forgotten, and some are reported again.
+const REMEMBERED_ENTRIES_MAX: usize = 1_024;
 
-/// Which entries were reported.
+/// The entries that were reported, by key, with the position of the revision.
 #[derive(Clone, Debug, Default)]
-pub struct Reported(Rc<RefCell<HashMap<String, Position>>>);
+pub struct ReportedEntries(Rc<RefCell<HashMap<String, Position>>>);
 
-impl Reported {
-    /// Writes a log line and counts the entry, unless that was done for this revision of it.
+impl ReportedEntries {
+    /// Logs and counts an entry, unless this revision of it was reported before.
     pub fn report(&self, change: &store::Change, fault: &dyn std::error::Error) {
         let mut reported = self.0.borrow_mut();
         if reported.get(&change.key) == Some(&change.position) {
             return;
         }
-        if reported.len() >= REMEMBERED {
+        if reported.len() >= REMEMBERED_ENTRIES_MAX {
             reported.clear();
         }
         reported.insert(change.key.clone(), change.position);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! doorswitch: a router fleet that puts prepaid token budgets before model and application backend
 //! servers.
 //!
-//! The decisions are in `doorswitch-core`. This crate is the shell around them: one thread holds the
-//! control state and talks to the platform and to other routers, other threads serve callers.
+//! The decisions are made in `doorswitch-core`, without any input or output. This crate runs it: one thread owns the
+//! control state and exchanges messages with the platform and with other routers, other threads serve callers.
 
 pub mod answers;
 pub mod api_error;
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -1,5 +1,5 @@
-//! The address for operators: status, metrics and, behind a key of their own, the dump, the end of a quarantine and the
-//! release of withheld tokens.
+//! The HTTP API for operators: health, metrics and, with the operators' key, the dump of the state and the release of
+//! quarantined requests and of withheld tokens.
 
 use crate::{auth, control, front, telemetry};
 use actix_web::{HttpRequest, HttpResponse, web};
@@ -33,7 +33,7 @@
 
 async fn dump(shared: web::Data<front::Shared>, request: HttpRequest) -> HttpResponse {
     if !is_operator(&shared, &request) {
-        return key_needed();
+        return key_required();
     }
     match shared.control.send(control::Dump).await {
         Ok(dump) => HttpResponse::Ok().json(dump),
@@ -41,7 +41,7 @@
     }
 }
 
-/// Which request to release.
+/// The parameters of a release from quarantine.
 #[derive(serde::Deserialize)]
 struct ReleaseQuery {
     fingerprint: String,
@@ -55,7 +55,7 @@
     query: web::Query<ReleaseQuery>,
 ) -> HttpResponse {
     if !is_operator(&shared, &request) {
-        return key_needed();
+        return key_required();
     }
     let Ok(fingerprint) = query.fingerprint.parse() else {
         return HttpResponse::BadRequest().body("a fingerprint is 48 hexadecimal digits\n");
@@ -67,7 +67,7 @@
     }
 }
 
-/// The budget of which to release what is withheld.
+/// The parameters of a release of withheld tokens.
 #[derive(serde::Deserialize)]
 struct ReleaseWithheldQuery {
     budget: String,
@@ -81,7 +81,7 @@
     query: web::Query<ReleaseWithheldQuery>,
 ) -> HttpResponse {
     if !is_operator(&shared, &request) {
-        return key_needed();
+        return key_required();
     }
     let ReleaseWithheldQuery { budget, dry_run } = query.into_inner();
     match shared.control.send(control::ReleaseWithheld { budget, dry_run }).await {
@@ -92,12 +92,12 @@
 }
 
 fn is_operator(shared: &front::Shared, request: &HttpRequest) -> bool {
-    let wanted = shared.settings.operators.key_sha256.as_deref().and_then(auth::parse_digest);
+    let expected = shared.settings.operators.key_sha256.as_deref().and_then(auth::parse_digest);
     let given = auth::bearer(request.headers()).map(auth::digest);
-    matches!((wanted, given), (Some(one), Some(other)) if auth::same(&one, &other))
+    matches!((expected, given), (Some(one), Some(other)) if auth::same(&one, &other))
 }
 
-fn key_needed() -> HttpResponse {
+fn key_required() -> HttpResponse {
     HttpResponse::Unauthorized().body("an operator's key is needed\n")
 }
 
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -1,7 +1,7 @@
 //! Connections and datagrams between routers.
 //!
-//! A frame is a length, the protocol's version and a `postcard` body. Sending never waits: what
-//! cannot go out is dropped, as the core expects of a network. The receiver answers each frame with an empty one.
+//! A frame is a length, the protocol's version and a `postcard` body. Sending never waits: messages that cannot be sent
+//! are dropped, as the core tolerates loss. The receiver acknowledges each frame with an empty one.
 
 mod link;
 
@@ -18,29 +18,29 @@
 
 /// The largest frame; a configuration is the largest message.
 const FRAME_BYTES_MAX: usize = 4 << 20;
-/// The largest datagram that is sent or taken.
+/// The largest datagram that is sent or received.
 const DATAGRAM_BYTES_MAX: usize = 8 << 10;
-/// After a failed accept the next one waits so long.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(200);
+/// The delay before the next accept after one that failed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Why a frame was refused.
+/// Why a frame could not be decoded.
 #[derive(Debug, snafu::Snafu)]
 #[allow(missing_docs)]
 pub enum Error {
     #[snafu(display("frame is too short"))]
     Short,
-    #[snafu(display("protocol {found} is not spoken here (want {})", message::PROTOCOL))]
+    #[snafu(display("protocol version {found} is not supported (expected {})", message::PROTOCOL))]
     Protocol { found: u16 },
     #[snafu(display("frame is not readable: {source}"))]
     Decode { source: postcard::Error },
 }
 
-/// A message that arrived.
+/// A message that was received from a peer.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct Arrived(pub message::Envelope);
 
-/// A datagram that arrived.
+/// Gossip that was received from a peer in a datagram.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct GossipArrived(pub message::Gossip);
@@ -49,7 +49,7 @@
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     let mut frame = Vec::with_capacity(256);
     frame.put_u16_le(message::PROTOCOL);
-    // Types without maps of unknown length always encode.
+    // Encoding fails only for maps of unknown length, which these types do not have.
     postcard::to_extend(value, frame).unwrap_or_default()
 }
 
@@ -61,7 +61,7 @@
     postcard::from_bytes(frame).map_err(|source| Error::Decode { source })
 }
 
-/// Who takes what arrives.
+/// An actor that handles the messages and the gossip of peers.
 pub trait Receiver:
     actix::Actor<Context = actix::Context<Self>>
     + actix::Handler<Arrived>
@@ -69,7 +69,7 @@
 {
 }
 
-/// The sockets of one router, on the control thread.
+/// The router's sockets for peers, owned by the control actor.
 #[derive(Debug)]
 pub struct Peers {
     local: net::SocketAddr,
@@ -78,7 +78,7 @@
 }
 
 impl Peers {
-    /// Takes over bound sockets and starts receiving on them.
+    /// Starts receiving on bound sockets.
     pub fn start<R: Receiver>(
         listener: net::TcpListener,
         datagrams: net::UdpSocket,
@@ -94,10 +94,10 @@
         Ok(Self { local, datagrams, links: Default::default() })
     }
 
-    /// Sends a message, if the peer's queue has room.
+    /// Sends a message, or drops it if the peer's queue is full.
     pub fn send(&self, address: &str, envelope: message::Envelope) {
         if envelope.message.by_datagram() {
-            self.datagram(address, &message::Datagram::Message(envelope));
+            self.send_datagram(address, &message::Datagram::Message(envelope));
             return;
         }
         let mut links = self.links.borrow_mut();
@@ -110,12 +110,12 @@
         }
     }
 
-    /// Sends news of members.
+    /// Sends gossip in a datagram.
     pub fn gossip(&self, address: &str, gossip: message::Gossip) {
-        self.datagram(address, &message::Datagram::Gossip(gossip));
+        self.send_datagram(address, &message::Datagram::Gossip(gossip));
     }
 
-    fn datagram(&self, address: &str, datagram: &message::Datagram) {
+    fn send_datagram(&self, address: &str, datagram: &message::Datagram) {
         let Ok(address) = address.parse::<net::SocketAddr>() else { return };
         let frame = encode(datagram);
         if frame.len() > DATAGRAM_BYTES_MAX {
@@ -123,7 +123,7 @@
             return;
         }
         if let Err(error) = self.datagrams.try_send_to(&frame, address) {
-            // It counts as lost on the way, which is made up for.
+            // The same as a datagram lost in the network, from which the protocol recovers.
             log::debug!("event=datagram_not_sent to={address} fault={}", logging::quoted(error));
         }
     }
@@ -137,7 +137,7 @@
             }
             Err(error) => {
                 log::warn!("event=accept_failed fault={}", logging::quoted(error));
-                tokio::time::sleep(ACCEPT_AGAIN).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,4 +1,4 @@
-//! The client of the platform's service; the only place that knows its wire form.
+//! The client of the platform's service, and the only module that depends on its wire format.
 //!
 //! The key-value part is the Consul HTTP API: `GET` and `PUT ...?cas=` under `/v1/kv/`, and
 //! blocking queries for watches. The list of VMs is `GET /v1/vms`.
@@ -13,12 +13,12 @@
 use std::time::Duration;
 use std::{net, rc};
 
-/// How long a watch waits for a change.
+/// How long a watch waits for a change, in seconds.
 pub const WATCH_S: u64 = 10;
-/// The largest answer: a value holds a megabyte, base64 and JSON make it larger.
+/// The largest answer: a value has up to a megabyte, and base64 and JSON make it larger.
 const ANSWER_BYTES_MAX: usize = 64 << 20;
 
-/// Why a call gave no result.
+/// Why a call failed.
 #[derive(Debug, snafu::Snafu)]
 #[allow(missing_docs)]
 pub enum Error {
@@ -44,7 +44,7 @@
 /// The list of VMs.
 #[derive(Clone, Debug, Deserialize)]
 pub struct VmList {
-    /// Grows with every change.
+    /// The modification index, which grows with each change.
     pub index: u64,
     /// The VMs.
     pub vms: Vec<servers::Vm>,
@@ -58,7 +58,7 @@
     modify_index: u64,
 }
 
-/// A client, for one thread.
+/// A client of the platform's service. Clones share its connections; all must stay on one thread.
 #[derive(Clone)]
 pub struct Client {
     inner: rc::Rc<Inner>,
@@ -71,7 +71,7 @@
 }
 
 impl Client {
-    /// A client of the service at `url`, calling from `local` if that is given.
+    /// Creates a client of the service at `url` that binds its connections to `local`, if that is given.
     pub fn new(url: &str, timeout_ms: u64, local: Option<net::IpAddr>) -> Self {
         let timeout = Duration::from_millis(timeout_ms);
         let http = http_client::build(keep_alive::STORE, timeout, local);
@@ -79,7 +79,7 @@
         Self { inner: rc::Rc::new(inner) }
     }
 
-    /// Makes a call of the core; a failure of any kind is `Unknown`.
+    /// Makes a call for the core. Failures of all kinds become [`store::Reply::Unknown`].
     pub async fn call(&self, request: store::Request) -> store::Reply {
         let reply = match request {
             store::Request::Read { key } => self.read(&key).await.map(|entry| match entry {
@@ -113,14 +113,14 @@
         self.get_rows(&format!("/v1/kv/{prefix}?recurse"), self.inner.timeout * 10).await
     }
 
-    /// Waits until a key's index is above `index`, or some seconds have passed.
+    /// Reads a key once its index is above `index`, or after [`WATCH_S`] seconds.
     pub async fn watch(&self, key: &str, index: u64) -> Result<Option<Entry>, Error> {
         let path = format!("/v1/kv/{key}?index={index}&wait={WATCH_S}s");
         let rows = self.get_rows(&path, Duration::from_secs(WATCH_S) + self.inner.timeout).await?;
         Ok(rows.into_iter().next())
     }
 
-    /// Writes one key if its index still is `expected_index`; tells whether it was written.
+    /// Writes one key if its index is still `expected_index`. Returns whether it was written.
     pub async fn write(
         &self,
         key: &str,
@@ -142,7 +142,7 @@
         Ok(())
     }
 
-    /// Waits until the list of VMs has an index above `index`, or some seconds have passed.
+    /// Reads the list of VMs once its index is above `index`, or after [`WATCH_S`] seconds.
     pub async fn vms(&self, index: u64) -> Result<VmList, Error> {
         let url = format!("{}/v1/vms?index={index}&wait={WATCH_S}s", self.inner.url);
         let timeout = Duration::from_secs(WATCH_S) + self.inner.timeout;
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -1,7 +1,7 @@
-//! Follows the settings file: on SIGHUP, and when the file changes without one.
+//! Reloads the settings file on SIGHUP and when it is modified.
 //!
-//! What may change while a router runs is taken over (the platform's rates). A file that cannot be
-//! used changes nothing: the last good settings stay in force.
+//! Only the platform's rates can change while a router runs. A file that is unreadable or invalid changes nothing: the
+//! last valid settings stay in force.
 
 use crate::{control, logging, settings};
 use actix::prelude::Addr;
@@ -9,22 +9,22 @@
 use std::time::{Duration, SystemTime};
 use tokio::signal::unix;
 
-/// How often the file is looked at.
-const LOOK_EVERY: Duration = Duration::from_secs(2);
+/// The time between two checks of whether the file was modified.
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Follows the file for ever.
+/// Reloads the file on each change, forever.
 pub async fn follow(file: PathBuf, control: Addr<control::Control>) {
-    // Installed before anything else can fail: the signal's default would end the process.
+    // Installed first, as the default action of the signal would terminate the process.
     let mut hangup = unix::signal(unix::SignalKind::hangup()).ok();
-    let mut seen = modified(&file);
+    let mut last_modified = modified(&file);
     loop {
         let signalled = tokio::select! {
-            () = next(&mut hangup) => true,
-            () = tokio::time::sleep(LOOK_EVERY) => false,
+            () = next_signal(&mut hangup) => true,
+            () = tokio::time::sleep(POLL_INTERVAL) => false,
         };
-        let now = modified(&file);
-        if signalled || now != seen {
-            seen = now;
+        let current = modified(&file);
+        if signalled || current != last_modified {
+            last_modified = current;
             reload(&file, &control);
         }
     }
@@ -51,7 +51,7 @@
     std::fs::metadata(file).and_then(|metadata| metadata.modified()).ok()
 }
 
-async fn next(signal: &mut Option<unix::Signal>) {
+async fn next_signal(signal: &mut Option<unix::Signal>) {
     match signal {
         Some(signal) => {
             signal.recv().await;
--- a/src/router.rs
+++ b/src/router.rs
@@ -13,14 +13,14 @@
 use std::time::{Duration, Instant};
 use std::{io, net};
 
-/// How often a stopping router looks whether it is done.
-const STOP_POLL: Duration = Duration::from_millis(50);
-/// Of the time for a stop, this much is kept for handing the grants back.
+/// The time between two checks of whether a planned stop has finished.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// The part of the time for a stop that is reserved for returning the grants.
 const STOP_RESERVE: Duration = Duration::from_millis(1_000);
-/// How often a stopping router logs what it still waits for.
-const STOP_LOG_EVERY: Duration = Duration::from_secs(5);
+/// The time between two log lines on the answers that a stop waits for.
+const STOP_LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Why a router could not run.
+/// Why a router could not run or stop as planned.
 #[derive(Debug, snafu::Snafu)]
 #[allow(missing_docs)]
 pub enum Error {
@@ -28,11 +28,13 @@
     Listen { purpose: &'static str, address: net::SocketAddr, source: io::Error },
     #[snafu(display("cannot start: {source}"))]
     Start { source: io::Error },
-    #[snafu(display("the planned stop took longer than {grace_s} s; {open_answers} answers cut"))]
+    #[snafu(display(
+        "the planned stop took longer than {grace_s} s; {open_answers} answers were cut off"
+    ))]
     StopTooLong { grace_s: u64, open_answers: u64 },
 }
 
-/// What asks a running router to stop.
+/// Requests the planned stop of a running router.
 #[derive(Clone, Debug)]
 pub struct StopHandle(Arc<tokio::sync::Notify>);
 
@@ -49,18 +51,20 @@
     }
 }
 
-/// Runs until a signal or `stop` asks for a planned stop, and that is done. `file` is the settings file to
-/// follow, if there is one.
+/// Runs a router until the planned stop that a signal or `stop` requests has finished. `file` is the settings file to
+/// watch for changes, if there is one.
 pub fn run(
     settings: settings::Settings,
     file: Option<PathBuf>,
     stop: StopHandle,
 ) -> Result<(), Error> {
     telemetry::start();
-    // Every address is bound before anything starts: a second process at an address fails here.
+    // All addresses are bound before anything starts, so that a second process at the same address fails here.
     let sockets = bind_peers(&settings)?;
-    let callers = settings.callers.as_ref().map(|it| bind("callers", it.listen)).transpose()?;
-    let clients = settings.gateway.as_ref().map(|it| bind("clients", it.listen)).transpose()?;
+    let callers =
+        settings.callers.as_ref().map(|callers| bind("callers", callers.listen)).transpose()?;
+    let clients =
+        settings.gateway.as_ref().map(|gateway| bind("clients", gateway.listen)).transpose()?;
     let operators = bind("operators", settings.operators.listen)?;
     let settings = Arc::new(settings);
     let published = Arc::new(snapshot::Published::default());
@@ -74,7 +78,7 @@
         incarnation,
     };
     system.block_on(async move {
-        // Callers of the API have threads of their own, and so has the control state then.
+        // The callers' API is served on threads of its own; the control actor then has one too.
         let arbiter = settings.callers.is_some().then(Arbiter::new);
         let control = match &arbiter {
             Some(arbiter) => start_control(arbiter, parts)?,
@@ -97,14 +101,14 @@
         }
         let gateway = clients.map(|listener| start_gateway(listener, &shared));
         wait_for_stop(&stop).await;
-        let began = Instant::now();
+        let stop_started = Instant::now();
         shared.published.set_draining();
         if let Some((gateway, serving)) = gateway {
-            drain_gateway(&gateway, &shared, began).await;
+            drain_gateway(&gateway, &shared, stop_started).await;
             let _ = serving.await;
         }
         control.do_send(control::Stop);
-        let result = wait_until_stopped(&shared, began).await;
+        let result = wait_until_stopped(&shared, stop_started).await;
         for handle in handles {
             handle.stop(true).await;
         }
@@ -150,12 +154,13 @@
     Ok(server.run())
 }
 
-type Serving = tokio::task::JoinHandle<io::Result<()>>;
+/// The task that serves the clients of the routes.
+type GatewayTask = tokio::task::JoinHandle<io::Result<()>>;
 
 fn start_gateway(
     listener: net::TcpListener,
     shared: &front::Shared,
-) -> (Rc<gateway::Gateway>, Serving) {
+) -> (Rc<gateway::Gateway>, GatewayTask) {
     let local = shared.settings.peers.listen.ip();
     let gateway =
         Rc::new(gateway::Gateway::new(shared.control.clone(), shared.published.clone(), local));
@@ -163,16 +168,17 @@
     (gateway, serving)
 }
 
-/// Serves on until the balancer sends nobody any more, then until what runs has ended.
-async fn drain_gateway(gateway: &gateway::Gateway, shared: &front::Shared, began: Instant) {
+/// Accepts connections until the balancer has had time to stop sending them, then waits until the open answers have
+/// ended.
+async fn drain_gateway(gateway: &gateway::Gateway, shared: &front::Shared, stop_started: Instant) {
     let drain_ms = shared.settings.gateway.as_ref().map_or(0, |gateway| gateway.drain_ms);
     gateway.enter(gateway::Phase::Draining);
     tokio::time::sleep(Duration::from_millis(drain_ms)).await;
     gateway.enter(gateway::Phase::Closing);
     let grace = Duration::from_secs(shared.settings.limits.stop_grace_s);
-    let most = grace.saturating_sub(STOP_RESERVE);
-    while gateway.open_answers() > 0 && began.elapsed() < most {
-        tokio::time::sleep(STOP_POLL).await;
+    let wait_max = grace.saturating_sub(STOP_RESERVE);
+    while gateway.open_answers() > 0 && stop_started.elapsed() < wait_max {
+        tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
 }
 
@@ -190,7 +196,7 @@
         .run())
 }
 
-fn listens(address: Option<net::SocketAddr>) -> String {
+fn address_text(address: Option<net::SocketAddr>) -> String {
     address.map_or_else(|| "none".to_owned(), |address| address.to_string())
 }
 
@@ -212,24 +218,24 @@
     }
 }
 
-/// Waits until everything is handed back and every answer was given.
-async fn wait_until_stopped(shared: &front::Shared, began: Instant) -> Result<(), Error> {
+/// Waits until the core has stopped and every answer has ended; fails when the time for a stop has passed.
+async fn wait_until_stopped(shared: &front::Shared, stop_started: Instant) -> Result<(), Error> {
     let grace_s = shared.settings.limits.stop_grace_s;
-    let mut logged = began;
+    let mut logged = stop_started;
     loop {
         let open_answers = shared.published.open_answers();
         if shared.published.stopped() && open_answers == 0 {
             return Ok(());
         }
-        if began.elapsed() >= Duration::from_secs(grace_s) {
+        if stop_started.elapsed() >= Duration::from_secs(grace_s) {
             log::error!("event=stop_too_long open_answers={open_answers}");
             return StopTooLongSnafu { grace_s, open_answers }.fail();
         }
-        if logged.elapsed() >= STOP_LOG_EVERY {
+        if logged.elapsed() >= STOP_LOG_INTERVAL {
             logged = Instant::now();
             log::info!("event=stop_waits open_answers={open_answers}");
         }
-        tokio::time::sleep(STOP_POLL).await;
+        tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
 }
 
@@ -253,8 +259,8 @@
         settings.vm,
         settings.region,
         settings.failure_domain,
-        listens(settings.callers.as_ref().map(|callers| callers.listen)),
-        listens(settings.gateway.as_ref().map(|gateway| gateway.listen)),
+        address_text(settings.callers.as_ref().map(|callers| callers.listen)),
+        address_text(settings.gateway.as_ref().map(|gateway| gateway.listen)),
         settings.operators.listen,
         settings.advertised(),
         logging::quoted(&settings.platform.url),
--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -1,31 +1,31 @@
-//! What traffic threads read without asking the control thread: the configuration, compiled.
+//! State that traffic threads read without a message to the control actor, such as the compiled configuration.
 
 use crate::{auth, fingerprint, logging, policy};
 use doorswitch_core::{config, ids};
 use std::{collections, sync::atomic, sync::atomic::AtomicBool, sync::atomic::AtomicU64};
 use tokio::sync::watch;
 
-/// A configuration in a form made for lookups.
+/// A compiled configuration with indexes for lookups.
 #[derive(Debug)]
 pub struct Snapshot {
     /// The version.
     pub version: u64,
     /// The document.
     pub document: config::Document,
-    /// Keys by the first bytes of their digest; the rest is compared in constant time.
+    /// Digests and workspace indexes by the first bytes of the digest; the digests are compared in constant time.
     keys: collections::HashMap<[u8; 8], Vec<(auth::KeyDigest, usize)>>,
     programs: collections::HashMap<String, policy::Program>,
 }
 
 impl Snapshot {
-    /// Compiles a configuration. A policy that does not compile here denies.
+    /// Compiles a configuration. A policy that does not compile is logged and denies all requests.
     pub fn new(published: config::Published) -> Self {
         let document = published.document;
         let mut keys: collections::HashMap<_, Vec<_>> = collections::HashMap::new();
-        for (place, workspace) in document.workspaces.iter().enumerate() {
+        for (index, workspace) in document.workspaces.iter().enumerate() {
             for key in &workspace.keys {
                 if let Some(digest) = auth::parse_digest(&key.sha256) {
-                    keys.entry(first_bytes(&digest)).or_default().push((digest, place));
+                    keys.entry(first_bytes(&digest)).or_default().push((digest, index));
                 }
             }
         }
@@ -43,15 +43,15 @@
         Self { version: published.version, document, keys, programs }
     }
 
-    /// The workspace that a key belongs to.
+    /// Returns the workspace of an API key.
     pub fn workspace(&self, key: &str) -> Option<&config::Workspace> {
         let digest = auth::digest(key);
         let candidates = self.keys.get(&first_bytes(&digest))?;
-        let (_, place) = candidates.iter().find(|(known, _)| auth::same(known, &digest))?;
-        self.document.workspaces.get(*place)
+        let (_, index) = candidates.iter().find(|(known, _)| auth::same(known, &digest))?;
+        self.document.workspaces.get(*index)
     }
 
-    /// What the service's policy says to a request. A failure denies.
+    /// Evaluates the service's policy for a request. A policy that fails denies it.
     pub fn decide(&self, service: &config::Service, facts: &policy::Facts) -> policy::Decision {
         let Some(program) = self.programs.get(&service.policy) else {
             return policy::Decision::Deny { reason: "the policy is unusable".to_owned() };
@@ -69,13 +69,13 @@
     first
 }
 
-/// What the control thread publishes to the traffic threads.
+/// The state that the control actor publishes to the traffic threads.
 #[derive(Debug)]
 pub struct Published {
     /// The configuration in force.
     pub snapshot: arc_swap::ArcSwapOption<Snapshot>,
     config_age_ms: AtomicU64,
-    /// What the fingerprints have in common of requests under which servers crashed.
+    /// Head keys of the fingerprints of requests during which servers crashed.
     suspected: arc_swap::ArcSwap<collections::HashSet<u64>>,
     restarted: watch::Sender<Lives>,
     knows_limits: AtomicBool,
@@ -85,13 +85,14 @@
     open_answers: AtomicU64,
 }
 
-/// The present lives of servers that started again, by their VMs.
+/// The current incarnations of servers that restarted, by VM.
 pub type Lives = collections::HashMap<String, ids::ServerLife>;
 
-/// So many servers that started again are remembered; beyond that, what was open at the earliest lives ends by itself.
-const LIVES_REMEMBERED: usize = 4_096;
+/// The number of restarted servers that are remembered. When there are more, all are forgotten, and requests that are
+/// still open at their earlier incarnations end by their own timeouts.
+const RESTARTED_SERVERS_MAX: usize = 4_096;
 
-/// Stands for an age that is not known.
+/// Represents an unknown age in the atomic field.
 const AGE_UNKNOWN_MS: u64 = u64::MAX;
 
 impl Default for Published {
@@ -111,20 +112,20 @@
 }
 
 impl Published {
-    /// How long ago the configuration in force was the store's newest, as of the control thread's last tick; `None` if
-    /// it never was, or if nothing tells.
+    /// The time in milliseconds since the configuration in force was known to be the store's newest, as of the last
+    /// tick of the control actor; `None` if it never was or if this is unknown.
     pub fn config_age_ms(&self) -> Option<u64> {
         let age_ms = self.config_age_ms.load(atomic::Ordering::Relaxed);
         (age_ms != AGE_UNKNOWN_MS).then_some(age_ms)
     }
 
-    /// Says how long ago the configuration in force was the store's newest.
+    /// Sets the time in milliseconds since the configuration in force was known to be the store's newest.
     pub fn set_config_age_ms(&self, age_ms: Option<u64>) {
         self.config_age_ms.store(age_ms.unwrap_or(AGE_UNKNOWN_MS), atomic::Ordering::Relaxed);
     }
 
-    /// The fingerprint of a request, if it may be one under which servers crashed. While there is none, nothing is
-    /// computed; a body is read only for a request whose head is suspected.
+    /// Returns the fingerprint of a request, if servers may have crashed during it. Computes nothing while no request
+    /// is suspected, and hashes the body only if the head is suspected.
     pub fn suspected(
         &self,
         head: impl FnOnce() -> fingerprint::HeadDigest,
@@ -138,74 +139,74 @@
         suspected.contains(&head.key()).then(|| head.with_body(body))
     }
 
-    /// Says which requests are suspected, by what their fingerprints have in common.
+    /// Sets the suspected requests, by the head keys of their fingerprints.
     pub fn set_suspected(&self, heads: collections::HashSet<u64>) {
         self.suspected.store(std::sync::Arc::new(heads));
     }
 
-    /// Whether any server is known to limit what it takes: then answers that name no limit say something too.
+    /// Whether any server has a rate limit. Then an answer without a limit is reported too, as it removes one.
     pub fn knows_limits(&self) -> bool {
         self.knows_limits.load(atomic::Ordering::Relaxed)
     }
 
-    /// Says whether any server is known to limit what it takes.
+    /// Sets whether any server has a rate limit.
     pub fn set_knows_limits(&self, knows_limits: bool) {
         self.knows_limits.store(knows_limits, atomic::Ordering::Relaxed);
     }
 
-    /// Says that a server started again.
+    /// Publishes the new incarnation of a server that restarted.
     pub fn restarted(&self, vm: String, life: ids::ServerLife) {
         self.restarted.send_modify(|lives| {
-            if lives.len() >= LIVES_REMEMBERED {
+            if lives.len() >= RESTARTED_SERVERS_MAX {
                 lives.clear();
             }
             lives.insert(vm, life);
         });
     }
 
-    /// Follows which servers started again.
+    /// Subscribes to the incarnations of restarted servers.
     pub fn follow_restarted(&self) -> watch::Receiver<Lives> {
         self.restarted.subscribe()
     }
 
-    /// Whether the router takes work.
+    /// Whether the router accepts work: it is ready and is not draining.
     pub fn ready(&self) -> bool {
         self.ready.load(atomic::Ordering::Relaxed) && !self.draining.load(atomic::Ordering::Relaxed)
     }
 
-    /// Says whether the router takes work.
+    /// Sets whether the core is ready.
     pub fn set_ready(&self, ready: bool) {
         self.ready.store(ready, atomic::Ordering::Relaxed);
     }
 
-    /// Says that no new work is wanted any more, though what comes is still served.
+    /// Marks the router as draining. It is no longer ready, but serves the requests that still arrive.
     pub fn set_draining(&self) {
         self.draining.store(true, atomic::Ordering::Relaxed);
     }
 
-    /// Whether everything is handed back.
+    /// Whether the core has stopped and returned its grants.
     pub fn stopped(&self) -> bool {
         self.stopped.load(atomic::Ordering::Relaxed)
     }
 
-    /// Says that everything is handed back.
+    /// Marks the core as stopped.
     pub fn set_stopped(&self) {
         self.stopped.store(true, atomic::Ordering::Relaxed);
     }
 
-    /// Counts an answer that is being given, until the guard is dropped.
+    /// Counts an answer as open until the returned guard is dropped.
     pub fn open_answer(self: &std::sync::Arc<Self>) -> OpenAnswer {
         self.open_answers.fetch_add(1, atomic::Ordering::Relaxed);
         OpenAnswer(self.clone())
     }
 
-    /// Answers that are being given.
+    /// The number of answers that are being sent.
     pub fn open_answers(&self) -> u64 {
         self.open_answers.load(atomic::Ordering::Relaxed)
     }
 }
 
-/// An answer that is being given.
+/// A guard that counts an open answer.
 #[derive(Debug)]
 pub struct OpenAnswer(std::sync::Arc<Published>);
 
--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! Metrics in Prometheus text, and log lines for what the core notices.
+//! Metrics in the Prometheus text format, and log lines for notices of the core.
 
 mod notices;
 
@@ -10,13 +10,13 @@
 use std::sync::OnceLock;
 
 /// The time between two updates of the metrics.
-const REPORT_EVERY_MS: u64 = 500;
-/// The time between two rounds of log lines about budgets.
-const BALANCES_EVERY_MS: u64 = 5_000;
+const METRICS_INTERVAL_MS: u64 = 500;
+/// The time between two sets of log lines on the fleet, staleness and budgets.
+const LOG_INTERVAL_MS: u64 = 5_000;
 
 static HANDLE: OnceLock<PrometheusHandle> = OnceLock::new();
 
-/// Installs the recorder for this process.
+/// Installs the metrics recorder of this process.
 pub fn start() {
     HANDLE.get_or_init(|| {
         let recorder = PrometheusBuilder::new().build_recorder();
@@ -31,24 +31,24 @@
     HANDLE.get().map(PrometheusHandle::render).unwrap_or_default()
 }
 
-/// Copies the core's counts into the metrics now and then.
+/// Copies the core's counters to the metrics at intervals, and writes the periodic log lines.
 #[derive(Debug, Default)]
 pub struct Reporter {
-    balances_ms: u64,
+    logged_ms: u64,
     reported_ms: u64,
 }
 
 impl Reporter {
-    /// Updates the metrics, if it is time.
+    /// Updates the metrics and writes the log lines whose interval has passed.
     pub fn report(&mut self, node: &node::Node, now_ms: u64) {
-        if now_ms < self.reported_ms + REPORT_EVERY_MS {
+        if now_ms < self.reported_ms + METRICS_INTERVAL_MS {
             return;
         }
         self.reported_ms = now_ms;
-        if now_ms >= self.balances_ms + BALANCES_EVERY_MS {
-            self.balances_ms = now_ms;
+        if now_ms >= self.logged_ms + LOG_INTERVAL_MS {
+            self.logged_ms = now_ms;
             log_fleet(node);
-            log_news_ages(node, now_ms);
+            log_staleness(node, now_ms);
             log_balances(node, now_ms);
         }
         let counters = node.counters();
@@ -80,7 +80,7 @@
             metrics::counter!("doorswitch_refused_total", "reason" => reason.as_str())
                 .absolute(*count);
         }
-        report_said(node);
+        report_directives(node);
         for ((purpose, outcome), count) in &counters.store_calls {
             let labels = [("purpose", purpose.as_str()), ("outcome", outcome.as_str())];
             metrics::counter!("doorswitch_store_calls_total", &labels).absolute(*count);
@@ -107,8 +107,9 @@
     }
 }
 
-/// Sets how many servers say something of themselves that holds requests back, and what that did, by service.
-fn report_said(node: &node::Node) {
+/// Sets the metrics of servers that limit or refuse requests by directives, and of the requests that this affected, by
+/// service.
+fn report_directives(node: &node::Node) {
     let servers = node.servers();
     let limited = servers.limited_services();
     for service in node.config().iter().flat_map(|config| &config.document.services) {
@@ -117,8 +118,14 @@
         let leaving = servers.iter().filter(|(_, server)| server.leaves());
         let counts = [
             ("doorswitch_limited_servers", limited.get(service.name.as_str()).map_or(0, Vec::len)),
-            ("doorswitch_backing_off_servers", backing_off.filter(|it| of_service(it)).count()),
-            ("doorswitch_leaving_servers", leaving.filter(|(_, it)| of_service(it)).count()),
+            (
+                "doorswitch_backing_off_servers",
+                backing_off.filter(|server| of_service(server)).count(),
+            ),
+            (
+                "doorswitch_leaving_servers",
+                leaving.filter(|(_, server)| of_service(server)).count(),
+            ),
         ];
         for (name, count) in counts {
             metrics::gauge!(name, "service" => service.name.clone()).set(count as f64);
@@ -140,7 +147,7 @@
     }
 }
 
-/// Sets where the tokens of a budget are that this router has or had.
+/// Sets the tokens of a budget that this router has or had, by state.
 fn report_tokens(account: &grants::Account) {
     let states = [
         ("granted", account.granted_tokens),
@@ -157,7 +164,7 @@
     }
 }
 
-/// Writes a log line on the fleet as seen from here, and on the calls to the store.
+/// Logs this router's view of the fleet, and its calls to the store.
 fn log_fleet(node: &node::Node) {
     let counters = node.counters();
     let holds = node.grants().iter().filter(|(_, account)| account.holder).count();
@@ -185,15 +192,15 @@
     log::info!("event=store_calls {}", calls.collect::<Vec<_>>().join(" "));
 }
 
-/// Writes how old the knowledge of what the store holds is: a copy that is older than a call waits has lost its watch.
-fn log_news_ages(node: &node::Node, now_ms: u64) {
+/// Logs the staleness of the copy of each topic. A copy that is older than the wait of a poll is no longer kept
+/// current by polls.
+fn log_staleness(node: &node::Node, now_ms: u64) {
     for (topic, age_ms) in node.staleness_ms(now_ms) {
         log::info!("event=news_age topic={} age_ms={}", topic.as_str(), logging::known_ms(age_ms));
     }
 }
 
-/// Writes a log line for a configuration that is in force from now on, with where it came from and how old the
-/// knowledge was that it replaced.
+/// Logs a configuration that came into force, with its source and the staleness of the copy that it replaced.
 pub fn log_config(
     node: &node::Node,
     version: u64,
@@ -218,7 +225,7 @@
     );
 }
 
-/// Writes a log line for each budget that was spent from here.
+/// Logs each budget of which this router has a grant or consumed tokens.
 fn log_balances(node: &node::Node, now_ms: u64) {
     let used = |account: &&grants::Account| account.consumed_tokens > 0 || account.has_row;
     for account in node.grants().iter().map(|(_, account)| account).filter(used) {
@@ -226,8 +233,8 @@
     }
 }
 
-/// Writes where the tokens of a budget are: first what this router has of it, where `granted + received` is the sum
-/// of what follows, then what the ledger showed so long ago.
+/// Logs the tokens of a budget by state: first this router's own, where `granted + received` is the sum of the states
+/// that follow, then those of the ledger as last read, with the age of that read.
 fn log_balance(account: &grants::Account, now_ms: u64) {
     let ledger_age_ms = account.ledger_read_ms.map(|at_ms| now_ms.saturating_sub(at_ms));
     log::info!(
--- a/src/telemetry/notices.rs
+++ b/src/telemetry/notices.rs
@@ -1,10 +1,10 @@
-//! Log lines for what the core notices.
+//! Log lines for notices of the core.
 
 use crate::logging;
 use doorswitch_core::{ids, ledger, node};
 
-/// Writes a log line for a grant that was written off.
-fn log_dead_grant(holder: ids::Incarnation, dead: &ledger::DeadGrant) {
+/// Logs a grant that was written off.
+fn log_written_off_grant(holder: ids::Incarnation, dead: &ledger::DeadGrant) {
     log::warn!(
         "event=grant_written_off holder={holder} budget={} written_off_tokens={} granted_tokens={} \
          reported_tokens={} free_tokens={} rate_tokens_per_s={}",
@@ -17,14 +17,14 @@
     );
 }
 
-/// Writes a log line for something the core noticed.
+/// Logs a notice of the core.
 pub fn log_notice(notice: &node::Notice) {
     match notice {
         node::Notice::ClosedDead { holder, written_off_tokens, grants } => {
             log::warn!(
                 "event=dead_holder_closed holder={holder} written_off_tokens={written_off_tokens}"
             );
-            grants.iter().for_each(|dead| log_dead_grant(*holder, dead));
+            grants.iter().for_each(|dead| log_written_off_grant(*holder, dead));
         }
         node::Notice::HolderSilent { vm, budget } => {
             log::warn!("event=holder_silent vm={vm} budget={budget}");
@@ -32,7 +32,7 @@
         node::Notice::ServerLimit { vm, service, limit_milli_per_s, source } => log::info!(
             "event=server_limit vm={vm} service={service} limit_per_s={} source={}",
             limit_milli_per_s
-                .map_or_else(|| "none".to_owned(), |it| format!("{:.3}", it as f64 / 1e3)),
+                .map_or_else(|| "none".to_owned(), |limit| format!("{:.3}", limit as f64 / 1e3)),
             match source {
                 node::LimitSource::Answer => "answer".to_owned(),
                 node::LimitSource::Peer(peer) => peer.to_string(),
