--- a/src/cmd/budget.rs
+++ b/src/cmd/budget.rs
@@ -8,7 +8,9 @@
 
 pub(super) fn command() -> clap::Command {
     let show = clap::Command::new("show")
-        .about("Shows what was paid, consumed, billed and is left")
+        .about(
+            "Shows the tokens of each budget that were paid, consumed and billed, and those left",
+        )
         .after_help("Example: doorswitch budget show --format json")
         .arg(super::platform_arg())
         .arg(super::format_arg());
@@ -26,13 +28,15 @@
         .arg(super::platform_arg());
     let withheld = clap::Command::new("withheld")
         .about(
-            "Shows what is out of reach since the store was restored, and the routers it waits for",
+            "Shows the tokens withheld since the store was restored, and the routers that are awaited",
         )
         .after_help("Example: doorswitch budget withheld --router http://127.0.0.1:9001")
         .arg(super::routers_arg())
         .arg(super::format_arg());
     let release = clap::Command::new("release")
-        .about("Makes withheld tokens of a budget drawable, although they may have been spent")
+        .about(
+            "Releases withheld tokens of a budget for spending, although they may have been spent",
+        )
         .after_help(
             "The operators' key is read from DOORSWITCH_OPERATOR_KEY.\n\
              Example: doorswitch budget release kitchen main --router http://127.0.0.1:9001",
@@ -43,7 +47,7 @@
             clap::Arg::new("dry-run")
                 .long("dry-run")
                 .action(clap::ArgAction::SetTrue)
-                .help("Only tells how many tokens it is"),
+                .help("Only shows how many tokens would be released"),
         )
         .arg(super::routers_arg());
     clap::Command::new("budget")
@@ -65,7 +69,7 @@
     }
 }
 
-/// The figures of one budget.
+/// The tokens and billed requests of one budget.
 #[derive(Clone, Debug, Default, Serialize)]
 struct Row {
     budget: String,
@@ -86,7 +90,7 @@
     let operation = super::operation(matches);
     let paid_tokens = super::block_on(async {
         let platform = super::platform_client(matches);
-        publish::pay(&platform, &workspace, &budget, tokens, &operation, super::PATIENCE).await
+        publish::pay(&platform, &workspace, &budget, tokens, &operation, super::TIMEOUT).await
     })?;
     println!("{workspace}/{budget}: {paid_tokens} tokens paid in all (operation {operation})");
     Ok(())
@@ -121,7 +125,7 @@
 fn withheld(matches: &clap::ArgMatches) -> Result<(), Error> {
     let mut rows = Vec::new();
     for url in super::urls(matches) {
-        let dump = super::block_on(super::ask_dump(&url))?;
+        let dump = super::block_on(super::fetch_dump(&url))?;
         for (budget, figures) in dump["budgets"].as_object().into_iter().flatten() {
             let withheld = &figures["withheld"];
             let tokens = |key: &str| withheld[key].as_u64().unwrap_or(0);
@@ -167,7 +171,7 @@
     let budget = config::budget_name(&workspace, &budget);
     let target = format!("/budget/release?budget={budget}&dry_run={dry_run}");
     for url in super::urls(matches) {
-        let answer = super::block_on(super::tell_router(&url, &target))?;
+        let answer = super::block_on(super::post_to_router(&url, &target))?;
         let done = if dry_run { "would be released" } else { "released" };
         println!("{url}: {} tokens of {budget} {done}", answer["tokens"]);
     }
@@ -204,7 +208,8 @@
     Ok(rows.into_values().collect())
 }
 
-/// The segments first: a checkpoint that is read after them covers those that were cleared meanwhile.
+/// Reads the index of a log shard. The segments are read first, so that the checkpoint covers those that are deleted in
+/// the meantime.
 async fn read_log(platform: &platform::Client, shard: u32) -> Result<log_index::Index, Error> {
     let segments = platform.list(&log_index::prefix(shard)).await?;
     let checkpoint = platform.read(&log_index::checkpoint_key(shard)).await?;
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! `doorswitch check`: checks settings and configurations, offline.
+//! `doorswitch check`: checks settings and configuration documents offline.
 
 use super::Error;
 use crate::{document, settings};
@@ -6,10 +6,10 @@
 
 pub(super) fn command() -> clap::Command {
     clap::Command::new("check")
-        .about("Checks settings files and configuration documents, without calling anything")
+        .about("Checks settings files and configuration documents, without any network call")
         .after_help("Example: doorswitch check --settings entry-1.yaml --config bursa.yaml")
-        .arg(many("settings", "A router's settings"))
-        .arg(many("config", "A configuration document"))
+        .arg(files_arg("settings", "A router's settings"))
+        .arg(files_arg("config", "A configuration document"))
         .group(
             clap::ArgGroup::new("files").args(["settings", "config"]).required(true).multiple(true),
         )
@@ -27,6 +27,6 @@
     Ok(())
 }
 
-fn many(name: &'static str, help: &'static str) -> clap::Arg {
+fn files_arg(name: &'static str, help: &'static str) -> clap::Arg {
     super::file_arg(name, help).long(name).num_args(1..).action(clap::ArgAction::Append)
 }
--- a/src/cmd/completions.rs
+++ b/src/cmd/completions.rs
@@ -1,4 +1,4 @@
-//! `doorswitch completions`: completion scripts for shells.
+//! `doorswitch completions`: writes completion scripts for shells.
 
 use super::Error;
 
--- a/src/cmd/config.rs
+++ b/src/cmd/config.rs
@@ -10,7 +10,7 @@
         .arg(super::platform_arg())
         .arg(super::format_arg());
     clap::Command::new("config")
-        .about("The published configuration")
+        .about("Shows the published configuration")
         .subcommand_required(true)
         .subcommand(show)
 }
@@ -27,7 +27,8 @@
     let document = &published.document;
     println!("version {}", published.version);
     for workspace in &document.workspaces {
-        let budgets: Vec<&str> = workspace.budgets.iter().map(|it| it.name.as_str()).collect();
+        let budgets: Vec<&str> =
+            workspace.budgets.iter().map(|budget| budget.name.as_str()).collect();
         println!("workspace {:<20} budgets {}", workspace.name, budgets.join(", "));
     }
     for service in &document.services {
--- a/src/cmd/key.rs
+++ b/src/cmd/key.rs
@@ -1,4 +1,4 @@
-//! `doorswitch key`: digests of keys, as configurations hold them.
+//! `doorswitch key`: shows the digest of a key for configurations.
 
 use super::{Error, OperatorError};
 use crate::auth;
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -18,11 +18,11 @@
 
 /// The environment variable that holds an operator's key.
 const KEY_VARIABLE: &str = "DOORSWITCH_OPERATOR_KEY";
-/// How long a command tries to reach the platform.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// How long a command retries calls to the platform, and the timeout of calls to routers.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 const EXIT_CODES: &str = "Exit codes: 0 done, 1 failed or refused, 2 wrong usage, \
-    3 somebody else's change came first, 4 the platform or a router cannot be reached.";
+    3 another change was made first, 4 the platform or a router cannot be reached.";
 
 /// Why a command failed.
 #[derive(Debug, snafu::Snafu)]
@@ -50,7 +50,7 @@
     Operator { source: OperatorError },
 }
 
-/// Why a router's operators' address gave nothing.
+/// Why a command of an operator failed, apart from the errors of the modules that it uses.
 #[derive(Debug, snafu::Snafu)]
 #[allow(missing_docs)]
 pub enum OperatorError {
@@ -71,7 +71,7 @@
 }
 
 impl Error {
-    /// What the process exits with.
+    /// The exit code of the process.
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::Publish { source: publishing::Error::Conflict { .. } } => 3,
@@ -85,7 +85,7 @@
     }
 }
 
-/// The whole command line.
+/// The definition of the command line.
 pub fn command() -> clap::Command {
     clap::Command::new("doorswitch")
         .version(env!("CARGO_PKG_VERSION"))
@@ -106,7 +106,7 @@
         .subcommand(completions::command())
 }
 
-/// Runs the command that was given.
+/// Runs the subcommand of a parsed command line.
 pub fn run(matches: &clap::ArgMatches) -> Result<(), Error> {
     match matches.subcommand() {
         Some(("router", matches)) => router::run(matches),
@@ -120,7 +120,7 @@
         Some(("policy", matches)) => policy::run(matches),
         Some(("key", matches)) => key::run(matches),
         Some(("completions", matches)) => completions::run(matches),
-        // clap lets no other name through.
+        // clap rejects all other names.
         _ => Ok(()),
     }
 }
@@ -134,7 +134,7 @@
         .long("platform")
         .value_name("URL")
         .default_value("http://127.0.0.1:8500")
-        .help("The platform's service")
+        .help("The address of the platform's service")
 }
 
 fn format_arg() -> clap::Arg {
@@ -142,14 +142,14 @@
         .long("format")
         .value_parser(["table", "json"])
         .default_value("table")
-        .help("For a person, or for a script")
+        .help("A table for people, or JSON for scripts")
 }
 
 fn operation_arg() -> clap::Arg {
     clap::Arg::new("operation")
         .long("operation")
         .value_name("ID")
-        .help("Repeating a command with the same id changes nothing twice [default: a new id]")
+        .help("A command that is repeated with the same id is applied once [default: a new id]")
 }
 
 fn routers_arg() -> clap::Arg {
@@ -192,13 +192,13 @@
     actix::System::new().block_on(work)
 }
 
-/// Asks a router for its whole state.
-async fn ask_dump(url: &str) -> Result<serde_json::Value, OperatorError> {
+/// Requests the complete state of a router.
+async fn fetch_dump(url: &str) -> Result<serde_json::Value, OperatorError> {
     call_router(url, awc::http::Method::GET, "/dump").await
 }
 
-/// Has a router do something.
-async fn tell_router(url: &str, target: &str) -> Result<serde_json::Value, OperatorError> {
+/// Sends a `POST` request without a body to a router's API for operators.
+async fn post_to_router(url: &str, target: &str) -> Result<serde_json::Value, OperatorError> {
     call_router(url, awc::http::Method::POST, target).await
 }
 
@@ -208,7 +208,7 @@
     target: &str,
 ) -> Result<serde_json::Value, OperatorError> {
     let key = std::env::var(KEY_VARIABLE).map_err(|_| OperatorError::NoKey)?;
-    let client = awc::Client::builder().timeout(PATIENCE).finish();
+    let client = awc::Client::builder().timeout(TIMEOUT).finish();
     let target = format!("{}{target}", url.trim_end_matches('/'));
     let request = client.request(method, target).bearer_auth(key);
     let unreachable = |fault: String| OperatorError::Unreachable { url: url.to_owned(), fault };
--- a/src/cmd/policy.rs
+++ b/src/cmd/policy.rs
@@ -1,18 +1,18 @@
-//! `doorswitch policy`: tries a policy program, offline.
+//! `doorswitch policy`: runs a policy program offline.
 
 use super::{Error, OperatorError};
 use crate::{document, policy};
 
 pub(super) fn command() -> clap::Command {
     let test = clap::Command::new("test")
-        .about("Shows what a document's policy decides over one request")
+        .about("Shows the decision of a document's policy for one request")
         .after_help(
             "Example: doorswitch policy test bursa.yaml --workspace kitchen --model roast-7b",
         )
         .arg(super::file_arg("document", "The configuration document").required(true))
         .arg(clap::Arg::new("workspace").long("workspace").required(true))
-        .arg(clap::Arg::new("service").long("service").help("For a plain service"))
-        .arg(clap::Arg::new("model").long("model").help("For a model"))
+        .arg(clap::Arg::new("service").long("service").help("The name of a plain service"))
+        .arg(clap::Arg::new("model").long("model").help("The name of a model"))
         .arg(clap::Arg::new("method").long("method").default_value("POST"))
         .arg(clap::Arg::new("path").long("path").default_value("/"))
         .arg(
@@ -22,7 +22,10 @@
                 .value_parser(clap::value_parser!(u64)),
         )
         .group(clap::ArgGroup::new("target").args(["service", "model"]).required(true));
-    clap::Command::new("policy").about("Policy programs").subcommand_required(true).subcommand(test)
+    clap::Command::new("policy")
+        .about("Tests policy programs")
+        .subcommand_required(true)
+        .subcommand(test)
 }
 
 pub(super) fn run(matches: &clap::ArgMatches) -> Result<(), Error> {
--- a/src/cmd/publish.rs
+++ b/src/cmd/publish.rs
@@ -1,4 +1,4 @@
-//! `doorswitch publish`: puts a configuration in force.
+//! `doorswitch publish`: publishes a configuration.
 
 use super::Error;
 use crate::{document, publish};
@@ -7,9 +7,9 @@
 
 pub(super) fn command() -> clap::Command {
     clap::Command::new("publish")
-        .about("Checks a configuration and puts it in force everywhere")
+        .about("Checks a configuration and publishes it to all routers")
         .after_help(
-            "Shows what changes first. Without --base, the version published now is the base.\n\
+            "Shows the changes first. Without --base, the version published now is the base.\n\
              Example: doorswitch publish bursa.yaml --base 7",
         )
         .arg(super::file_arg("document", "The configuration document").required(true))
@@ -19,14 +19,14 @@
                 .long("base")
                 .value_name("VERSION")
                 .value_parser(clap::value_parser!(u64))
-                .help("The version that the document was made from; another one is a conflict"),
+                .help("The version that the document was made from; it is a conflict if another one is published"),
         )
         .arg(super::operation_arg())
         .arg(
             clap::Arg::new("dry-run")
                 .long("dry-run")
                 .action(clap::ArgAction::SetTrue)
-                .help("Checks and shows what would change, and changes nothing"),
+                .help("Only checks the configuration and shows the changes"),
         )
         .arg(super::format_arg())
 }
@@ -45,7 +45,7 @@
             return report(matches, None, &operation, &changes);
         }
         let version =
-            publish::publish(&platform, &document, base, &operation, super::PATIENCE).await?;
+            publish::publish(&platform, &document, base, &operation, super::TIMEOUT).await?;
         report(matches, Some(version), &operation, &changes)
     })
 }
@@ -73,10 +73,10 @@
     Ok(())
 }
 
-/// What changes between two documents, a line for each named thing.
+/// The changes between two documents, a line for each named item.
 fn changes(earlier: Option<&config::Document>, later: &config::Document) -> Vec<String> {
-    let before = earlier.map(named).unwrap_or_default();
-    let after = named(later);
+    let before = earlier.map(named_items).unwrap_or_default();
+    let after = named_items(later);
     let names: collections::BTreeSet<&String> = before.keys().chain(after.keys()).collect();
     let change = |name: &String| match (before.get(name), after.get(name)) {
         (None, Some(_)) => Some(format!("+ {name}")),
@@ -87,25 +87,26 @@
     names.into_iter().filter_map(change).collect()
 }
 
-fn named(document: &config::Document) -> collections::BTreeMap<String, String> {
-    let mut named = collections::BTreeMap::new();
+/// The text of each item of a document, by its kind and name.
+fn named_items(document: &config::Document) -> collections::BTreeMap<String, String> {
+    let mut items = collections::BTreeMap::new();
     for workspace in &document.workspaces {
         let name = format!("workspace {}", workspace.name);
         let keys: Vec<&str> = workspace.keys.iter().map(|key| key.name.as_str()).collect();
-        named.insert(name, format!("keys {}", keys.join(",")));
+        items.insert(name, format!("keys {}", keys.join(",")));
         for key in &workspace.keys {
-            named.insert(format!("key {}.{}", workspace.name, key.name), key.sha256.clone());
+            items.insert(format!("key {}.{}", workspace.name, key.name), key.sha256.clone());
         }
         for budget in &workspace.budgets {
             let name = config::budget_name(&workspace.name, &budget.name);
-            named.insert(format!("budget {name}"), format!("{:?}", budget.cover()));
+            items.insert(format!("budget {name}"), format!("{:?}", budget.cover()));
         }
     }
     for service in &document.services {
-        named.insert(format!("service {}", service.name), format!("{service:?}"));
+        items.insert(format!("service {}", service.name), format!("{service:?}"));
     }
     for policy in &document.policies {
-        named.insert(format!("policy {}", policy.name), policy.program.clone());
+        items.insert(format!("policy {}", policy.name), policy.program.clone());
     }
-    named
+    items
 }
--- a/src/cmd/quarantine.rs
+++ b/src/cmd/quarantine.rs
@@ -1,4 +1,4 @@
-//! `doorswitch quarantine`: requests that are kept from servers because servers crashed under them.
+//! `doorswitch quarantine`: shows and releases requests that are quarantined because servers crashed during them.
 
 use super::Error;
 use doorswitch_core::ids;
@@ -6,23 +6,27 @@
 
 pub(super) fn command() -> clap::Command {
     let release = clap::Command::new("release")
-        .about("Lets a request reach servers again, at all routers that the given one reaches")
+        .about("Releases a request from quarantine, at all routers that the given one reaches")
         .arg(
             clap::Arg::new("fingerprint")
                 .value_name("FINGERPRINT")
                 .required(true)
                 .value_parser(clap::value_parser!(ids::Fingerprint))
-                .help("As `show` and the log name it: 48 hexadecimal digits"),
+                .help(
+                    "The fingerprint in the output of `show` or in the log: 48 hexadecimal digits",
+                ),
         )
         .arg(
             clap::Arg::new("dry-run")
                 .long("dry-run")
                 .action(clap::ArgAction::SetTrue)
-                .help("Only tells whether a crash counts against it"),
+                .help("Only shows whether a crash counts against the request"),
         );
-    let show = clap::Command::new("show").about("Shows the requests, with the time left");
+    let show = clap::Command::new("show").about("Shows the quarantined requests and the time left");
     clap::Command::new("quarantine")
-        .about("Shows and releases requests that are kept from servers, because servers crashed under them")
+        .about(
+            "Shows and releases requests that are quarantined, because servers crashed during them",
+        )
         .after_help(
             "The operators' key is read from DOORSWITCH_OPERATOR_KEY.\n\
              Example: doorswitch quarantine show --router http://127.0.0.1:9001",
@@ -37,7 +41,7 @@
     match matches.subcommand() {
         Some(("show", matches)) => show(matches),
         Some(("release", matches)) => release(matches),
-        // clap lets no other name through.
+        // clap rejects all other names.
         _ => Ok(()),
     }
 }
@@ -45,7 +49,7 @@
 fn show(matches: &clap::ArgMatches) -> Result<(), Error> {
     let mut rows = Vec::new();
     for url in super::urls(matches) {
-        let dump = super::block_on(super::ask_dump(&url))?;
+        let dump = super::block_on(super::fetch_dump(&url))?;
         for entry in dump["quarantine"]["quarantined"].as_array().into_iter().flatten() {
             rows.push(serde_json::json!({
                 "router": url, "fingerprint": entry["request"], "left_ms": entry["left_ms"],
@@ -71,10 +75,10 @@
     let query = format!("/quarantine/release?fingerprint={request}&dry_run={dry_run}");
     let mut known = false;
     for url in super::urls(matches) {
-        let answer: Value = super::block_on(super::tell_router(&url, &query))?;
+        let answer: Value = super::block_on(super::post_to_router(&url, &query))?;
         let crashes = answer["crashes"].as_u64().unwrap_or(0);
         let done = match (crashes, dry_run) {
-            // The router before it may have told it already.
+            // An earlier router of the list may have passed the release on to this one.
             (0, _) => "nothing to release",
             (_, true) => "would be released",
             (_, false) => "released",
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,11 +1,11 @@
-//! `doorswitch status`: the fleet at a glance.
+//! `doorswitch status`: shows a summary of each router.
 
 use super::Error;
 use serde_json::Value;
 
 pub(super) fn command() -> clap::Command {
     clap::Command::new("status")
-        .about("Shows, for each router, its life cycle, the version in force, members and VMs leaving")
+        .about("Shows for each router its state, configuration version, members and leaving VMs")
         .after_help(
             "The operators' key is read from DOORSWITCH_OPERATOR_KEY.\n\
              Example: doorswitch status --router http://127.0.0.1:9001 --router http://127.0.0.1:9002",
@@ -21,7 +21,7 @@
     let mut failure = None;
     super::block_on(async {
         for url in &urls {
-            match super::ask_dump(url).await {
+            match super::fetch_dump(url).await {
                 Ok(dump) => rows.push(row(url, &dump)),
                 Err(error) => {
                     rows.push(serde_json::json!({ "router": url, "fault": error.to_string() }));
@@ -40,7 +40,8 @@
 
 fn row(url: &str, dump: &Value) -> Value {
     let alive = |member: &&Value| member["health"] == "Alive";
-    let members = dump["members"].as_array().map_or(0, |it| it.iter().filter(alive).count());
+    let members =
+        dump["members"].as_array().map_or(0, |members| members.iter().filter(alive).count());
     serde_json::json!({
         "router": url,
         "vm": dump["vm"],
--- a/src/document.rs
+++ b/src/document.rs
@@ -1,11 +1,11 @@
-//! Reads and checks a configuration document as operators write it.
+//! Reads and checks configuration documents of operators.
 
 use crate::policy;
 use doorswitch_core::config;
 use snafu::ResultExt;
 use std::{fmt, fs, path};
 
-/// Why a document was refused.
+/// Why a document could not be read or is invalid.
 #[derive(Debug, snafu::Snafu)]
 #[allow(missing_docs)]
 pub enum Error {
@@ -17,21 +17,21 @@
     Invalid { file: path::PathBuf, problems: Problems },
 }
 
-/// Everything wrong with a document, one line each.
+/// All problems of a document, displayed on a line each.
 #[derive(Debug)]
 pub struct Problems(pub Vec<config::Problem>);
 
 impl fmt::Display for Problems {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (place, problem) in self.0.iter().enumerate() {
-            let separator = if place == 0 { "" } else { "\n  " };
+        for (index, problem) in self.0.iter().enumerate() {
+            let separator = if index == 0 { "" } else { "\n  " };
             write!(f, "{separator}{problem}")?;
         }
         Ok(())
     }
 }
 
-/// Reads a document and checks it, also against the one that it replaces.
+/// Reads and checks a document. `earlier` is the document that it replaces, which restricts some changes.
 pub fn load(
     file: &path::Path,
     earlier: Option<&config::Document>,
@@ -40,7 +40,7 @@
     parse(&text, file, earlier)
 }
 
-/// Checks a document that was read from `file`.
+/// Parses and checks a document that was read from `file`.
 pub fn parse(
     text: &str,
     file: &path::Path,
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,8 +1,8 @@
-//! Policy programs: short expressions that decide who may use what.
+//! Policy programs: short expressions that decide whether and how a request may run.
 //!
-//! A program is one expression of the Rhai language, without loops or statements, within bounds of
-//! operations, depth and size. It gives `allow(budget, priority, classes)` or `deny(reason)`. A
-//! program that fails at run time denies.
+//! A program is one expression of the Rhai language, without loops or statements, with limits on its operations, depth
+//! and size. It evaluates to `allow(budget, priority, classes)` or `deny(reason)`. A program that fails at run time
+//! denies the request.
 
 use doorswitch_core::config;
 use rhai::packages::Package;
@@ -14,49 +14,49 @@
 const ARRAY_ITEMS_MAX: usize = 256;
 const PRIORITY_MAX: i64 = 9;
 
-/// What a program is told of a request.
+/// The facts of a request that a program can use.
 #[derive(Clone, Debug, Default)]
 pub struct Facts {
-    /// Who calls.
+    /// The workspace that sent the request.
     pub workspace: String,
-    /// The service.
+    /// The service that the request is for.
     pub service: String,
-    /// The model, or nothing.
+    /// The model, or an empty text.
     pub model: String,
-    /// The HTTP method.
+    /// The HTTP method of the request.
     pub method: String,
     /// The path within the service.
     pub path: String,
-    /// The most tokens the answer may have.
+    /// The maximum number of tokens of the answer.
     pub max_tokens: u64,
-    /// The most the request can cost.
+    /// The upper bound of the request's cost in tokens.
     pub bound_tokens: u64,
-    /// The workspace's rank; higher goes first.
+    /// The priority of the workspace; higher numbers take precedence.
     pub workspace_priority: u8,
-    /// The route's rank; higher goes first.
+    /// The priority of the route; higher numbers take precedence.
     pub route_priority: u8,
 }
 
-/// What a program decided.
+/// The decision of a program.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// The request may run.
     Allow {
-        /// The budget of the workspace that pays.
+        /// The name of the workspace's budget that is charged.
         budget: String,
-        /// 0 to 9; higher goes first.
+        /// The priority of the request, 0 to 9; higher numbers take precedence.
         priority: u8,
-        /// Classes of VM that may serve it; empty allows all.
+        /// The classes of VMs that may serve the request; all may if it is empty.
         classes: Vec<String>,
     },
     /// The request may not run.
     Deny {
-        /// Why, for the caller.
+        /// The reason, which the caller receives.
         reason: String,
     },
 }
 
-/// Why a program is unusable.
+/// Why a program does not compile or has no valid decision.
 #[derive(Debug, snafu::Snafu)]
 #[allow(missing_docs)]
 pub enum Error {
@@ -79,7 +79,7 @@
     Deny { reason: String },
 }
 
-/// A compiled program. It may be run on several threads at once.
+/// A compiled program, which can run on several threads at once.
 #[derive(Debug)]
 pub struct Program {
     name: String,
@@ -88,7 +88,7 @@
 }
 
 impl Program {
-    /// Compiles a program.
+    /// Compiles the program of a policy.
     pub fn compile(policy: &config::Policy) -> Result<Self, Error> {
         let engine = engine();
         let scope = scope(&Facts::default());
@@ -98,7 +98,7 @@
         Ok(Self { name: policy.name.clone(), engine, ast })
     }
 
-    /// Decides over a request.
+    /// Runs the program for a request.
     pub fn decide(&self, facts: &Facts) -> Result<Decision, Error> {
         let name = self.name.as_str();
         let result: rhai::Dynamic = self
@@ -120,27 +120,27 @@
     }
 }
 
-/// Compiles every program of a document and tries each against every declared workspace.
+/// Compiles each program of a document and runs it for each declared workspace; returns the problems found.
 pub fn problems(document: &config::Document) -> Vec<config::Problem> {
     let mut problems = Vec::new();
     for policy in &document.policies {
         let place = format!("policies.{}.program", policy.name);
         match Program::compile(policy) {
             Err(error) => problems.push(problem(&place, &error)),
-            Ok(program) => problems.extend(try_program(&place, &program, policy, document)),
+            Ok(program) => problems.extend(check_program(&place, &program, policy, document)),
         }
     }
     problems
 }
 
-fn try_program(
+fn check_program(
     place: &str,
     program: &Program,
     policy: &config::Policy,
     document: &config::Document,
 ) -> Vec<config::Problem> {
     let mut problems = Vec::new();
-    for service in document.services.iter().filter(|it| it.policy == policy.name) {
+    for service in document.services.iter().filter(|service| service.policy == policy.name) {
         for workspace in &document.workspaces {
             let facts = Facts {
                 workspace: workspace.name.clone(),
@@ -178,7 +178,7 @@
     let mut engine = rhai::Engine::new_raw();
     engine.register_global_module(rhai::packages::StandardPackage::new().as_shared_module());
     engine.set_strict_variables(true);
-    // Or else a program would be folded to what it says of the empty facts that it is compiled with.
+    // With optimization, a program would be folded to its decision for the empty facts that it is compiled with.
     engine.set_optimization_level(rhai::OptimizationLevel::None);
     engine.set_allow_looping(false);
     engine.set_max_operations(OPERATIONS_MAX);
--- a/src/publish.rs
+++ b/src/publish.rs
@@ -1,16 +1,16 @@
-//! Changes that operators make in the platform's store: configurations and payments.
+//! Operators' changes in the platform's store: configurations and payments.
 //!
-//! Each carries an operation id, so that a lost reply never makes a second change.
+//! Each change has an operation id, so that repeating it after a lost reply does not apply it twice.
 
 use crate::platform;
 use doorswitch_core::{config, ledger};
 use snafu::ResultExt;
 use std::time::{Duration, Instant};
 
-/// Pause between two tries.
-const PAUSE: Duration = Duration::from_millis(100);
+/// The delay between two attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Why a change was not made, or is not known to be.
+/// Why a change was not made, or may not have been made.
 #[derive(Debug, snafu::Snafu)]
 #[allow(missing_docs)]
 pub enum Error {
@@ -34,17 +34,17 @@
     NoBudget { workspace: String, budget: String },
 }
 
-/// A configuration with the store's index.
+/// The published configuration, with its index in the store.
 #[derive(Clone, Debug)]
 pub struct Current {
-    /// The index that it was read at; 0 before the first publish.
+    /// The modification index; 0 before the first publish.
     pub index: u64,
     /// The configuration.
     pub published: Option<config::Published>,
 }
 
 impl Current {
-    /// The version; 0 before the first publish.
+    /// The version of the configuration; 0 before the first publish.
     pub fn version(&self) -> u64 {
         self.published.as_ref().map_or(0, |published| published.version)
     }
@@ -60,7 +60,8 @@
 
 /// Publishes a document that was made from version `base`; returns its version.
 ///
-/// A reply that was lost is settled by reading back: the operation id tells whose version it is.
+/// Retries for as long as `patience`. After a lost reply, the configuration is read again: a version with the same
+/// operation id is the one that was published.
 pub async fn publish(
     platform: &platform::Client,
     document: &config::Document,
@@ -84,7 +85,7 @@
             }
             Err(other) => return Err(other),
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
@@ -111,7 +112,8 @@
     Ok(written.then_some(version))
 }
 
-/// Pays tokens into a budget, once for each operation id; returns what was paid in all.
+/// Adds tokens to a budget, once for each operation id; returns the total of tokens paid into it. Retries for as long
+/// as `patience`.
 pub async fn pay(
     platform: &platform::Client,
     workspace: &str,
@@ -124,8 +126,9 @@
     let document = published.map(|published| published.document);
     let shards = document.as_ref().map_or(1, |document| document.layout.ledger_shards);
     let declared = document.is_some_and(|document| {
-        let mut workspaces = document.workspaces.iter().filter(|it| it.name == workspace);
-        workspaces.any(|it| it.budgets.iter().any(|known| known.name == budget))
+        let mut workspaces =
+            document.workspaces.iter().filter(|declared| declared.name == workspace);
+        workspaces.any(|declared| declared.budgets.iter().any(|known| known.name == budget))
     });
     snafu::ensure!(declared, NoBudgetSnafu { workspace, budget });
     let name = config::budget_name(workspace, budget);
@@ -141,7 +144,7 @@
             Err(Error::Unreachable { .. }) => {}
             Err(other) => return Err(other),
         }
-        tokio::time::sleep(PAUSE.mul_f64(rand::random_range(0.1..1.0))).await;
+        tokio::time::sleep(RETRY_DELAY.mul_f64(rand::random_range(0.1..1.0))).await;
     }
 }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -5,10 +5,10 @@
 use snafu::{ResultExt, ensure};
 use std::{fs, net, path};
 
-/// How soon news of the store must be in force where the settings do not say.
-const DEFAULT_NEWS_MS: u64 = 2_000;
+/// The default time within which changes in the store must take effect, in milliseconds.
+const DEFAULT_CHANGE_DELAY_MS: u64 = 2_000;
 
-/// Why settings could not be used.
+/// Why settings could not be read or are invalid.
 #[derive(Debug, snafu::Snafu)]
 #[allow(missing_docs)]
 pub enum Error {
@@ -23,38 +23,38 @@
     Range { file: path::PathBuf, key: &'static str, found: u64, least: u64, most: u64 },
 }
 
-/// Everything that one router must be told.
+/// The settings of one router.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The VM that the process runs on, as the platform's list names it.
+    /// The name of the VM that the process runs on, as in the platform's list.
     pub vm: String,
-    /// The region.
+    /// The name of the region.
     pub region: String,
-    /// The failure domain.
+    /// The name of the failure domain.
     pub failure_domain: String,
-    /// Where callers of the API connect; none do if it is absent.
+    /// The address for callers of the API, which is not served if this is absent.
     pub callers: Option<Callers>,
-    /// Where clients of the routes connect; none do if it is absent.
+    /// The address for clients of the routes, which are not served if this is absent.
     pub gateway: Option<Gateway>,
-    /// Where operators connect.
+    /// The address for operators.
     pub operators: Operators,
-    /// Where other routers connect.
+    /// The addresses for other routers.
     pub peers: Peers,
-    /// The platform's service.
+    /// The platform's service with its store.
     pub platform: Platform,
-    /// What one caller or request may use.
+    /// The limits of callers, requests and the process.
     #[serde(default)]
     pub limits: Limits,
 }
 
-/// The address for callers.
+/// The address for callers of the API.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Callers {
-    /// Where to listen.
+    /// The address to listen on.
     pub listen: net::SocketAddr,
-    /// Threads that serve callers.
+    /// The number of threads that serve callers.
     #[serde(default = "default_traffic_threads")]
     pub traffic_threads: u64,
 }
@@ -63,9 +63,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Gateway {
-    /// Where to listen.
+    /// The address to listen on.
     pub listen: net::SocketAddr,
-    /// How long a planned stop still takes new connections, until the balancer knows of it.
+    /// How long a planned stop still accepts connections, in milliseconds, until the balancer has noticed it.
     #[serde(default = "default_drain_ms")]
     pub drain_ms: u64,
 }
@@ -74,29 +74,29 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operators {
-    /// Where to listen.
+    /// The address to listen on.
     pub listen: net::SocketAddr,
-    /// SHA-256 of the operators' key, in hexadecimal; without it nobody gets a dump.
+    /// The SHA-256 digest of the operators' key in hexadecimal. Without it, requests that need the key are refused.
     pub key_sha256: Option<String>,
 }
 
-/// The address for other routers.
+/// The addresses for other routers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peers {
-    /// Where to listen, for connections and datagrams.
+    /// The address to listen on, for connections and datagrams.
     pub listen: net::SocketAddr,
-    /// The address that others reach it by, where that differs.
+    /// The address at which other routers reach this one, if it is not the one to listen on.
     pub advertise: Option<net::SocketAddr>,
-    /// Addresses where other routers may be found.
+    /// Addresses at which other routers may be reached.
     #[serde(default)]
     pub seeds: Vec<net::SocketAddr>,
-    /// Where the seeds are named by another port of theirs, the one at which they take peers.
+    /// The port for peers of the seeds, if their addresses contain another port.
     pub seeds_port: Option<u16>,
 }
 
 impl Peers {
-    /// The seeds' addresses for peers.
+    /// The addresses of the seeds, with their port for peers.
     pub fn seed_addresses(&self) -> Vec<String> {
         let at_port = |seed: &net::SocketAddr| {
             net::SocketAddr::new(seed.ip(), self.seeds_port.unwrap_or(seed.port())).to_string()
@@ -109,84 +109,85 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Platform {
-    /// Its address, as `http://host:port`.
+    /// The address of the service, as `http://host:port`.
     pub url: String,
-    /// What its store speaks.
+    /// The protocol of the store.
     #[serde(default)]
     pub protocol: Protocol,
-    /// How long one call may take.
+    /// The timeout of a call, in milliseconds.
     #[serde(default = "default_platform_timeout_ms")]
     pub timeout_ms: u64,
-    /// Reads that it takes a second, from all together.
+    /// Reads per second that the service accepts from all routers together.
     #[serde(default = "default_reads_per_s")]
     pub reads_per_s: u64,
-    /// Writes that it takes a second, from all together.
+    /// Writes per second that the service accepts from all routers together.
     #[serde(default = "default_writes_per_s")]
     pub writes_per_s: u64,
-    /// How soon a configuration must be in force at every router, in milliseconds.
+    /// The time within which a configuration must be in force at every router, in milliseconds.
     #[serde(default)]
     pub configuration_ms: Option<u64>,
-    /// How soon no router may send to a server that is leaving, in milliseconds.
+    /// The time within which all routers must stop sending to a server that is leaving, in milliseconds.
     #[serde(default)]
     pub leaving_ms: Option<u64>,
-    /// The age that a backup has at most when the store is restored from it, in seconds.
+    /// The maximum age of a backup when the store is restored from it, in seconds.
     #[serde(default = "default_backup_age_s")]
     pub backup_age_s: u64,
-    /// Whether this is the first start of the whole deployment. Then a store that was restored before has lost nothing
+    /// Whether this is the first start of the whole deployment. Then an earlier restore of the store has lost nothing
     /// of the ledger.
     #[serde(default)]
     pub first_start: Option<bool>,
 }
 
 impl Platform {
-    /// How soon news of the store must be in force; `None` where its protocol is followed otherwise.
+    /// The times within which changes in the store must take effect; `None` if the core does not poll for them with
+    /// this protocol.
     pub fn follows(&self) -> Option<watch::Bounds> {
         match self.protocol {
             Protocol::Consul => None,
             Protocol::Revisions => Some(watch::Bounds {
-                configuration_ms: self.configuration_ms.unwrap_or(DEFAULT_NEWS_MS),
-                servers_ms: self.leaving_ms.unwrap_or(DEFAULT_NEWS_MS),
+                configuration_ms: self.configuration_ms.unwrap_or(DEFAULT_CHANGE_DELAY_MS),
+                servers_ms: self.leaving_ms.unwrap_or(DEFAULT_CHANGE_DELAY_MS),
             }),
         }
     }
 }
 
-/// What the platform's store speaks.
+/// The protocol of the platform's store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Protocol {
-    /// The Consul HTTP API, with a list of VMs beside it.
+    /// The Consul HTTP API, and a list of VMs.
     #[default]
     Consul,
-    /// Keys with revisions, transactions and watches; operators and servers write to it directly.
+    /// Keys with revisions, transactions and watches. Operators and servers write to the store directly.
     Revisions,
 }
 
-/// What one caller or request may use.
+/// The limits of callers, requests and the process.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// The largest body of a request.
+    /// The largest body of a request, in bytes.
     pub body_bytes_max: u64,
-    /// How long a caller may take to send a request's head.
+    /// How long a caller may take to send the head of a request, in milliseconds.
     pub head_read_ms: u64,
-    /// How long a caller may take to send a request's body.
+    /// How long a caller may take to send the body of a request, in milliseconds.
     pub body_read_ms: u64,
-    /// Connections at once from callers, for each traffic thread.
+    /// The maximum number of open connections of callers for each traffic thread.
     pub connections_max: u64,
-    /// How long a request may wait for tokens.
+    /// How long a request may wait for tokens, in milliseconds.
     pub budget_wait_ms: u64,
-    /// How long an unrepeatable request may wait for its claim.
+    /// How long an unrepeatable request may wait for its claim, in milliseconds.
     pub claim_wait_ms: u64,
-    /// How long an answer's last chunk waits for its settlement to be safe.
+    /// How long the last chunk of an answer waits for the settlement to be safe, in milliseconds.
     pub handover_wait_ms: u64,
-    /// A caller that names no deadline is given this one.
+    /// The deadline of requests that contain none, in milliseconds.
     pub deadline_ms: u64,
-    /// How often a backend server is asked for its load.
+    /// The time between two requests for the load of a backend server, in milliseconds.
     pub load_poll_ms: u64,
-    /// Servers of each service that this router asks for their load.
+    /// The number of servers of each service that this router requests the load of.
     pub load_subset: u64,
-    /// How long a planned stop may take.
+    /// How long a planned stop may take, in seconds.
     pub stop_grace_s: u64,
 }
 
@@ -239,17 +240,17 @@
         Self::parse(&text, file)
     }
 
-    /// Checks settings that were read from `file`.
+    /// Parses and checks settings that were read from `file`.
     pub fn parse(text: &str, file: &path::Path) -> Result<Self, Error> {
         let settings: Self = serde_saphyr::from_str(text).map_err(|error| {
-            let fault = named_fault(text, &error);
+            let fault = fault_with_field(text, &error);
             Error::Parse { file: file.to_owned(), fault }
         })?;
         settings.check(file)?;
         Ok(settings)
     }
 
-    /// The address that other routers reach this one by.
+    /// The address at which other routers reach this one.
     pub fn advertised(&self) -> net::SocketAddr {
         self.peers.advertise.unwrap_or(self.peers.listen)
     }
@@ -258,8 +259,8 @@
         let limits = &self.limits;
         let traffic_threads = self.callers.as_ref().map_or(1, |callers| callers.traffic_threads);
         let drain_ms = self.gateway.as_ref().map_or(0, |gateway| gateway.drain_ms);
-        let configuration_ms = self.platform.configuration_ms.unwrap_or(DEFAULT_NEWS_MS);
-        let leaving_ms = self.platform.leaving_ms.unwrap_or(DEFAULT_NEWS_MS);
+        let configuration_ms = self.platform.configuration_ms.unwrap_or(DEFAULT_CHANGE_DELAY_MS);
+        let leaving_ms = self.platform.leaving_ms.unwrap_or(DEFAULT_CHANGE_DELAY_MS);
         let ranges = [
             ("callers.traffic_threads", traffic_threads, 1, 256),
             ("gateway.drain_ms", drain_ms, 0, 600_000),
@@ -285,22 +286,22 @@
             let allowed = least..=most;
             ensure!(allowed.contains(&found), RangeSnafu { file, key, found, least, most });
         }
-        let sound = |digest: &String| {
+        let is_digest = |digest: &String| {
             digest.len() == 64 && digest.bytes().all(|byte| byte.is_ascii_hexdigit())
         };
-        let good = self.operators.key_sha256.as_ref().is_none_or(sound);
+        let valid = self.operators.key_sha256.as_ref().is_none_or(is_digest);
         let fault = "operators.key_sha256: 64 hexadecimal digits are allowed";
-        ensure!(good, ParseSnafu { file, fault });
+        ensure!(valid, ParseSnafu { file, fault });
         Ok(())
     }
 }
 
-/// What is wrong with settings, in one line: the place, the field if it is known, and what was expected.
-fn named_fault(text: &str, error: &serde_saphyr::Error) -> String {
-    let unnamed = error.without_snippet().to_string();
-    let Ok(tree) = serde_saphyr::from_str::<serde_json::Value>(text) else { return unnamed };
+/// Describes a fault in settings in one line: its place, the field if it can be found, and what was expected.
+fn fault_with_field(text: &str, error: &serde_saphyr::Error) -> String {
+    let without_field = error.without_snippet().to_string();
+    let Ok(tree) = serde_saphyr::from_str::<serde_json::Value>(text) else { return without_field };
     match (serde_path_to_error::deserialize::<_, Settings>(tree), error.location()) {
-        (Err(named), Some(place)) => format!("line {}: {named}", place.line()),
-        _ => unnamed,
+        (Err(fault), Some(location)) => format!("line {}: {fault}", location.line()),
+        _ => without_field,
     }
 }
