--- a/src/control.rs
+++ b/src/control.rs
@@ -369,7 +369,7 @@
 }
 
 /// Waits for the answer to a message of the control actor; `None` if the actor has stopped.
-pub async fn ask(reply: Result<Reply, actix::MailboxError>) -> Option<node::Answer> {
+pub async fn await_answer(reply: Result<Reply, actix::MailboxError>) -> Option<node::Answer> {
     match reply {
         Ok(receiver) => receiver.await.ok(),
         Err(_) => future::ready(None).await,
--- a/src/control/handlers.rs
+++ b/src/control/handlers.rs
@@ -32,8 +32,8 @@
 
     fn handle(&mut self, mut admit: messages::Admit, context: &mut Self::Context) -> Self::Result {
         let now_ms = self.now_ms();
-        admit.wanted.deadline_ms = admit.wanted.deadline_ms.saturating_add(now_ms);
-        let slot = self.node.admit(admit.wanted, now_ms);
+        admit.request.deadline_ms = admit.request.deadline_ms.saturating_add(now_ms);
+        let slot = self.node.admit(admit.request, now_ms);
         let reply = self.register_waiter(slot);
         self.perform_actions(context);
         actix::MessageResult((slot, reply))
@@ -46,7 +46,7 @@
     fn handle(&mut self, finish: messages::Finish, context: &mut Self::Context) -> Self::Result {
         let now_ms = self.now_ms();
         let reply = self.register_waiter(finish.slot);
-        self.node.finish(finish.slot, finish.ending, now_ms);
+        self.node.finish(finish.slot, finish.outcome, now_ms);
         self.perform_actions(context);
         actix::MessageResult(reply)
     }
@@ -58,31 +58,31 @@
     fn handle(&mut self, retry: messages::Retry, context: &mut Self::Context) -> Self::Result {
         let now_ms = self.now_ms();
         let reply = self.register_waiter(retry.slot);
-        self.node.retry(retry.slot, retry.tried, now_ms);
+        self.node.retry(retry.slot, retry.failure, now_ms);
         self.perform_actions(context);
         actix::MessageResult(reply)
     }
 }
 
-impl Handler<messages::Reported> for Control {
+impl Handler<messages::LoadReported> for Control {
     type Result = ();
 
-    fn handle(&mut self, reported: messages::Reported, _: &mut Self::Context) {
+    fn handle(&mut self, reported: messages::LoadReported, _: &mut Self::Context) {
         self.node.report_load_of(&reported.vm, reported.life, reported.load);
     }
 }
 
-impl Handler<messages::HeadReported> for Control {
+impl Handler<messages::DirectivesReported> for Control {
     type Result = ();
 
-    fn handle(&mut self, reported: messages::HeadReported, context: &mut Self::Context) {
+    fn handle(&mut self, reported: messages::DirectivesReported, context: &mut Self::Context) {
         let now_ms = self.now_ms();
-        let messages::HeadReported { vm, life, said, sent, heard } = reported;
+        let messages::DirectivesReported { vm, life, directives, sent_at, received_at } = reported;
         let age = servers::AnswerAge {
-            sent_ms: sent.elapsed().as_millis() as u64,
-            heard_ms: heard.elapsed().as_millis() as u64,
+            sent_ms: sent_at.elapsed().as_millis() as u64,
+            heard_ms: received_at.elapsed().as_millis() as u64,
         };
-        self.node.report_said(&vm, life, &said, age, now_ms);
+        self.node.report_said(&vm, life, &directives, age, now_ms);
         self.perform_actions(context);
     }
 }
@@ -115,10 +115,10 @@
     }
 }
 
-impl Handler<messages::EndedWell> for Control {
+impl Handler<messages::RunSucceeded> for Control {
     type Result = ();
 
-    fn handle(&mut self, ended: messages::EndedWell, context: &mut Self::Context) {
+    fn handle(&mut self, ended: messages::RunSucceeded, context: &mut Self::Context) {
         let now_ms = self.now_ms();
         self.node.ended_well(ended.0, now_ms);
         self.perform_actions(context);
@@ -153,18 +153,18 @@
     }
 }
 
-impl Handler<messages::Answering> for Control {
+impl Handler<messages::AnswerStarted> for Control {
     type Result = ();
 
-    fn handle(&mut self, answering: messages::Answering, _: &mut Self::Context) {
-        self.node.answer_started(answering.0);
+    fn handle(&mut self, started: messages::AnswerStarted, _: &mut Self::Context) {
+        self.node.answer_started(started.0);
     }
 }
 
-impl Handler<messages::Rates> for Control {
+impl Handler<messages::SetPlatformRates> for Control {
     type Result = ();
 
-    fn handle(&mut self, rates: messages::Rates, _: &mut Self::Context) {
+    fn handle(&mut self, rates: messages::SetPlatformRates, _: &mut Self::Context) {
         self.node.set_platform_rates(rates.reads_per_s, rates.writes_per_s);
     }
 }
--- a/src/control/messages.rs
+++ b/src/control/messages.rs
@@ -10,7 +10,7 @@
 #[rtype(result = "(ids::RequestSlot, Reply)")]
 pub struct Admit {
     /// The request. Its deadline counts from now, in milliseconds.
-    pub wanted: node::Wanted,
+    pub request: node::Wanted,
 }
 
 /// Reports the end of a dispatched request. The reply comes when its settlement is safe.
@@ -20,7 +20,7 @@
     /// The request.
     pub slot: ids::RequestSlot,
     /// The outcome of the request.
-    pub ending: node::Ending,
+    pub outcome: node::Ending,
 }
 
 /// Asks for another server after an attempt failed.
@@ -30,13 +30,13 @@
     /// The request.
     pub slot: ids::RequestSlot,
     /// How the attempt failed.
-    pub tried: node::Tried,
+    pub failure: node::Tried,
 }
 
 /// The load that a server reported with an answer.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
-pub struct Reported {
+pub struct LoadReported {
     /// The server's VM.
     pub vm: String,
     /// The incarnation of the server that reported it.
@@ -48,17 +48,17 @@
 /// The directives of a server in the head of an answer.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
-pub struct HeadReported {
+pub struct DirectivesReported {
     /// The server's VM.
     pub vm: String,
     /// The incarnation of the server that sent them.
     pub life: ids::ServerLife,
     /// The directives.
-    pub said: servers::Said,
+    pub directives: servers::Said,
     /// The time at which the request was sent.
-    pub sent: Instant,
+    pub sent_at: Instant,
     /// The time at which the head was received.
-    pub heard: Instant,
+    pub received_at: Instant,
 }
 
 /// A run whose connection ended before its answer was complete.
@@ -79,7 +79,7 @@
 /// A request that a crash may count against, of which a run succeeded.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
-pub struct EndedWell(pub ids::Fingerprint);
+pub struct RunSucceeded(pub ids::Fingerprint);
 
 /// Releases a request from quarantine. The reply is the number of crashes that counted against it.
 #[derive(Debug, Message)]
@@ -105,12 +105,12 @@
 /// A dispatched request whose answer has started.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
-pub struct Answering(pub ids::RequestSlot);
+pub struct AnswerStarted(pub ids::RequestSlot);
 
 /// Sets the rates of the platform after a change of the settings.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "()")]
-pub struct Rates {
+pub struct SetPlatformRates {
     /// Reads per second that the platform accepts from all routers together.
     pub reads_per_s: u64,
     /// Writes per second that the platform accepts from all routers together.
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -137,7 +137,11 @@
     let head = answers::head(answer.status().as_u16(), answer.headers(), &call.asked.id);
     if let Some((running, queued, slots)) = head.load {
         let load = servers::Load { running, queued, slots };
-        context.control.do_send(control::Reported { vm: place.vm.clone(), life: place.life, load });
+        context.control.do_send(control::LoadReported {
+            vm: place.vm.clone(),
+            life: place.life,
+            load,
+        });
     }
     // Another instance speaks for itself, and an answer to another request comes from no known time.
     let misdirected = answer.status() == StatusCode::MISDIRECTED_REQUEST;
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -318,7 +318,7 @@
     /// Notes that a run of a request ended well.
     pub fn ended_well(&self, call: &attempt::Call) {
         if let Some(request) = self.published.suspected(|| call.head_digest(), &call.body) {
-            self.control.do_send(control::EndedWell(request));
+            self.control.do_send(control::RunSucceeded(request));
         }
     }
 
--- a/src/gateway/ticket.rs
+++ b/src/gateway/ticket.rs
@@ -64,7 +64,7 @@
 
     /// The answer has begun.
     pub fn answering(&self) {
-        self.control.do_send(control::Answering(self.slot));
+        self.control.do_send(control::AnswerStarted(self.slot));
     }
 
     /// The server answered; `healthy` tells whether it did so as it should.
@@ -101,7 +101,7 @@
             self.pace.first_event_ms(),
             self.pace.longest_gap_ms(),
         );
-        self.control.do_send(control::Finish { slot: self.slot, ending });
+        self.control.do_send(control::Finish { slot: self.slot, outcome: ending });
     }
 }
 
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -38,7 +38,7 @@
                 settings.platform.reads_per_s,
                 settings.platform.writes_per_s,
             );
-            control.do_send(control::Rates {
+            control.do_send(control::SetPlatformRates {
                 reads_per_s: settings.platform.reads_per_s,
                 writes_per_s: settings.platform.writes_per_s,
             });
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -33,7 +33,7 @@
     /// A run of it ended well.
     pub fn ended_well(&self) {
         if let Some(request) = self.suspected() {
-            self.control.do_send(control::EndedWell(request));
+            self.control.do_send(control::RunSucceeded(request));
         }
     }
 
@@ -109,15 +109,21 @@
         return;
     }
     let (vm, life, heard) = (place.vm.clone(), place.life, Instant::now());
-    control.do_send(control::HeadReported { vm, life, said, sent, heard });
+    control.do_send(control::DirectivesReported {
+        vm,
+        life,
+        directives: said,
+        sent_at: sent,
+        received_at: heard,
+    });
 }
 
 /// Asks the control thread for a placement.
 pub async fn admit(control: &Addr<control::Control>, wanted: node::Wanted) -> Admission {
-    let Ok((slot, reply)) = control.send(control::Admit { wanted }).await else {
+    let Ok((slot, reply)) = control.send(control::Admit { request: wanted }).await else {
         return Admission::Refused(api_error::ApiError::closing());
     };
-    admission(slot, control::ask(Ok(reply)).await)
+    admission(slot, control::await_answer(Ok(reply)).await)
 }
 
 /// Asks the control thread for another server.
@@ -126,8 +132,8 @@
     slot: ids::RequestSlot,
     tried: node::Tried,
 ) -> Admission {
-    let reply = control.send(control::Retry { slot, tried }).await;
-    admission(slot, control::ask(reply).await)
+    let reply = control.send(control::Retry { slot, failure: tried }).await;
+    admission(slot, control::await_answer(reply).await)
 }
 
 /// Reports the end of a request and waits until it is safe.
@@ -136,8 +142,8 @@
     slot: ids::RequestSlot,
     ending: node::Ending,
 ) {
-    let reply = control.send(control::Finish { slot, ending }).await;
-    control::ask(reply).await;
+    let reply = control.send(control::Finish { slot, outcome: ending }).await;
+    control::await_answer(reply).await;
 }
 
 /// Whether a failed call ended with its connection, and not by a limit of this router.
