--- a/src/control.rs
+++ b/src/control.rs
@@ -119,7 +119,7 @@
     fn perform_actions(&mut self, context: &mut Context<Self>) {
         self.published.set_ready(self.node.lifecycle() == node::Lifecycle::Ready);
         self.publish_suspected();
-        self.published.set_knows_limits(!self.node.servers().limits().is_empty());
+        self.published.set_any_limits(!self.node.servers().limits().is_empty());
         for action in self.node.take_actions() {
             match action {
                 node::Action::Store { call, request } => self.call_store(call, request, context),
@@ -143,7 +143,7 @@
                     self.publish_config(version, source)
                 }
                 node::Action::ServerRestarted { vm, life } => {
-                    self.published.restarted(vm, life);
+                    self.published.publish_restart(vm, life);
                 }
                 node::Action::Notice(notice) => telemetry::log_notice(&notice),
             }
@@ -412,7 +412,7 @@
         region: settings.region.clone(),
         started_s: clock::unix_time_s(),
         seeds: settings.peers.seed_addresses(),
-        watch: settings.platform.follows(),
+        watch: settings.platform.watch_bounds(),
         platform_reads_per_s: settings.platform.reads_per_s,
         platform_writes_per_s: settings.platform.writes_per_s,
         budget_wait_ms: settings.limits.budget_wait_ms,
--- a/src/control/handlers.rs
+++ b/src/control/handlers.rs
@@ -7,22 +7,22 @@
 
 impl peers::Receiver for Control {}
 
-impl Handler<peers::Arrived> for Control {
+impl Handler<peers::MessageReceived> for Control {
     type Result = ();
 
-    fn handle(&mut self, arrived: peers::Arrived, context: &mut Self::Context) {
+    fn handle(&mut self, received: peers::MessageReceived, context: &mut Self::Context) {
         let now_ms = self.now_ms();
-        self.node.message(arrived.0, now_ms);
+        self.node.message(received.0, now_ms);
         self.perform_actions(context);
     }
 }
 
-impl Handler<peers::GossipArrived> for Control {
+impl Handler<peers::GossipReceived> for Control {
     type Result = ();
 
-    fn handle(&mut self, arrived: peers::GossipArrived, context: &mut Self::Context) {
+    fn handle(&mut self, received: peers::GossipReceived, context: &mut Self::Context) {
         let now_ms = self.now_ms();
-        self.node.gossip(&arrived.0, now_ms);
+        self.node.gossip(&received.0, now_ms);
         self.perform_actions(context);
     }
 }
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -73,7 +73,7 @@
             "event=refused_by_configuration id={id} code={} config_version={} config_age_ms={}",
             error.code,
             version.unwrap_or(0),
-            logging::known_ms(self.published.config_age_ms()),
+            logging::ms_or_never(self.published.config_age_ms()),
         );
     }
 
--- a/src/gateway/listener.rs
+++ b/src/gateway/listener.rs
@@ -138,7 +138,7 @@
 }
 
 async fn follow_restarted(gateway: Rc<Gateway>) {
-    let mut restarted = gateway.published.follow_restarted();
+    let mut restarted = gateway.published.subscribe_restarts();
     while restarted.changed().await.is_ok() {
         gateway.backends.end_earlier_lives(&restarted.borrow_and_update());
     }
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -84,11 +84,11 @@
 }
 
 /// Formats a time for a log line, in milliseconds; `never` if there is none.
-pub fn known_ms(time_ms: Option<u64>) -> String {
+pub fn ms_or_never(time_ms: Option<u64>) -> String {
     time_ms.map_or_else(|| "never".to_owned(), |time_ms| time_ms.to_string())
 }
 
 /// Joins several values for a log line with commas.
-pub fn listed(values: impl Iterator<Item = String>) -> String {
+pub fn joined(values: impl Iterator<Item = String>) -> String {
     values.collect::<Vec<_>>().join(",")
 }
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -38,12 +38,12 @@
 /// A message that was received from a peer.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
-pub struct Arrived(pub message::Envelope);
+pub struct MessageReceived(pub message::Envelope);
 
 /// Gossip that was received from a peer in a datagram.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
-pub struct GossipArrived(pub message::Gossip);
+pub struct GossipReceived(pub message::Gossip);
 
 /// Encodes a frame's body.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
@@ -64,8 +64,8 @@
 /// An actor that handles the messages and the gossip of peers.
 pub trait Receiver:
     actix::Actor<Context = actix::Context<Self>>
-    + actix::Handler<Arrived>
-    + actix::Handler<GossipArrived>
+    + actix::Handler<MessageReceived>
+    + actix::Handler<GossipReceived>
 {
 }
 
@@ -148,7 +148,7 @@
     let mut framed = codec::Framed::new(stream, frame_codec());
     while let Some(Ok(frame)) = framed.next().await {
         match decode::<message::Envelope>(&frame) {
-            Ok(envelope) => receiver.do_send(Arrived(envelope)),
+            Ok(envelope) => receiver.do_send(MessageReceived(envelope)),
             Err(error) => {
                 log::warn!("event=frame_refused fault={}", logging::quoted(error));
                 return;
@@ -166,8 +166,8 @@
     loop {
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else { continue };
         match decode::<message::Datagram>(&buffer[..length]) {
-            Ok(message::Datagram::Gossip(gossip)) => receiver.do_send(GossipArrived(gossip)),
-            Ok(message::Datagram::Message(envelope)) => receiver.do_send(Arrived(envelope)),
+            Ok(message::Datagram::Gossip(gossip)) => receiver.do_send(GossipReceived(gossip)),
+            Ok(message::Datagram::Message(envelope)) => receiver.do_send(MessageReceived(envelope)),
             Err(error) => {
                 log::debug!("event=datagram_refused fault={}", logging::quoted(error));
             }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -141,7 +141,7 @@
 impl Platform {
     /// The times within which changes in the store must take effect; `None` if the core does not poll for them with
     /// this protocol.
-    pub fn follows(&self) -> Option<watch::Bounds> {
+    pub fn watch_bounds(&self) -> Option<watch::Bounds> {
         match self.protocol {
             Protocol::Consul => None,
             Protocol::Revisions => Some(watch::Bounds {
--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -78,7 +78,7 @@
     /// Head keys of the fingerprints of requests during which servers crashed.
     suspected: arc_swap::ArcSwap<collections::HashSet<u64>>,
     restarted: watch::Sender<Lives>,
-    knows_limits: AtomicBool,
+    any_limits: AtomicBool,
     ready: AtomicBool,
     draining: AtomicBool,
     stopped: AtomicBool,
@@ -102,7 +102,7 @@
             config_age_ms: AtomicU64::new(AGE_UNKNOWN_MS),
             suspected: Default::default(),
             restarted: watch::Sender::new(Lives::new()),
-            knows_limits: Default::default(),
+            any_limits: Default::default(),
             ready: Default::default(),
             draining: Default::default(),
             stopped: Default::default(),
@@ -145,17 +145,17 @@
     }
 
     /// Whether any server has a rate limit. Then an answer without a limit is reported too, as it removes one.
-    pub fn knows_limits(&self) -> bool {
-        self.knows_limits.load(atomic::Ordering::Relaxed)
+    pub fn any_limits(&self) -> bool {
+        self.any_limits.load(atomic::Ordering::Relaxed)
     }
 
     /// Sets whether any server has a rate limit.
-    pub fn set_knows_limits(&self, knows_limits: bool) {
-        self.knows_limits.store(knows_limits, atomic::Ordering::Relaxed);
+    pub fn set_any_limits(&self, any_limits: bool) {
+        self.any_limits.store(any_limits, atomic::Ordering::Relaxed);
     }
 
     /// Publishes the new incarnation of a server that restarted.
-    pub fn restarted(&self, vm: String, life: ids::ServerLife) {
+    pub fn publish_restart(&self, vm: String, life: ids::ServerLife) {
         self.restarted.send_modify(|lives| {
             if lives.len() >= RESTARTED_SERVERS_MAX {
                 lives.clear();
@@ -165,7 +165,7 @@
     }
 
     /// Subscribes to the incarnations of restarted servers.
-    pub fn follow_restarted(&self) -> watch::Receiver<Lives> {
+    pub fn subscribe_restarts(&self) -> watch::Receiver<Lives> {
         self.restarted.subscribe()
     }
 
--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -196,7 +196,11 @@
 /// current by polls.
 fn log_staleness(node: &node::Node, now_ms: u64) {
     for (topic, age_ms) in node.staleness_ms(now_ms) {
-        log::info!("event=news_age topic={} age_ms={}", topic.as_str(), logging::known_ms(age_ms));
+        log::info!(
+            "event=news_age topic={} age_ms={}",
+            topic.as_str(),
+            logging::ms_or_never(age_ms)
+        );
     }
 }
 
@@ -217,8 +221,8 @@
     log::info!(
         "event=config_in_force version={version} source={source} age_ms={} open_calls={} \
          prepaid_tokens={prepaid_tokens}",
-        logging::known_ms(age_ms),
-        logging::quoted(logging::listed(calls.iter().map(|call| format!(
+        logging::ms_or_never(age_ms),
+        logging::quoted(logging::joined(calls.iter().map(|call| format!(
             "{}:wait_ms={}:sent_ms_ago={}",
             call.number, call.wait_ms, call.sent_ms_ago
         )))),
@@ -253,7 +257,7 @@
         account.consumed_tokens,
         account.sent_tokens,
         account.returning_tokens,
-        logging::known_ms(ledger_age_ms),
+        logging::ms_or_never(ledger_age_ms),
         account.paid_tokens,
         account.remaining_tokens.unwrap_or(0),
         account.held_tokens,
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -105,7 +105,7 @@
     sent: Instant,
 ) {
     // While limits are known, answers that name none say something too.
-    if said.is_silent() && !published.knows_limits() {
+    if said.is_silent() && !published.any_limits() {
         return;
     }
     let (vm, life, heard) = (place.vm.clone(), place.life, Instant::now());
--- a/tests/peer_links.rs
+++ b/tests/peer_links.rs
@@ -22,18 +22,18 @@
     type Context = actix::Context<Self>;
 }
 
-impl actix::Handler<peers::Arrived> for Counter {
+impl actix::Handler<peers::MessageReceived> for Counter {
     type Result = ();
 
-    fn handle(&mut self, _: peers::Arrived, _: &mut Self::Context) {
+    fn handle(&mut self, _: peers::MessageReceived, _: &mut Self::Context) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-impl actix::Handler<peers::GossipArrived> for Counter {
+impl actix::Handler<peers::GossipReceived> for Counter {
     type Result = ();
 
-    fn handle(&mut self, _: peers::GossipArrived, _: &mut Self::Context) {}
+    fn handle(&mut self, _: peers::GossipReceived, _: &mut Self::Context) {}
 }
 
 impl peers::Receiver for Counter {}
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -56,7 +56,7 @@
             assert_eq!(settings.limits.stop_grace_s, 8);
             assert_eq!(settings.peers.listen.port(), 7_200);
             assert_eq!(settings.peers.seed_addresses(), ["10.1.0.19:7200", "10.2.0.7:7200"]);
-            let bounds = settings.platform.follows().unwrap();
+            let bounds = settings.platform.watch_bounds().unwrap();
             assert_eq!((bounds.configuration_ms, bounds.servers_ms), (4_000, 3_000));
         }
     )*};
