--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -22,7 +22,7 @@
     /// The body.
     pub body: Bytes,
     /// What the headers say.
-    pub asked: headers::Asked,
+    pub asked: headers::ClientHeaders,
     /// The route that it took.
     pub route: routes::Route,
     /// The workspace that pays; `None` on a public route without a key.
@@ -134,7 +134,7 @@
     answer: backends::Answer,
     mut connection: backends::Connection,
 ) -> Outcome {
-    let head = answers::head(answer.status().as_u16(), answer.headers(), &call.asked.id);
+    let head = answers::decode_head(answer.status().as_u16(), answer.headers(), &call.asked.id);
     if let Some((running, queued, slots)) = head.load {
         let load = servers::Load { running, queued, slots };
         context.control.do_send(control::LoadReported {
@@ -145,12 +145,12 @@
     }
     // Another instance speaks for itself, and an answer to another request comes from no known time.
     let misdirected = answer.status() == StatusCode::MISDIRECTED_REQUEST;
-    let of_server = !misdirected && (head.not_run || head.echoes);
+    let of_server = !misdirected && (head.not_run || head.id_matches);
     if of_server {
-        upstream::report_head(context.control, context.published, place, head.said, sent);
+        upstream::report_head(context.control, context.published, place, head.directives, sent);
     }
     connection.note_keep_alive(answer.headers());
-    if of_server && head.said.leaves == servers::Stated::Value(true) {
+    if of_server && head.directives.leaves == servers::Stated::Value(true) {
         connection.close_after_exchange();
         context.backends.close_resting(place);
     }
@@ -158,7 +158,7 @@
         rest_after_body(context.backends, answer, connection).await;
         return Outcome::TurnedAway;
     }
-    if !head.echoes {
+    if !head.id_matches {
         // An answer to another request: what became of this one is not known.
         return Outcome::Unknown;
     }
@@ -184,10 +184,10 @@
     place: &upstream::Placement,
     last_event_id: Option<&str>,
 ) -> Request<backends::RequestBody> {
-    let told = headers::Told {
+    let told = headers::SystemHeaders {
         server: &place.vm,
         workspace: call.workspace.as_deref(),
-        left: call.deadline.saturating_duration_since(Instant::now()),
+        remaining: call.deadline.saturating_duration_since(Instant::now()),
         last_event_id,
     };
     let mut request = Request::new(Full::new(call.body.clone()));
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -51,7 +51,7 @@
     snapshot: Arc<snapshot::Snapshot>,
     route: routes::Route,
     workspace: Option<config::Workspace>,
-    asked: headers::Asked,
+    asked: headers::ClientHeaders,
     deadline: Instant,
 }
 
@@ -67,7 +67,7 @@
 
     /// Writes which configuration decided that a request is refused: a router that lags behind shows here.
     fn log_refused_by_configuration(&self, request: &Request<Incoming>, error: &Error) {
-        let id = headers::asked(request.headers()).map_or_else(String::new, |asked| asked.id);
+        let id = headers::decode(request.headers()).map_or_else(String::new, |asked| asked.id);
         let version = self.published.snapshot.load().as_ref().map(|snapshot| snapshot.version);
         log::info!(
             "event=refused_by_configuration id={id} code={} config_version={} config_age_ms={}",
@@ -145,7 +145,7 @@
         if workspace.is_none() && !keyless {
             return Err(refusal::unauthorized());
         }
-        let asked = headers::asked(request.headers()).ok_or_else(refusal::bad_head)?;
+        let asked = headers::decode(request.headers()).ok_or_else(refusal::bad_head)?;
         let timeout = Duration::from_millis(route.timeout_ms);
         let deadline = started + asked.deadline.unwrap_or(timeout).min(timeout);
         Ok(Head { snapshot, route, workspace, asked, deadline })
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -40,7 +40,7 @@
     /// An answer to it came from a server, with this head.
     pub fn answered(&self, place: &Placement, status: StatusCode, head: &HeaderMap, sent: Instant) {
         let values = |name| head.get_all(name).map(HeaderValue::as_bytes);
-        let said = answers::said(status.as_u16(), values);
+        let said = answers::directives(status.as_u16(), values);
         report_head(&self.control, &self.published, place, said, sent);
     }
 
