--- a/src/control.rs
+++ b/src/control.rs
@@ -40,7 +40,7 @@
     pub incarnation: ids::Incarnation,
 }
 
-/// The control actor. All access to the core goes through its messages.
+/// The control actor, which owns the core.
 pub struct Control {
     settings: Arc<settings::Settings>,
     published: Arc<snapshot::Published>,
@@ -48,7 +48,7 @@
     incarnation: ids::Incarnation,
     node: node::Node,
     platform: stores::Store,
-    /// Polls the store for the core; `None` if the protocol has its own watches.
+    /// Polls the store for the core; `None` with the Consul protocol, whose watches this actor makes itself.
     feed: Option<feed::Feed>,
     http: awc::Client,
     peers: Option<peers::Peers>,
@@ -313,7 +313,7 @@
         let stores::Store::Revisions(client) = self.platform.clone() else { return };
         let advertised = self.settings.advertised().to_string();
         let vm = self.settings.vm.clone();
-        actix::spawn(feed::find_peers(client, vm, advertised, context.address()));
+        actix::spawn(feed::record_and_find_peers(client, vm, advertised, context.address()));
     }
 
     fn poll_loads(&mut self, context: &mut Context<Self>) {
--- a/src/feed.rs
+++ b/src/feed.rs
@@ -1,6 +1,6 @@
 //! Polls the platform's store for the topics that the core follows.
 
-mod pause;
+mod retry_delay;
 mod unreadable;
 
 use crate::{control, logging};
@@ -136,14 +136,14 @@
 
 /// Records this router's address for peers and reads those of the others. Of two routers, the one that records its
 /// address later finds the other; gossip spreads the addresses from there.
-pub async fn find_peers(
+pub async fn record_and_find_peers(
     store: store::Client,
     vm: String,
     address: String,
     control: Addr<control::Control>,
 ) {
     let key = format!("{ROUTERS_PREFIX}{vm}");
-    let mut retry_delay = pause::RetryDelay::default();
+    let mut retry_delay = retry_delay::RetryDelay::default();
     let unreadable = unreadable::ReportedEntries::default();
     while let Err(error) = store.put(&key, address.as_bytes()).await {
         retry_delay.wait("router_record_failed", ROUTERS_PREFIX, &error).await;
--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -89,7 +89,7 @@
 pub type Lives = collections::HashMap<String, ids::ServerLife>;
 
 /// The number of restarted servers that are remembered. When there are more, all are forgotten, and requests that are
-/// still open at their earlier incarnations end by their own timeouts.
+/// still open at their earlier incarnations have to end by themselves.
 const RESTARTED_SERVERS_MAX: usize = 4_096;
 
 /// Represents an unknown age in the atomic field.
