--- a/src/control/handlers.rs
+++ b/src/control/handlers.rs
@@ -1,4 +1,4 @@
-//! What the actor does with each message.
+//! The message handlers of the control actor.
 
 use super::{Control, messages};
 use crate::peers;
@@ -7,23 +7,23 @@
 
 impl peers::Receiver for Control {}
 
-impl Handler<peers::Arrived> for Control {
+impl Handler<peers::MessageReceived> for Control {
     type Result = ();
 
-    fn handle(&mut self, arrived: peers::Arrived, context: &mut Self::Context) {
+    fn handle(&mut self, received: peers::MessageReceived, context: &mut Self::Context) {
         let now_ms = self.now_ms();
-        self.node.handle_message(arrived.0, now_ms);
-        self.carry_out(context);
+        self.node.handle_message(received.0, now_ms);
+        self.perform_actions(context);
     }
 }
 
-impl Handler<peers::GossipArrived> for Control {
+impl Handler<peers::GossipReceived> for Control {
     type Result = ();
 
-    fn handle(&mut self, arrived: peers::GossipArrived, context: &mut Self::Context) {
+    fn handle(&mut self, received: peers::GossipReceived, context: &mut Self::Context) {
         let now_ms = self.now_ms();
-        self.node.handle_gossip(&arrived.0, now_ms);
-        self.carry_out(context);
+        self.node.handle_gossip(&received.0, now_ms);
+        self.perform_actions(context);
     }
 }
 
@@ -32,10 +32,10 @@
 
     fn handle(&mut self, mut admit: messages::Admit, context: &mut Self::Context) -> Self::Result {
         let now_ms = self.now_ms();
-        admit.wanted.deadline_ms = admit.wanted.deadline_ms.saturating_add(now_ms);
-        let slot = self.node.admit(admit.wanted, now_ms);
-        let reply = self.wait_for(slot);
-        self.carry_out(context);
+        admit.request.deadline_ms = admit.request.deadline_ms.saturating_add(now_ms);
+        let slot = self.node.admit(admit.request, now_ms);
+        let reply = self.register_waiter(slot);
+        self.perform_actions(context);
         actix::MessageResult((slot, reply))
     }
 }
@@ -45,9 +45,9 @@
 
     fn handle(&mut self, finish: messages::Finish, context: &mut Self::Context) -> Self::Result {
         let now_ms = self.now_ms();
-        let reply = self.wait_for(finish.slot);
-        self.node.finish(finish.slot, finish.ending, now_ms);
-        self.carry_out(context);
+        let reply = self.register_waiter(finish.slot);
+        self.node.finish(finish.slot, finish.outcome, now_ms);
+        self.perform_actions(context);
         actix::MessageResult(reply)
     }
 }
@@ -57,33 +57,33 @@
 
     fn handle(&mut self, retry: messages::Retry, context: &mut Self::Context) -> Self::Result {
         let now_ms = self.now_ms();
-        let reply = self.wait_for(retry.slot);
-        self.node.retry(retry.slot, retry.tried, now_ms);
-        self.carry_out(context);
+        let reply = self.register_waiter(retry.slot);
+        self.node.retry(retry.slot, retry.failure, now_ms);
+        self.perform_actions(context);
         actix::MessageResult(reply)
     }
 }
 
-impl Handler<messages::Reported> for Control {
+impl Handler<messages::LoadReported> for Control {
     type Result = ();
 
-    fn handle(&mut self, reported: messages::Reported, _: &mut Self::Context) {
+    fn handle(&mut self, reported: messages::LoadReported, _: &mut Self::Context) {
         self.node.report_load_of(&reported.vm, reported.life, reported.load);
     }
 }
 
-impl Handler<messages::HeadReported> for Control {
+impl Handler<messages::DirectivesReported> for Control {
     type Result = ();
 
-    fn handle(&mut self, reported: messages::HeadReported, context: &mut Self::Context) {
+    fn handle(&mut self, reported: messages::DirectivesReported, context: &mut Self::Context) {
         let now_ms = self.now_ms();
-        let messages::HeadReported { vm, life, said, sent, heard } = reported;
+        let messages::DirectivesReported { vm, life, directives, sent_at, received_at } = reported;
         let age = servers::AnswerAge {
-            sent_ms: sent.elapsed().as_millis() as u64,
-            heard_ms: heard.elapsed().as_millis() as u64,
+            sent_ms: sent_at.elapsed().as_millis() as u64,
+            heard_ms: received_at.elapsed().as_millis() as u64,
         };
-        self.node.report_directives(&vm, life, &said, age, now_ms);
-        self.carry_out(context);
+        self.node.report_directives(&vm, life, &directives, age, now_ms);
+        self.perform_actions(context);
     }
 }
 
@@ -93,7 +93,7 @@
     fn handle(&mut self, broken: messages::RunBroken, context: &mut Self::Context) {
         let now_ms = self.now_ms();
         self.node.run_broken(&broken.0, now_ms);
-        self.carry_out(context);
+        self.perform_actions(context);
     }
 }
 
@@ -103,7 +103,7 @@
     fn handle(&mut self, refused: messages::ServerRefused, context: &mut Self::Context) {
         let now_ms = self.now_ms();
         self.node.connection_refused(&refused.0, now_ms);
-        self.carry_out(context);
+        self.perform_actions(context);
     }
 }
 
@@ -115,13 +115,13 @@
     }
 }
 
-impl Handler<messages::EndedWell> for Control {
+impl Handler<messages::RunSucceeded> for Control {
     type Result = ();
 
-    fn handle(&mut self, ended: messages::EndedWell, context: &mut Self::Context) {
+    fn handle(&mut self, ended: messages::RunSucceeded, context: &mut Self::Context) {
         let now_ms = self.now_ms();
         self.node.run_succeeded(ended.0, now_ms);
-        self.carry_out(context);
+        self.perform_actions(context);
     }
 }
 
@@ -131,7 +131,7 @@
     fn handle(&mut self, release: messages::Release, context: &mut Self::Context) -> usize {
         let now_ms = self.now_ms();
         let crashes = self.node.release(release.request, release.dry_run, now_ms);
-        self.carry_out(context);
+        self.perform_actions(context);
         crashes
     }
 }
@@ -148,23 +148,23 @@
         if !release.dry_run && tokens > 0 {
             log::warn!("event=withheld_released budget={} tokens={tokens}", release.budget);
         }
-        self.carry_out(context);
+        self.perform_actions(context);
         Some(tokens)
     }
 }
 
-impl Handler<messages::Answering> for Control {
+impl Handler<messages::AnswerStarted> for Control {
     type Result = ();
 
-    fn handle(&mut self, answering: messages::Answering, _: &mut Self::Context) {
-        self.node.answer_started(answering.0);
+    fn handle(&mut self, started: messages::AnswerStarted, _: &mut Self::Context) {
+        self.node.answer_started(started.0);
     }
 }
 
-impl Handler<messages::Rates> for Control {
+impl Handler<messages::SetPlatformRates> for Control {
     type Result = ();
 
-    fn handle(&mut self, rates: messages::Rates, _: &mut Self::Context) {
+    fn handle(&mut self, rates: messages::SetPlatformRates, _: &mut Self::Context) {
         self.node.set_platform_rates(rates.reads_per_s, rates.writes_per_s);
     }
 }
@@ -194,6 +194,6 @@
         log::info!("event=stopping");
         let now_ms = self.now_ms();
         self.node.stop(now_ms);
-        self.carry_out(context);
+        self.perform_actions(context);
     }
 }
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -21,8 +21,9 @@
     pub headers: HeaderMap,
     /// The request body.
     pub body: Bytes,
+
     /// What this router reads from the headers: the id, the token counts and the deadline.
-    pub parameters: headers::Asked,
+    pub parameters: headers::ClientHeaders,
     /// The route that matches the host and path.
     pub route: routes::Route,
     /// The workspace whose budget pays; `None` on a public route without a key.
@@ -138,10 +139,11 @@
     answer: backends::Answer,
     mut connection: backends::Connection,
 ) -> Outcome {
-    let head = answers::head(answer.status().as_u16(), answer.headers(), &call.parameters.id);
+    let head =
+        answers::decode_head(answer.status().as_u16(), answer.headers(), &call.parameters.id);
     if let Some((running, queued, slots)) = head.load {
         let load = servers::Load { running, queued, slots };
-        context.control.do_send(control::Reported {
+        context.control.do_send(control::LoadReported {
             vm: placement.vm.clone(),
             life: placement.life,
             load,
@@ -150,12 +152,12 @@
     // A misdirected request was answered by another server incarnation, whose directives are not those of this one. An
     // answer to another request was sent at an unknown time.
     let misdirected = answer.status() == StatusCode::MISDIRECTED_REQUEST;
-    let applies_to_server = !misdirected && (head.not_run || head.echoes);
+    let applies_to_server = !misdirected && (head.not_run || head.id_matches);
     if applies_to_server {
-        upstream::report_head(context.control, context.published, placement, head.said, sent);
+        upstream::report_head(context.control, context.published, placement, head.directives, sent);
     }
     connection.note_keep_alive(answer.headers());
-    if applies_to_server && head.said.leaves == servers::Stated::Value(true) {
+    if applies_to_server && head.directives.leaves == servers::Stated::Value(true) {
         connection.close_after_exchange();
         context.backends.close_idle(placement);
     }
@@ -163,7 +165,7 @@
         discard_body(context.backends, answer, connection).await;
         return Outcome::Rejected;
     }
-    if !head.echoes {
+    if !head.id_matches {
         // This is an answer to another request. It is unknown whether this one ran.
         return Outcome::Unknown;
     }
@@ -190,10 +192,10 @@
     placement: &upstream::Placement,
     last_event_id: Option<&str>,
 ) -> Request<backends::RequestBody> {
-    let forwarded = headers::Told {
+    let forwarded = headers::SystemHeaders {
         server: &placement.vm,
         workspace: call.workspace.as_deref(),
-        left: call.deadline.saturating_duration_since(Instant::now()),
+        remaining: call.deadline.saturating_duration_since(Instant::now()),
         last_event_id,
     };
     let mut request = Request::new(Full::new(call.body.clone()));
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -51,7 +51,7 @@
     snapshot: Arc<snapshot::Snapshot>,
     route: routes::Route,
     workspace: Option<config::Workspace>,
-    parameters: headers::Asked,
+    parameters: headers::ClientHeaders,
     deadline: Instant,
 }
 
@@ -69,13 +69,13 @@
     /// configuration can be recognized.
     fn log_refused_by_configuration(&self, request: &Request<Incoming>, error: &Error) {
         let id =
-            headers::asked(request.headers()).map_or_else(String::new, |parameters| parameters.id);
+            headers::decode(request.headers()).map_or_else(String::new, |parameters| parameters.id);
         let version = self.published.snapshot.load().as_ref().map(|snapshot| snapshot.version);
         log::info!(
             "event=refused_by_configuration id={id} code={} config_version={} config_age_ms={}",
             error.code,
             version.unwrap_or(0),
-            logging::known_ms(self.published.config_age_ms()),
+            logging::ms_or_never(self.published.config_age_ms()),
         );
     }
 
@@ -154,7 +154,7 @@
         if workspace.is_none() && !keyless {
             return Err(refusal::unauthorized());
         }
-        let parameters = headers::asked(request.headers()).ok_or_else(refusal::bad_head)?;
+        let parameters = headers::decode(request.headers()).ok_or_else(refusal::bad_head)?;
         let timeout = Duration::from_millis(route.timeout_ms);
         let deadline = started + parameters.deadline.unwrap_or(timeout).min(timeout);
         Ok(ResolvedHead { snapshot, route, workspace, parameters, deadline })
@@ -340,7 +340,7 @@
     /// Reports that a server ran a request without crashing, if the request is suspected of crashing servers.
     pub fn report_success(&self, call: &attempt::Call) {
         if let Some(request) = self.published.suspected(|| call.head_digest(), &call.body) {
-            self.control.do_send(control::EndedWell(request));
+            self.control.do_send(control::RunSucceeded(request));
         }
     }
 
--- a/src/gateway/listener.rs
+++ b/src/gateway/listener.rs
@@ -140,7 +140,7 @@
 
 /// Aborts the connections to earlier incarnations of servers whenever a server has restarted.
 async fn follow_restarts(gateway: Rc<Gateway>) {
-    let mut restarted = gateway.published.follow_restarted();
+    let mut restarted = gateway.published.subscribe_restarts();
     while restarted.changed().await.is_ok() {
         gateway.backends.abort_earlier_incarnations(&restarted.borrow_and_update());
     }
--- a/src/gateway/ticket.rs
+++ b/src/gateway/ticket.rs
@@ -64,7 +64,7 @@
 
     /// Reports that the answer has started.
     pub fn answer_started(&self) {
-        self.control.do_send(control::Answering(self.slot));
+        self.control.do_send(control::AnswerStarted(self.slot));
     }
 
     /// Finishes a request that a server answered. `healthy` is false if the answer was a server error.
@@ -105,7 +105,7 @@
             self.event_gaps.first_event_ms(),
             self.event_gaps.longest_gap_ms(),
         );
-        self.control.do_send(control::Finish { slot: self.slot, ending });
+        self.control.do_send(control::Finish { slot: self.slot, outcome: ending });
     }
 }
 
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -33,7 +33,7 @@
     /// Reports that a server ran the request without crashing, if the request is suspected.
     pub fn report_success(&self) {
         if let Some(request) = self.suspected() {
-            self.control.do_send(control::EndedWell(request));
+            self.control.do_send(control::RunSucceeded(request));
         }
     }
 
@@ -46,7 +46,7 @@
         sent: Instant,
     ) {
         let values = |name| headers.get_all(name).map(HeaderValue::as_bytes);
-        let said = answers::said(status.as_u16(), values);
+        let said = answers::directives(status.as_u16(), values);
         report_head(&self.control, &self.published, placement, said, sent);
     }
 
@@ -115,19 +115,25 @@
     sent: Instant,
 ) {
     // While limits are in force, an answer without directives matters too.
-    if said.is_silent() && !published.knows_limits() {
+    if said.is_silent() && !published.any_limits() {
         return;
     }
     let (vm, life, heard) = (placement.vm.clone(), placement.life, Instant::now());
-    control.do_send(control::HeadReported { vm, life, said, sent, heard });
+    control.do_send(control::DirectivesReported {
+        vm,
+        life,
+        directives: said,
+        sent_at: sent,
+        received_at: heard,
+    });
 }
 
 /// Submits a request for admission and waits for the decision.
 pub async fn admit(control: &Addr<control::Control>, wanted: node::AdmissionRequest) -> Admission {
-    let Ok((slot, reply)) = control.send(control::Admit { wanted }).await else {
+    let Ok((slot, reply)) = control.send(control::Admit { request: wanted }).await else {
         return Admission::Refused(api_error::ApiError::closing());
     };
-    admission(slot, control::ask(Ok(reply)).await)
+    admission(slot, control::await_answer(Ok(reply)).await)
 }
 
 /// Requests another server after an attempt failed, and waits for the decision.
@@ -136,8 +142,8 @@
     slot: ids::RequestSlot,
     tried: node::AttemptFailure,
 ) -> Admission {
-    let reply = control.send(control::Retry { slot, tried }).await;
-    admission(slot, control::ask(reply).await)
+    let reply = control.send(control::Retry { slot, failure: tried }).await;
+    admission(slot, control::await_answer(reply).await)
 }
 
 /// Reports the outcome of a request and waits until the control thread has settled it.
@@ -146,8 +152,8 @@
     slot: ids::RequestSlot,
     ending: node::RequestOutcome,
 ) {
-    let reply = control.send(control::Finish { slot, ending }).await;
-    control::ask(reply).await;
+    let reply = control.send(control::Finish { slot, outcome: ending }).await;
+    control::await_answer(reply).await;
 }
 
 /// Whether a call failed because its connection ended, and not because of a limit of this router.
