--- a/standins/src/backend.rs
+++ b/standins/src/backend.rs
@@ -1,5 +1,5 @@
-//! A server of the users' platform, byte by byte: each request gets the answer that the test wants,
-//! broken in whatever way.
+//! A scripted backend server of the users' platform. A test decides for each request which bytes are written and how the
+//! connection ends, so that it can produce any malformed answer.
 
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -8,70 +8,70 @@
 use std::time::{Duration, Instant};
 use std::{net, thread};
 
-/// How long a quiet read lasts before the server looks whether it should end.
+/// The timeout of a read, after which the server checks whether it should stop.
 const READ_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// How exactly the end of a listening socket is timed.
-const ENDING_LOOK: Duration = Duration::from_micros(200);
+/// The precision with which a listening socket is closed after its connections.
+const LISTENER_CLOSE_CHECK_INTERVAL: Duration = Duration::from_micros(200);
 
-/// By then the acceptor has seen that its server crashed, and closed the listener.
-const LISTENER_ENDS: Duration = Duration::from_millis(15);
+/// By this time after a crash, the acceptor has closed the listener.
+const LISTENER_CLOSE_TIME: Duration = Duration::from_millis(15);
 
-/// A request as it arrived.
+/// A received request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Seen {
-    /// The method, path and version.
+    /// The request line: method, path and version.
     pub line: String,
-    /// Names in lower case, and values.
+    /// Header names in lower case, and their values.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// The request body.
     pub body: Vec<u8>,
-    /// The connection that it came on, counted from 0.
+    /// The number of the connection on which it was received, counted from 0.
     pub connection: usize,
 }
 
 impl Seen {
-    /// A header's value.
+    /// The value of the first header with this lower-case name.
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut headers = self.headers.iter();
-        headers.find(|(known, _)| known == name).map(|(_, value)| value.as_str())
+        headers.find(|(header, _)| header == name).map(|(_, value)| value.as_str())
     }
 
-    /// The client's id of it.
+    /// The value of the `Attempt-Id` header.
     pub fn id(&self) -> Option<&str> {
         self.header("attempt-id")
     }
 }
 
-/// A step of an answer.
+/// One step of the answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Writes bytes; `{id}` stands for the request's own id.
+    /// Writes this text, in which `{id}` is replaced by the request's id.
     Write(String),
-    /// Waits.
+    /// Waits for this time.
     Pause(Duration),
-    /// Waits until the client of this server has closed the connection.
+    /// Waits until the client has closed the connection, then ends it.
     AwaitClose,
-    /// Ends the connection cleanly.
+    /// Closes the connection without a reset.
     Close,
-    /// Ends the connection with a reset.
+    /// Closes the connection with a reset.
     Reset,
-    /// Ends all connections and refuses new ones for so long, as a process does that crashes and is started again.
+    /// Simulates a process that crashes and restarts: ends all connections and refuses new ones for this time.
     Crash(Duration),
-    /// The same, but its connections end first: for a while the kernel still takes new ones, which nobody serves and which
-    /// end with the listening socket.
+    /// Like [`Step::Crash`], but the connections end before the listening socket: for a while the kernel still accepts new
+    /// connections, which are not served and which end with the listening socket.
     CrashListenerLast {
-        /// How long the listening socket outlives the connections.
+        /// The time from the end of the connections to that of the listening socket.
         listens_for: Duration,
-        /// How long it refuses connections then.
+        /// How long connections are refused after that.
         down: Duration,
     },
 }
 
-/// Decides over a request; the number counts the requests of this server.
+/// Returns the steps of the answer to a request. The number counts the requests of this server from 0.
 pub type Script = Box<dyn FnMut(usize, &Seen) -> Vec<Step> + Send>;
 
-/// The running server.
+/// A running scripted server; it stops when dropped.
 pub struct Backend {
     address: net::SocketAddr,
     shared: Arc<Shared>,
@@ -80,23 +80,23 @@
 
 struct Shared {
     state: Mutex<State>,
-    ended: AtomicBool,
+    stopped: AtomicBool,
 }
 
 struct State {
     script: Script,
-    seen: Vec<Seen>,
-    /// When each request of `seen` came.
+    requests: Vec<Seen>,
+    /// When each request of `requests` was received.
     arrivals: Vec<Instant>,
     closed_by_client: usize,
-    /// Open connections, by their numbers.
+    /// Open connections by their numbers.
     connections: HashMap<usize, net::TcpStream>,
     crashes: Vec<Instant>,
-    /// When its listening socket closes, and for how long that stays so.
-    closes: Option<(Instant, Duration)>,
-    /// Until when it refuses connections.
+    /// When the listening socket closes, and for how long it stays closed.
+    listener_closes: Option<(Instant, Duration)>,
+    /// Until when connections are refused.
     down_until: Option<Instant>,
-    /// How often it has listened.
+    /// How often the server has started to listen.
     starts: usize,
 }
 
@@ -114,47 +114,47 @@
         let address = listener.local_addr()?;
         let state = Mutex::new(State {
             script,
-            seen: Vec::new(),
+            requests: Vec::new(),
             arrivals: Vec::new(),
             closed_by_client: 0,
             connections: HashMap::new(),
             crashes: Vec::new(),
-            closes: None,
+            listener_closes: None,
             down_until: None,
             starts: 1,
         });
-        let shared = Arc::new(Shared { state, ended: AtomicBool::new(false) });
-        let accepting = shared.clone();
-        let acceptor = thread::spawn(move || accept(listener, address, &accepting));
+        let shared = Arc::new(Shared { state, stopped: AtomicBool::new(false) });
+        let acceptor_shared = shared.clone();
+        let acceptor = thread::spawn(move || accept(listener, address, &acceptor_shared));
         Ok(Self { address, shared, acceptor: Some(acceptor) })
     }
 
-    /// Where it listens.
+    /// The address on which the server listens.
     pub fn address(&self) -> net::SocketAddr {
         self.address
     }
 
-    /// All requests so far.
+    /// All requests received so far.
     pub fn seen(&self) -> Vec<Seen> {
-        self.shared.lock().seen.clone()
+        self.shared.lock().requests.clone()
     }
 
-    /// When each of them came.
+    /// When each request of [`Self::seen`] was received.
     pub fn arrivals(&self) -> Vec<Instant> {
         self.shared.lock().arrivals.clone()
     }
 
-    /// When it crashed.
+    /// When each crash of the server began.
     pub fn crashes(&self) -> Vec<Instant> {
         self.shared.lock().crashes.clone()
     }
 
-    /// How often it has started; a crash is followed by a start.
+    /// How often the server has started; each crash is followed by another start.
     pub fn starts(&self) -> usize {
         self.shared.lock().starts
     }
 
-    /// How many steps [`Step::AwaitClose`] saw their connection closed.
+    /// The number of [`Step::AwaitClose`] steps that ended because the client closed the connection.
     pub fn closed_by_client(&self) -> usize {
         self.shared.lock().closed_by_client
     }
@@ -162,7 +162,7 @@
 
 impl Drop for Backend {
     fn drop(&mut self) {
-        self.shared.ended.store(true, Ordering::Relaxed);
+        self.shared.stopped.store(true, Ordering::Relaxed);
         if let Some(acceptor) = self.acceptor.take() {
             let _ = acceptor.join();
         }
@@ -172,17 +172,17 @@
 fn accept(listener: net::TcpListener, address: net::SocketAddr, shared: &Arc<Shared>) {
     let mut threads = Vec::new();
     let mut listener = Some(listener);
-    while !shared.ended.load(Ordering::Relaxed) {
-        let Some(down_until) = close_in_time(shared) else {
-            // The process is ending: it accepts nothing any more.
-            thread::sleep(ENDING_LOOK);
+    while !shared.stopped.load(Ordering::Relaxed) {
+        let Some(down_until) = update_listener_state(shared) else {
+            // Only the listening socket of the crashed process is left: no connection is accepted.
+            thread::sleep(LISTENER_CLOSE_CHECK_INTERVAL);
             continue;
         };
         match (down_until, &listener) {
-            // Nothing listens: the kernel refuses connections.
+            // Without a listener the kernel refuses connections.
             (Some(_), Some(_)) => listener = None,
             (Some(until), None) if Instant::now() >= until => {
-                listener = listen_again(address, shared)
+                listener = restart_listener(address, shared)
             }
             (Some(_), None) => thread::sleep(Duration::from_millis(2)),
             (None, Some(open)) => match open.accept() {
@@ -190,7 +190,7 @@
                     let (shared, connection) = (shared.clone(), threads.len());
                     threads.push(thread::spawn(move || {
                         let _ = serve(stream, connection, &shared);
-                        // The last handle: only now the connection ends.
+                        // Drops the last handle, which closes the connection.
                         shared.lock().connections.remove(&connection);
                     }));
                 }
@@ -204,21 +204,22 @@
     }
 }
 
-/// Until when the server is down, if it is; `None` while only its listening socket is left.
-fn close_in_time(shared: &Shared) -> Option<Option<Instant>> {
+/// Applies a listener close that is due. Returns until when the server refuses connections, if it does; the outer `None`
+/// means that of a crashed process only the listening socket is left.
+fn update_listener_state(shared: &Shared) -> Option<Option<Instant>> {
     let mut state = shared.lock();
-    if let Some((at, down)) = state.closes {
+    if let Some((at, down)) = state.listener_closes {
         if Instant::now() < at {
             return None;
         }
-        state.closes = None;
+        state.listener_closes = None;
         state.down_until = Some(Instant::now() + down);
     }
     Some(state.down_until)
 }
 
-/// The next life's listener; `None` while its address is not free yet.
-fn listen_again(address: net::SocketAddr, shared: &Shared) -> Option<net::TcpListener> {
+/// Opens the listener of the restarted server; `None` while its address is not free yet.
+fn restart_listener(address: net::SocketAddr, shared: &Shared) -> Option<net::TcpListener> {
     let listener = net::TcpListener::bind(address).ok()?;
     listener.set_nonblocking(true).ok()?;
     let mut state = shared.lock();
@@ -234,17 +235,17 @@
     stream.set_read_timeout(Some(READ_TIMEOUT))?;
     let mut reader = BufReader::new(stream.try_clone()?);
     let mut writer = stream;
-    while let Some(mut seen) = read_request(&mut reader, shared)? {
-        seen.connection = connection;
+    while let Some(mut request) = read_request(&mut reader, shared)? {
+        request.connection = connection;
         let steps = {
             let mut state = shared.lock();
-            let number = state.seen.len();
-            state.seen.push(seen.clone());
+            let number = state.requests.len();
+            state.requests.push(request.clone());
             state.arrivals.push(Instant::now());
-            (state.script)(number, &seen)
+            (state.script)(number, &request)
         };
         for step in steps {
-            if !carry_out(step, &seen, &mut writer, &mut reader, shared)? {
+            if !run_step(step, &request, &mut writer, &mut reader, shared)? {
                 return Ok(());
             }
         }
@@ -252,17 +253,17 @@
     Ok(())
 }
 
-/// Carries out a step; `false` ends the connection.
-fn carry_out(
+/// Runs a step; `false` ends the connection.
+fn run_step(
     step: Step,
-    seen: &Seen,
+    request: &Seen,
     writer: &mut net::TcpStream,
     reader: &mut BufReader<net::TcpStream>,
     shared: &Shared,
 ) -> io::Result<bool> {
     match step {
         Step::Write(text) => {
-            let id = seen.id().unwrap_or_default();
+            let id = request.id().unwrap_or_default();
             writer.write_all(text.replace("{id}", id).as_bytes())?;
         }
         Step::Pause(time) => thread::sleep(time),
@@ -278,15 +279,15 @@
             return Ok(false);
         }
         Step::Crash(down) => {
-            if let Some(connections) = end_life(down, None, shared) {
-                thread::sleep(LISTENER_ENDS);
-                end_connections(connections)?;
+            if let Some(connections) = crash(down, None, shared) {
+                thread::sleep(LISTENER_CLOSE_TIME);
+                shut_down_connections(connections)?;
             }
             return Ok(false);
         }
         Step::CrashListenerLast { listens_for, down } => {
-            if let Some(connections) = end_life(down, Some(listens_for), shared) {
-                end_connections(connections)?;
+            if let Some(connections) = crash(down, Some(listens_for), shared) {
+                shut_down_connections(connections)?;
             }
             return Ok(false);
         }
@@ -294,29 +295,29 @@
     Ok(true)
 }
 
-/// Ends the present life, unless that has happened; its connections. The listener goes at once, as all sockets of a process
-/// do, or a while later.
-fn end_life(
+/// Starts a crash and returns the connections to end; `None` if a crash is under way. The listener closes at once, as all
+/// sockets of a process do, or `listens_for` later.
+fn crash(
     down: Duration,
     listens_for: Option<Duration>,
     shared: &Shared,
 ) -> Option<HashMap<usize, net::TcpStream>> {
     let mut state = shared.lock();
-    if state.down_until.is_some() || state.closes.is_some() {
+    if state.down_until.is_some() || state.listener_closes.is_some() {
         return None;
     }
     let now = Instant::now();
     state.crashes.push(now);
     match listens_for {
         None => state.down_until = Some(now + down),
-        Some(listens_for) => state.closes = Some((now + listens_for, down)),
+        Some(listens_for) => state.listener_closes = Some((now + listens_for, down)),
     }
     Some(std::mem::take(&mut state.connections))
 }
 
-fn end_connections(connections: HashMap<usize, net::TcpStream>) -> io::Result<()> {
+fn shut_down_connections(connections: HashMap<usize, net::TcpStream>) -> io::Result<()> {
     for connection in connections.into_values() {
-        // One that its client closed already cannot be shut down.
+        // A connection that the client has closed cannot be shut down.
         if let Err(error) = connection.shutdown(net::Shutdown::Both)
             && error.kind() != io::ErrorKind::NotConnected
         {
@@ -326,7 +327,7 @@
     Ok(())
 }
 
-/// The next byte; `None` at the end of the connection or of the server.
+/// Reads the next byte; `None` when the connection has ended or the server stops.
 fn read_byte(reader: &mut BufReader<net::TcpStream>, shared: &Shared) -> io::Result<Option<u8>> {
     loop {
         let mut byte = [0];
@@ -334,11 +335,11 @@
             Ok(0) => return Ok(None),
             Ok(_) => return Ok(Some(byte[0])),
             Err(error) if is_timeout(&error) => {
-                if shared.ended.load(Ordering::Relaxed) {
+                if shared.stopped.load(Ordering::Relaxed) {
                     return Ok(None);
                 }
             }
-            // A reset is an end too.
+            // A reset ends the connection as well.
             Err(_) => return Ok(None),
         }
     }
@@ -366,18 +367,18 @@
         .filter_map(|line| line.split_once(':'))
         .map(|(name, value)| (name.to_ascii_lowercase(), value.trim().to_owned()))
         .collect();
-    let mut seen = Seen { line, headers, ..Seen::default() };
-    let length = seen.header("content-length").and_then(|value| value.parse().ok()).unwrap_or(0);
-    while seen.body.len() < length {
+    let mut request = Seen { line, headers, ..Seen::default() };
+    let length = request.header("content-length").and_then(|value| value.parse().ok()).unwrap_or(0);
+    while request.body.len() < length {
         match read_byte(reader, shared)? {
-            Some(byte) => seen.body.push(byte),
+            Some(byte) => request.body.push(byte),
             None => return Ok(None),
         }
     }
-    Ok(Some(seen))
+    Ok(Some(request))
 }
 
-/// Reads what one connection of a client receives until it ends or falls quiet for a while.
+/// Reads from a client's connection until it ends or nothing arrives for 10 s.
 pub fn drain(stream: &mut net::TcpStream) -> Vec<u8> {
     let _ = stream.set_read_timeout(Some(Duration::from_secs(10)));
     let mut reader = BufReader::new(stream);
@@ -392,12 +393,12 @@
     received
 }
 
-/// A whole answer with a length.
+/// A complete answer with a `Content-Length` header.
 pub fn whole(status: &str, body: &str) -> Step {
     whole_with(status, "", body)
 }
 
-/// The same with further lines of its head, each with its end.
+/// A complete answer with further header lines, each of which ends with CRLF.
 pub fn whole_with(status: &str, lines: &str, body: &str) -> Step {
     Step::Write(format!(
         "HTTP/1.1 {status}\r\nAttempt-Id: {{id}}\r\nServer-Seal: seal\r\n{lines}Content-Length: {}\r\n\r\n{body}",
@@ -405,15 +406,15 @@
     ))
 }
 
-/// The line in which a server names how many requests a second it takes; none if it names nothing.
+/// The `Server-Limit` header line with a limit in requests per second; empty without a value.
 pub fn limit_line(value: Option<&str>) -> String {
     value.map_or_else(String::new, |value| format!("Server-Limit: {value}\r\n"))
 }
 
-/// The line in which a server says that it leaves.
+/// The header line by which a server announces that it is leaving.
 pub const LEAVING_LINE: &str = "Server-Leaving: 1\r\n";
 
-/// The line in which a server asks to be left alone for so many seconds, or until a date.
+/// The `Retry-After` header line by which a server requests a backoff, for a number of seconds or until a date.
 pub fn retry_after_line(value: &str) -> String {
     format!("Retry-After: {value}\r\n")
 }
--- a/standins/src/engine.rs
+++ b/standins/src/engine.rs
@@ -1,8 +1,9 @@
-//! A model engine: batches continuously in limited slots, streams, meters, resumes and cancels.
+//! A stand-in for a model engine: continuous batching in a limited number of slots, streaming, usage accounting, resumed
+//! and cancelled requests.
 //!
-//! It speaks the OpenAI-compatible form with usage in every chunk. Tokens are a function of the
-//! prompt and their position alone, so a test can tell whether an answer is whole and its own, also
-//! after it went on elsewhere (`resume_from_token`).
+//! It implements the OpenAI-compatible API with usage in every chunk. Tokens depend only on the prompt and their position,
+//! so that a test can check whether an answer is complete and belongs to its prompt, also after it was resumed on another
+//! engine (`resume_from_token`).
 
 use crate::server;
 use actix_web::{HttpRequest, HttpResponse, web};
@@ -13,25 +14,25 @@
 use std::{io, net};
 use tokio::sync;
 
-/// How the engine runs and misbehaves.
+/// The speed of the engine and the faults that it simulates.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Mode {
-    /// Requests in its batch.
+    /// The most requests that run at once.
     pub slots: usize,
-    /// The time from one token of a request to its next.
+    /// The time per token of a request, in milliseconds.
     pub token_ms: u64,
-    /// The time for a prompt that is not cached.
+    /// The time to process a prompt, of which no part is cached, in milliseconds.
     pub prompt_ms: u64,
-    /// A load report shows the state of this long ago.
+    /// The age of the state that a load report contains, in milliseconds.
     pub report_lag_ms: u64,
-    /// Each stream breaks after so many tokens; 0 means never.
+    /// Each stream is broken off after this many tokens; 0 means never.
     pub break_after_tokens: u64,
-    /// Answers are not JSON.
+    /// Whether answers contain invalid JSON.
     pub garbage: bool,
-    /// It reports this many tokens more than it was allowed to make.
+    /// The number of completion tokens that are reported in excess of those generated, also beyond `max_tokens`.
     pub overreport_tokens: u64,
-    /// It says that it has no room, and starts nothing.
+    /// Whether every request is rejected, as by an engine without free slots.
     pub refuse: bool,
 }
 
@@ -50,14 +51,14 @@
     }
 }
 
-/// What the engine did.
+/// Counters of the engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Requests that it started.
+    /// Requests started.
     pub started: u64,
-    /// Tokens that it made.
+    /// Tokens generated.
     pub made_tokens: u64,
-    /// Streams that the caller left.
+    /// Requests that were cancelled because the caller closed the stream, and streams that were broken off.
     pub cancelled: u64,
 }
 
@@ -80,7 +81,7 @@
 #[derive(Debug, Default)]
 struct Shared {
     state: Mutex<State>,
-    freed: sync::Notify,
+    slot_freed: sync::Notify,
 }
 
 impl Shared {
@@ -89,7 +90,7 @@
     }
 }
 
-/// The running engine.
+/// A running engine; it stops when dropped.
 #[derive(Debug)]
 pub struct Engine {
     server: server::Server,
@@ -97,7 +98,7 @@
 }
 
 impl Engine {
-    /// Starts an engine; port 0 takes a free one.
+    /// Starts an engine; with port 0 it listens on any free port.
     pub fn start(address: net::SocketAddr, mode: Mode) -> io::Result<Self> {
         let shared = Arc::new(Shared::default());
         shared.lock().mode = mode;
@@ -114,22 +115,22 @@
         Ok(Self { server, shared })
     }
 
-    /// Where it listens.
+    /// The address on which the engine listens.
     pub fn address(&self) -> net::SocketAddr {
         self.server.address
     }
 
-    /// Changes how it runs.
+    /// Replaces the speed and the simulated faults of later requests.
     pub fn set_mode(&self, mode: Mode) {
         self.shared.lock().mode = mode;
     }
 
-    /// What it did so far.
+    /// The counters so far.
     pub fn counts(&self) -> Counts {
         self.shared.lock().counts
     }
 
-    /// Requests in its batch now.
+    /// The number of requests that run now.
     pub fn running(&self) -> usize {
         self.shared.lock().running
     }
@@ -143,12 +144,12 @@
     format!("{:04x}.{position} ", hash & 0xffff)
 }
 
-/// The whole answer to a prompt.
+/// The complete answer to a prompt with this number of tokens.
 pub fn answer(prompt: &str, tokens: u64) -> String {
     (0..tokens).map(|position| token(prompt, position)).collect()
 }
 
-/// The tokens of a prompt: its words.
+/// The number of tokens of a prompt: one per word.
 pub fn prompt_tokens(prompt: &str) -> u64 {
     prompt.split_whitespace().count() as u64
 }
@@ -172,28 +173,28 @@
     content: String,
 }
 
-/// Holds a place in the batch and gives it back when dropped.
-struct Place {
+/// Occupies a slot of the engine until it is dropped.
+struct Slot {
     shared: Arc<Shared>,
     finished: bool,
 }
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
         let mut state = self.shared.lock();
         state.running -= 1;
         if !self.finished {
             state.counts.cancelled += 1;
         }
-        state.note_load();
+        state.record_load();
         drop(state);
-        self.shared.freed.notify_one();
+        self.shared.slot_freed.notify_one();
     }
 }
 
-struct Waiting(Arc<Shared>);
+struct QueuedRequest(Arc<Shared>);
 
-impl Drop for Waiting {
+impl Drop for QueuedRequest {
     fn drop(&mut self) {
         self.0.lock().queued -= 1;
     }
@@ -204,7 +205,7 @@
         Load { running: self.running, queued: self.queued, slots: self.mode.slots }
     }
 
-    fn note_load(&mut self) {
+    fn record_load(&mut self) {
         let load = self.load();
         self.history.push((Instant::now(), load));
         if self.history.len() > 10_000 {
@@ -235,21 +236,21 @@
     HttpResponse::Ok().json(shared.lock().counts)
 }
 
-async fn take_place(shared: &Arc<Shared>) -> Place {
+async fn acquire_slot(shared: &Arc<Shared>) -> Slot {
     shared.lock().queued += 1;
-    let _waiting = Waiting(shared.clone());
+    let _queued = QueuedRequest(shared.clone());
     loop {
-        let freed = shared.freed.notified();
+        let slot_freed = shared.slot_freed.notified();
         {
             let mut state = shared.lock();
             if state.running < state.mode.slots {
                 state.running += 1;
                 state.counts.started += 1;
-                state.note_load();
-                return Place { shared: shared.clone(), finished: false };
+                state.record_load();
+                return Slot { shared: shared.clone(), finished: false };
             }
         }
-        let _ = tokio::time::timeout(Duration::from_millis(50), freed).await;
+        let _ = tokio::time::timeout(Duration::from_millis(50), slot_freed).await;
     }
 }
 
@@ -266,30 +267,35 @@
     }
     let chat = http.path().contains("chat");
     let prompt = match chat {
-        true => request.messages.iter().map(|it| it.content.as_str()).collect::<Vec<_>>().join(" "),
+        true => request
+            .messages
+            .iter()
+            .map(|message| message.content.as_str())
+            .collect::<Vec<_>>()
+            .join(" "),
         false => request.prompt.clone(),
     };
-    let place = take_place(&shared).await;
-    pause(mode.prompt_ms).await;
-    let run = Run {
-        place,
+    let slot = acquire_slot(&shared).await;
+    delay(mode.prompt_ms).await;
+    let generation = Generation {
+        slot,
         mode,
         prompt_tokens: prompt_tokens(&prompt),
         prompt,
         model: request.model.clone(),
         chat,
         position: request.resume_from_token,
-        first: request.resume_from_token,
-        end: request.max_tokens.unwrap_or(16),
+        first_position: request.resume_from_token,
+        end_position: request.max_tokens.unwrap_or(16),
         stage: Stage::Tokens,
     };
     HttpResponse::Ok()
         .content_type("text/event-stream")
-        .streaming(stream::unfold(run, |run| run.next()))
+        .streaming(stream::unfold(generation, |generation| generation.next()))
 }
 
-/// A pause of 0 is none: the timer's grain is a millisecond.
-async fn pause(time_ms: u64) {
+/// Waits for this time. For 0 it returns at once, because a sleep of the timer takes at least a millisecond.
+async fn delay(time_ms: u64) {
     if time_ms > 0 {
         tokio::time::sleep(Duration::from_millis(time_ms)).await;
     }
@@ -301,48 +307,48 @@
     Ended,
 }
 
-struct Run {
-    place: Place,
+struct Generation {
+    slot: Slot,
     mode: Mode,
     prompt: String,
     prompt_tokens: u64,
     model: String,
     chat: bool,
     position: u64,
-    first: u64,
-    end: u64,
+    first_position: u64,
+    end_position: u64,
     stage: Stage,
 }
 
 type Chunk = Result<web::Bytes, io::Error>;
 
-impl Run {
+impl Generation {
     async fn next(mut self) -> Option<(Chunk, Self)> {
         match self.stage {
-            Stage::Tokens if self.breaks() => {
+            Stage::Tokens if self.should_break() => {
                 self.stage = Stage::Ended;
                 Some((Err(io::Error::other("broken")), self))
             }
-            Stage::Tokens if self.position < self.end => {
-                pause(self.mode.token_ms).await;
+            Stage::Tokens if self.position < self.end_position => {
+                delay(self.mode.token_ms).await;
                 let text = token(&self.prompt, self.position);
                 self.position += 1;
-                self.place.shared.lock().counts.made_tokens += 1;
-                let finish = (self.position == self.end).then_some("length");
+                self.slot.shared.lock().counts.made_tokens += 1;
+                let finish = (self.position == self.end_position).then_some("length");
                 Some((Ok(self.chunk(&text, finish)), self))
             }
             Stage::Tokens => {
                 self.stage = Stage::Done;
-                self.place.finished = true;
+                self.slot.finished = true;
                 Some((Ok(web::Bytes::from_static(b"data: [DONE]\n\n")), self))
             }
             Stage::Done | Stage::Ended => None,
         }
     }
 
-    fn breaks(&self) -> bool {
+    fn should_break(&self) -> bool {
         let after = self.mode.break_after_tokens;
-        after > 0 && self.position - self.first >= after
+        after > 0 && self.position - self.first_position >= after
     }
 
     fn chunk(&self, text: &str, finish: Option<&str>) -> web::Bytes {
@@ -355,7 +361,7 @@
             }),
             false => serde_json::json!({ "index": 0, "text": text, "finish_reason": finish }),
         };
-        let made = self.position + self.mode.overreport_tokens;
+        let reported_tokens = self.position + self.mode.overreport_tokens;
         let body = serde_json::json!({
             "id": "engine",
             "object": if self.chat { "chat.completion.chunk" } else { "text_completion" },
@@ -364,8 +370,8 @@
             "choices": [choice],
             "usage": {
                 "prompt_tokens": self.prompt_tokens,
-                "completion_tokens": made,
-                "total_tokens": self.prompt_tokens + made,
+                "completion_tokens": reported_tokens,
+                "total_tokens": self.prompt_tokens + reported_tokens,
             },
         });
         web::Bytes::from(format!("data: {body}\n\n"))
--- a/standins/src/network.rs
+++ b/standins/src/network.rs
@@ -1,7 +1,7 @@
-//! A faulty network: a proxy for connections and datagrams that can cut, silence and delay them.
+//! A faulty network: a proxy for TCP connections and UDP datagrams that can block, blackhole, delay and throttle them.
 //!
-//! A source is told by its loopback address, so that one proxy before each process is enough to cut
-//! any pair of them.
+//! A source is identified by its loopback address, so that one proxy in front of each process is enough to cut the
+//! network between any two of them.
 
 use std::collections::HashSet;
 use std::net::{IpAddr, SocketAddr};
@@ -12,20 +12,20 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::{net, sync, time};
 
-/// What the network does to a proxy's traffic.
+/// The faults of a proxy's traffic.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Sources that do not get through; their open connections are reset.
+    /// Sources whose traffic is blocked; their open connections are closed.
     pub cut: HashSet<IpAddr>,
-    /// Nothing gets through.
+    /// Whether the traffic of all sources is blocked.
     pub cut_all: bool,
-    /// What is sent on connections waits, and arrives when this is over; meanwhile the kernel acknowledges it.
+    /// Whether data on connections is held until this is reset; meanwhile the kernel acknowledges it.
     pub stalled: bool,
-    /// Added to everything that passes, one way.
+    /// Added to the time that data on connections takes in each direction, in milliseconds.
     pub delay_ms: u64,
-    /// What one connection passes on in a second, one way; 0 for no limit.
+    /// The throughput of one connection in each direction; 0 for no limit.
     pub bytes_per_s: u64,
-    /// Of a hundred datagrams, so many are lost.
+    /// The percentage of datagrams that are dropped.
     pub lose_datagrams_percent: u64,
 }
 
@@ -35,27 +35,27 @@
     }
 }
 
-/// A running proxy.
+/// A running proxy; it stops when dropped.
 #[derive(Debug)]
 pub struct Proxy {
-    /// Where it listens, for connections and datagrams alike.
+    /// The address on which the proxy receives connections and datagrams.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     thread: Option<thread::JoinHandle<()>>,
 }
 
-/// A socket filter that drops every segment: nothing that arrives is acknowledged any more.
+/// A socket filter that drops every segment, so that nothing that arrives is acknowledged.
 const DROP_ALL: socket2::SockFilter = socket2::SockFilter::new(BPF_RETURN, 0, 0, 0);
-/// The instruction that ends a classic socket filter; its operand says how many bytes pass.
+/// The return instruction of a classic socket filter; its operand is the number of bytes to accept.
 const BPF_RETURN: u16 = 0x06;
 
 #[derive(Debug)]
 struct Shared {
     faults: Mutex<Faults>,
-    /// How often the open connections were silenced.
-    silences: AtomicU64,
-    /// How often the open connections were made to swallow what they carry.
-    swallows: AtomicU64,
+    /// How often the open connections were blackholed.
+    blackhole_count: AtomicU64,
+    /// How often the data of the open connections was set to be discarded.
+    discard_count: AtomicU64,
     target: Mutex<Option<SocketAddr>>,
     stop: sync::Notify,
 }
@@ -71,12 +71,12 @@
 }
 
 impl Proxy {
-    /// Starts a proxy on a free port of `ip`. Nothing passes until it has a target.
+    /// Starts a proxy on a free port of `ip`. Without a target, connections are closed and datagrams dropped.
     pub fn start(ip: IpAddr, target: Option<SocketAddr>) -> io::Result<Self> {
         let shared = Arc::new(Shared {
             faults: Mutex::default(),
-            silences: AtomicU64::new(0),
-            swallows: AtomicU64::new(0),
+            blackhole_count: AtomicU64::new(0),
+            discard_count: AtomicU64::new(0),
             target: Mutex::new(target),
             stop: sync::Notify::new(),
         });
@@ -90,29 +90,29 @@
         Ok(Self { address, shared, thread: Some(thread) })
     }
 
-    /// Says where traffic goes.
+    /// Sets the address to which traffic is forwarded.
     pub fn set_target(&self, target: SocketAddr) {
         *self.shared.target.lock().unwrap_or_else(PoisonError::into_inner) = Some(target);
     }
 
-    /// Changes the faults.
+    /// Replaces the faults.
     pub fn set_faults(&self, faults: Faults) {
         *self.shared.faults() = faults;
     }
 
-    /// Lets all connections that are open go silent for good: nothing passes, nothing is acknowledged and nothing is
-    /// closed. New ones work.
+    /// Blackholes all open connections for good: no data passes, nothing is acknowledged and nothing is closed. New
+    /// connections work.
     pub fn silence_connections(&self) {
-        self.shared.silences.fetch_add(1, Ordering::Relaxed);
+        self.shared.blackhole_count.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Lets all connections that are open swallow what is sent on them: it is acknowledged and passed on to nobody, and
-    /// nothing is closed. New ones work.
+    /// Discards all further data on open connections: it is acknowledged but not forwarded, and nothing is closed. New
+    /// connections work.
     pub fn swallow_connections(&self) {
-        self.shared.swallows.fetch_add(1, Ordering::Relaxed);
+        self.shared.discard_count.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Changes some of the faults.
+    /// Modifies the faults in place.
     pub fn change(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut self.shared.faults());
     }
@@ -168,8 +168,8 @@
             if shared.faults().blocks(source.ip()) {
                 return;
             }
-            until_flowing(&shared).await;
-            // The target sees the true source's address.
+            wait_while_stalled(&shared).await;
+            // Connects from the source's own address, so that the target can identify the source.
             let Ok(outbound) = connect_from(source.ip(), target).await else { return };
             relay(inbound, outbound, source.ip(), &shared).await;
         });
@@ -188,60 +188,60 @@
     source: IpAddr,
     shared: &Shared,
 ) {
-    let silences = shared.silences.load(Ordering::Relaxed);
-    let swallows = shared.swallows.load(Ordering::Relaxed);
+    let blackhole_count = shared.blackhole_count.load(Ordering::Relaxed);
+    let discard_count = shared.discard_count.load(Ordering::Relaxed);
     let _ = inbound.set_nodelay(true);
     let _ = outbound.set_nodelay(true);
     let end = {
         let (from_caller, to_caller) = inbound.split();
         let (from_target, to_target) = outbound.split();
         tokio::select! {
-            () = pump(from_caller, to_target, source, shared) => End::Closed,
-            () = pump(from_target, to_caller, source, shared) => End::Closed,
-            () = until_cut(source, shared) => End::Closed,
-            () = until_counted(silences, &shared.silences) => End::Silent,
-            () = until_counted(swallows, &shared.swallows) => End::Swallows,
+            () = forward(from_caller, to_target, source, shared) => RelayEnd::Closed,
+            () = forward(from_target, to_caller, source, shared) => RelayEnd::Closed,
+            () = wait_until_blocked(source, shared) => RelayEnd::Closed,
+            () = wait_for_increment(blackhole_count, &shared.blackhole_count) => RelayEnd::Blackhole,
+            () = wait_for_increment(discard_count, &shared.discard_count) => RelayEnd::Discard,
         }
     };
     match end {
-        End::Closed => {}
-        End::Silent => {
-            for end in [&inbound, &outbound] {
-                let _ = socket2::SockRef::from(end).attach_filter(&[DROP_ALL]);
+        RelayEnd::Closed => {}
+        RelayEnd::Blackhole => {
+            for stream in [&inbound, &outbound] {
+                let _ = socket2::SockRef::from(stream).attach_filter(&[DROP_ALL]);
             }
             std::future::pending::<()>().await;
         }
-        End::Swallows => {
+        RelayEnd::Discard => {
             let (from_caller, _to_caller) = inbound.split();
             let (from_target, _to_target) = outbound.split();
-            tokio::join!(swallow(from_caller), swallow(from_target));
+            tokio::join!(discard(from_caller), discard(from_target));
         }
     }
 }
 
-/// How a connection stops passing on what it carries.
-enum End {
+/// Why the relay of a connection ended, and what happens to its data afterwards.
+enum RelayEnd {
     Closed,
-    Silent,
-    Swallows,
+    Blackhole,
+    Discard,
 }
 
-async fn until_counted(known: u64, count: &AtomicU64) {
-    while count.load(Ordering::Relaxed) == known {
+async fn wait_for_increment(initial: u64, count: &AtomicU64) {
+    while count.load(Ordering::Relaxed) == initial {
         time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// What is passed on at once.
+/// The most bytes that are read from a connection before they are forwarded.
 const CHUNK_BYTES: usize = 16 << 10;
 
-/// Reads to the end and passes nothing on.
-async fn swallow(mut from: net::tcp::ReadHalf<'_>) {
+/// Reads until the end of the stream and discards the data.
+async fn discard(mut from: net::tcp::ReadHalf<'_>) {
     let mut buffer = vec![0; 64 << 10];
     while matches!(from.read(&mut buffer).await, Ok(length) if length > 0) {}
 }
 
-async fn pump(
+async fn forward(
     mut from: net::tcp::ReadHalf<'_>,
     mut to: net::tcp::WriteHalf<'_>,
     source: IpAddr,
@@ -256,7 +256,7 @@
         if faults.bytes_per_s > 0 {
             time::sleep(Duration::from_secs_f64(length as f64 / faults.bytes_per_s as f64)).await;
         }
-        until_flowing(shared).await;
+        wait_while_stalled(shared).await;
         if length == 0 || shared.faults().blocks(source) {
             return;
         }
@@ -266,13 +266,13 @@
     }
 }
 
-async fn until_flowing(shared: &Shared) {
+async fn wait_while_stalled(shared: &Shared) {
     while shared.faults().stalled {
         time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-async fn until_cut(source: IpAddr, shared: &Shared) {
+async fn wait_until_blocked(source: IpAddr, shared: &Shared) {
     while !shared.faults().blocks(source) {
         time::sleep(Duration::from_millis(20)).await;
     }
--- a/standins/src/platform.rs
+++ b/standins/src/platform.rs
@@ -1,9 +1,9 @@
-//! The platform: a key-value service with compare-and-swap and watches, and the list of VMs.
+//! A stand-in for the platform: a key-value service with compare-and-swap and watches, and the list of VMs.
 //!
-//! The key-value part speaks a subset of the Consul HTTP API: `GET /v1/kv/<key>` (with `index` and
+//! The key-value part implements a subset of the Consul HTTP API: `GET /v1/kv/<key>` (with `index` and
 //! `wait` for a watch, `recurse` for a prefix) and `PUT /v1/kv/<key>?cas=<index>`, `DELETE`. `GET /v1/vms`
-//! gives the list of VMs. It can be out, slow, lose replies after a write took effect, and limit
-//! its rates.
+//! returns the list of VMs. The stand-in can simulate outages, slow calls, replies that are lost after a write took
+//! effect, and rate limits.
 
 use crate::server;
 use actix_web::{HttpResponse, web};
@@ -16,52 +16,52 @@
 use std::{io, net};
 use tokio::sync;
 
-/// How long a lost reply keeps its connection open.
-const LOST_REPLY: Duration = Duration::from_secs(20);
+/// How long the connection of a lost reply stays open.
+const LOST_REPLY_HOLD_TIME: Duration = Duration::from_secs(20);
 
-/// How the platform misbehaves.
+/// The faults that the platform simulates.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Mode {
-    /// Every call fails.
+    /// Whether every call fails with 503.
     pub out: bool,
-    /// Every call takes this much longer.
+    /// The delay that is added to every call, in milliseconds.
     pub slow_ms: u64,
-    /// Of a hundred writes, so many take effect without a reply.
+    /// The percentage of writes that take effect without a reply.
     pub lose_write_replies_percent: u32,
-    /// Writes let through a second; 0 means no limit.
+    /// The most writes that are admitted per second; 0 means no limit.
     pub writes_per_s: u64,
-    /// Reads let through a second; 0 means no limit.
+    /// The most reads that are admitted per second; 0 means no limit.
     pub reads_per_s: u64,
-    /// A change to the list of VMs shows after this time.
+    /// The time until a change to the list of VMs is visible, in milliseconds.
     pub vms_lag_ms: u64,
 }
 
-/// Calls that arrived.
+/// The numbers of calls received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Calls {
-    /// Reads, watches among them.
+    /// Reads, including watches.
     pub reads: u64,
-    /// Writes.
+    /// Writes and deletes.
     pub writes: u64,
-    /// Calls refused for their rate.
+    /// Calls that were rejected by a rate limit.
     pub limited: u64,
 }
 
-/// A VM in the list.
+/// An entry of the list of VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// Its name.
+    /// The name of the VM.
     pub vm: String,
     /// The service that runs on it.
     pub service: String,
-    /// Where it is reached.
+    /// The address of the service on this VM.
     pub address: String,
-    /// Its class of hardware.
+    /// The hardware class of the VM.
     pub class: String,
-    /// Its failure domain.
+    /// The failure domain of the VM.
     pub failure_domain: String,
-    /// `live` or `leaving`.
+    /// The state: `live` or `leaving`.
     pub state: String,
 }
 
@@ -72,19 +72,19 @@
 }
 
 #[derive(Debug, Default)]
-struct Bucket {
-    window: Option<Instant>,
-    taken: u64,
+struct RateWindow {
+    started_at: Option<Instant>,
+    count: u64,
 }
 
-impl Bucket {
-    fn try_take(&mut self, per_s: u64) -> bool {
-        let fresh = self.window.is_none_or(|start| start.elapsed() >= Duration::from_secs(1));
-        if fresh {
-            *self = Self { window: Some(Instant::now()), taken: 0 };
+impl RateWindow {
+    fn try_acquire(&mut self, per_s: u64) -> bool {
+        let expired = self.started_at.is_none_or(|start| start.elapsed() >= Duration::from_secs(1));
+        if expired {
+            *self = Self { started_at: Some(Instant::now()), count: 0 };
         }
-        self.taken += 1;
-        per_s == 0 || self.taken <= per_s
+        self.count += 1;
+        per_s == 0 || self.count <= per_s
     }
 }
 
@@ -96,14 +96,14 @@
     values: BTreeMap<String, Value>,
     vms_index: u64,
     vms: Vec<Vm>,
-    shown_vms: (u64, Vec<Vm>),
+    visible_vms: (u64, Vec<Vm>),
     pending_vms: Vec<(Instant, u64, Vec<Vm>)>,
-    reads: Bucket,
-    writes: Bucket,
+    reads: RateWindow,
+    writes: RateWindow,
     write_count: u64,
 }
 
-/// The running platform.
+/// A running platform; it stops when dropped.
 #[derive(Debug)]
 pub struct Platform {
     server: server::Server,
@@ -123,7 +123,7 @@
 }
 
 impl Platform {
-    /// Starts a platform; port 0 takes a free one.
+    /// Starts a platform; with port 0 it listens on any free port.
     pub fn start(address: net::SocketAddr) -> io::Result<Self> {
         let shared = Arc::new(Shared::default());
         let data = web::Data::from(shared.clone());
@@ -141,17 +141,17 @@
         Ok(Self { server, shared })
     }
 
-    /// Where it listens.
+    /// The address on which the platform listens.
     pub fn address(&self) -> net::SocketAddr {
         self.server.address
     }
 
-    /// Changes how it misbehaves.
+    /// Replaces the simulated faults.
     pub fn set_mode(&self, mode: Mode) {
         self.shared.lock().mode = mode;
     }
 
-    /// The calls so far.
+    /// The numbers of calls received so far.
     pub fn calls(&self) -> Calls {
         self.shared.lock().calls
     }
@@ -162,16 +162,16 @@
         self.shared.changed.notify_waiters();
     }
 
-    /// The true list of VMs, without lag.
+    /// The current list of VMs, including changes that are not visible to clients yet.
     pub fn vms(&self) -> Vec<Vm> {
         self.shared.lock().vms.clone()
     }
 
-    /// Reads values as they are, past all misbehaviour.
+    /// Reads the values under a prefix directly, without simulated faults.
     pub fn values(&self, prefix: &str) -> Vec<(String, Vec<u8>)> {
         let state = self.shared.lock();
-        let found = state.values.range(prefix.to_owned()..);
-        found
+        let range = state.values.range(prefix.to_owned()..);
+        range
             .take_while(|(key, _)| key.starts_with(prefix))
             .map(|(key, value)| (key.clone(), value.bytes.clone()))
             .collect()
@@ -182,38 +182,38 @@
     fn set_vms(&mut self, vms: Vec<Vm>) {
         self.vms_index += 1;
         self.vms = vms.clone();
-        let shows = Instant::now() + Duration::from_millis(self.mode.vms_lag_ms);
-        self.pending_vms.push((shows, self.vms_index, vms));
+        let visible_at = Instant::now() + Duration::from_millis(self.mode.vms_lag_ms);
+        self.pending_vms.push((visible_at, self.vms_index, vms));
     }
 
-    fn shown_vms(&mut self) -> (u64, Vec<Vm>) {
+    fn visible_vms(&mut self) -> (u64, Vec<Vm>) {
         let now = Instant::now();
-        while self.pending_vms.first().is_some_and(|(shows, _, _)| *shows <= now) {
+        while self.pending_vms.first().is_some_and(|(visible_at, _, _)| *visible_at <= now) {
             let (_, index, vms) = self.pending_vms.remove(0);
-            self.shown_vms = (index, vms);
+            self.visible_vms = (index, vms);
         }
-        self.shown_vms.clone()
+        self.visible_vms.clone()
     }
 
     fn admit_read(&mut self) -> Result<Mode, Box<HttpResponse>> {
         self.calls.reads += 1;
         let per_s = self.mode.reads_per_s;
-        let within = self.reads.try_take(per_s);
-        self.admit(within)
+        let within_limit = self.reads.try_acquire(per_s);
+        self.admit(within_limit)
     }
 
     fn admit_write(&mut self) -> Result<Mode, Box<HttpResponse>> {
         self.calls.writes += 1;
         let per_s = self.mode.writes_per_s;
-        let within = self.writes.try_take(per_s);
-        self.admit(within)
+        let within_limit = self.writes.try_acquire(per_s);
+        self.admit(within_limit)
     }
 
-    fn admit(&mut self, within: bool) -> Result<Mode, Box<HttpResponse>> {
+    fn admit(&mut self, within_limit: bool) -> Result<Mode, Box<HttpResponse>> {
         if self.mode.out {
             return Err(Box::new(HttpResponse::ServiceUnavailable().body("out")));
         }
-        if !within {
+        if !within_limit {
             self.calls.limited += 1;
             return Err(Box::new(HttpResponse::TooManyRequests().body("rate limit")));
         }
@@ -222,12 +222,12 @@
 
     fn find(&self, key: &str, recurse: bool) -> (u64, Vec<serde_json::Value>) {
         let range = self.values.range(key.to_owned()..);
-        let wanted = range
+        let matching = range
             .take_while(|(name, _)| name.starts_with(key))
             .filter(|(name, _)| recurse || *name == key);
         let mut newest = 0;
         let mut rows = Vec::new();
-        for (name, value) in wanted {
+        for (name, value) in matching {
             newest = newest.max(value.index);
             rows.push(serde_json::json!({
                 "Key": name,
@@ -242,8 +242,8 @@
     }
 
     fn write(&mut self, key: String, cas: Option<u64>, bytes: Vec<u8>) -> bool {
-        let present = self.values.get(&key).map_or(0, |value| value.index);
-        if cas.is_some_and(|expected| expected != present) {
+        let current = self.values.get(&key).map_or(0, |value| value.index);
+        if cas.is_some_and(|expected| expected != current) {
             return false;
         }
         self.index += 1;
@@ -254,7 +254,7 @@
     fn loses_reply(&mut self) -> bool {
         self.write_count += 1;
         let percent = u64::from(self.mode.lose_write_replies_percent);
-        // Spread evenly, so that the same run loses the same replies.
+        // Lost replies are spread evenly and without chance, so that the same sequence of writes loses the same replies.
         (self.write_count * percent) / 100 > ((self.write_count - 1) * percent) / 100
     }
 }
@@ -268,7 +268,7 @@
         Ok(mode) => mode,
         Err(refused) => return *refused,
     };
-    pause(mode).await;
+    delay(mode).await;
     let recurse = query.contains_key("recurse");
     let known: u64 = query.get("index").and_then(|text| text.parse().ok()).unwrap_or(0);
     let deadline = Instant::now() + watch_time(&query);
@@ -299,9 +299,9 @@
         Ok(mode) => mode,
         Err(refused) => return *refused,
     };
-    pause(mode).await;
+    delay(mode).await;
     if body.len() > 1 << 20 {
-        return HttpResponse::PayloadTooLarge().body("a value holds up to a megabyte");
+        return HttpResponse::PayloadTooLarge().body("the value is larger than 1 MiB");
     }
     let cas = query.get("cas").and_then(|text| text.parse().ok());
     let (written, lost) = {
@@ -311,7 +311,7 @@
     };
     shared.changed.notify_waiters();
     if lost {
-        tokio::time::sleep(LOST_REPLY).await;
+        tokio::time::sleep(LOST_REPLY_HOLD_TIME).await;
         return HttpResponse::GatewayTimeout().finish();
     }
     HttpResponse::Ok().json(written)
@@ -326,10 +326,10 @@
         Ok(mode) => mode,
         Err(refused) => return *refused,
     };
-    pause(mode).await;
+    delay(mode).await;
     let recurse = query.contains_key("recurse");
-    let gone = |name: &String| *name == *key || (recurse && name.starts_with(key.as_str()));
-    shared.lock().values.retain(|name, _| !gone(name));
+    let is_deleted = |name: &String| *name == *key || (recurse && name.starts_with(key.as_str()));
+    shared.lock().values.retain(|name, _| !is_deleted(name));
     shared.changed.notify_waiters();
     HttpResponse::Ok().json(true)
 }
@@ -342,12 +342,12 @@
         Ok(mode) => mode,
         Err(refused) => return *refused,
     };
-    pause(mode).await;
+    delay(mode).await;
     let known: u64 = query.get("index").and_then(|text| text.parse().ok()).unwrap_or(0);
     let deadline = Instant::now() + watch_time(&query);
     loop {
         let notified = shared.changed.notified();
-        let (index, vms) = shared.lock().shown_vms();
+        let (index, vms) = shared.lock().visible_vms();
         if index > known || Instant::now() >= deadline {
             let body = serde_json::json!({ "index": index, "vms": vms });
             return HttpResponse::Ok().json(body);
@@ -374,7 +374,7 @@
     HttpResponse::Ok().json(shared.lock().calls)
 }
 
-async fn pause(mode: Mode) {
+async fn delay(mode: Mode) {
     if mode.slow_ms > 0 {
         tokio::time::sleep(Duration::from_millis(mode.slow_ms)).await;
     }
--- a/standins/src/ports.rs
+++ b/standins/src/ports.rs
@@ -4,7 +4,7 @@
 use std::net::{IpAddr, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU16, Ordering};
 
-/// Below the default ephemeral range, so that outgoing connections do not take the port of a process that restarts.
+/// Lies below the default ephemeral range, so that no outgoing connection gets the port of a process that restarts.
 const PORT_RANGE: std::ops::Range<u16> = 12_000..32_000;
 
 /// Returns an address with no listener. Successive calls return different ports until the range wraps around.
--- a/standins/src/replies.rs
+++ b/standins/src/replies.rs
@@ -1,54 +1,54 @@
-//! What a scripted server replies now, which a test changes while clients send, and what it replied.
+//! The reply of a scripted server, which a test can change while clients send requests, and a record of the replies sent.
 
 use crate::backend;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How a server replies.
+/// A scripted server's reply to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// The status line's code and text.
+    /// The code and reason phrase of the status line.
     pub status: &'static str,
-    /// Further lines of the head, each with its end.
+    /// Further header lines, each of which ends with CRLF.
     pub lines: String,
-    /// How long the server works before it replies.
+    /// How long the server processes the request before it replies.
     pub work: Duration,
 }
 
 impl Reply {
-    /// It serves the request.
+    /// A reply of a server that executes the request.
     pub fn served(work: Duration) -> Self {
         Self { status: "200 OK", lines: String::new(), work }
     }
 
-    /// It turns the request away without running it; `lines` as in [`Reply::lines`].
+    /// A reply of a server that rejects the request without executing it; `lines` as in [`Reply::lines`].
     pub fn turned_away(lines: &str) -> Self {
         let lines = format!("Not-Executed: full\r\n{lines}");
         Self { status: "503 Busy", lines, work: Duration::ZERO }
     }
 
-    /// The same reply with further lines.
+    /// Adds header lines to the reply.
     pub fn with(mut self, lines: &str) -> Self {
         self.lines.push_str(lines);
         self
     }
 
-    /// Whether the request ran.
+    /// Whether the request was executed.
     pub fn ran(&self) -> bool {
         self.status.starts_with('2')
     }
 }
 
-/// A reply that was given.
+/// A reply that was sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Given {
-    /// The request's id.
+    /// The request's `Attempt-Id` header, or else its `Idempotency-Key` header.
     pub id: String,
-    /// The instance that the request was meant for.
+    /// The server instance for which the request was intended (`Expect-Instance`).
     pub expected: Option<String>,
-    /// When its head went out, or a moment before.
+    /// When its head was sent, or shortly before.
     pub at: Instant,
-    /// The reply.
+    /// The reply that was sent.
     pub reply: Reply,
 }
 
@@ -58,33 +58,33 @@
     given: Vec<Given>,
 }
 
-/// The replies of one server.
+/// The current reply of one server and the replies that it has sent.
 #[derive(Clone, Debug)]
 pub struct Replies(Arc<Mutex<State>>);
 
 impl Replies {
-    /// A server that replies so at first.
+    /// Creates the replies of a server that starts with this reply.
     pub fn new(reply: Reply) -> Self {
         Self(Arc::new(Mutex::new(State { reply, given: Vec::new() })))
     }
 
-    /// Replies otherwise from now on.
+    /// Sets the reply to all further requests.
     pub fn set(&self, reply: Reply) {
         self.lock().reply = reply;
     }
 
-    /// What was replied so far.
+    /// All replies sent so far.
     pub fn given(&self) -> Vec<Given> {
         self.lock().given.clone()
     }
 
-    /// The reply to a request.
-    pub fn next(&self, seen: &backend::Seen) -> Reply {
+    /// Returns and records the reply to a request.
+    pub fn next(&self, request: &backend::Seen) -> Reply {
         let mut state = self.lock();
         let reply = state.reply.clone();
         let given = Given {
-            id: seen.id().or(seen.header("idempotency-key")).unwrap_or_default().to_owned(),
-            expected: seen.header("expect-instance").map(str::to_owned),
+            id: request.id().or(request.header("idempotency-key")).unwrap_or_default().to_owned(),
+            expected: request.header("expect-instance").map(str::to_owned),
             at: Instant::now() + reply.work,
             reply: reply.clone(),
         };
--- a/standins/src/server.rs
+++ b/standins/src/server.rs
@@ -1,4 +1,4 @@
-//! Runs one actix-web server on a thread of its own and joins it when dropped.
+//! An actix-web server on a thread of its own, which is stopped and joined when dropped.
 
 use actix_web::{App, HttpServer, dev, web};
 use std::sync::mpsc;
@@ -7,14 +7,14 @@
 /// A server that runs until it is dropped.
 #[derive(Debug)]
 pub struct Server {
-    /// Where it listens.
+    /// The address on which the server listens.
     pub address: net::SocketAddr,
     handle: Option<dev::ServerHandle>,
     thread: Option<thread::JoinHandle<()>>,
 }
 
 impl Server {
-    /// Starts a server with the given routes; port 0 takes a free one.
+    /// Starts a server with the given routes; with port 0 it listens on any free port.
     pub fn start<F>(address: net::SocketAddr, routes: F) -> io::Result<Self>
     where
         F: Fn(&mut web::ServiceConfig) + Clone + Send + 'static,
@@ -35,12 +35,12 @@
                 .shutdown_timeout(0)
                 .disable_signals()
                 .bind(address);
-                let started = server.map(|server| {
+                let bound = server.map(|server| {
                     let address = server.addrs()[0];
                     let running = server.run();
                     (address, running.handle(), running)
                 });
-                match started {
+                match bound {
                     Ok((address, handle, running)) => {
                         let _ = sender.send(Ok((address, handle)));
                         let _ = running.await;
@@ -59,7 +59,7 @@
 impl Drop for Server {
     fn drop(&mut self) {
         if let Some(handle) = self.handle.take() {
-            // The stop command is sent at once; its future only reports the end.
+            // The stop command is sent at once; its future only waits for the end.
             drop(handle.stop(false));
         }
         if let Some(thread) = self.thread.take() {
--- a/standins/src/service.rs
+++ b/standins/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service: it counts what it runs, by the request id that reaches it.
+//! A stand-in for a plain service, which counts executions by the request id that it receives.
 
 use crate::server;
 use actix_web::{HttpRequest, HttpResponse, web};
@@ -7,16 +7,16 @@
 use std::time::Duration;
 use std::{io, net};
 
-/// How the service misbehaves.
+/// The faults that the service simulates.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Mode {
-    /// Each call takes this long.
+    /// The duration of each call, in milliseconds.
     pub delay_ms: u64,
-    /// Each call runs, but its answer never comes.
+    /// Whether each call is executed without an answer.
     pub lose_answers: bool,
 }
 
-/// The running service.
+/// A running service; it stops when dropped.
 #[derive(Debug)]
 pub struct Service {
     server: server::Server,
@@ -41,7 +41,7 @@
 }
 
 impl Service {
-    /// Starts a service; port 0 takes a free one.
+    /// Starts a service; with port 0 it listens on any free port.
     pub fn start(address: net::SocketAddr) -> io::Result<Self> {
         let shared = Arc::new(Shared::default());
         let data = web::Data::from(shared.clone());
@@ -54,17 +54,17 @@
         Ok(Self { server, shared })
     }
 
-    /// Where it listens.
+    /// The address on which the service listens.
     pub fn address(&self) -> net::SocketAddr {
         self.server.address
     }
 
-    /// Changes how it misbehaves.
+    /// Replaces the simulated faults.
     pub fn set_mode(&self, mode: Mode) {
         self.shared.lock().mode = mode;
     }
 
-    /// How often each id ran.
+    /// The number of executions by request id.
     pub fn executions(&self) -> HashMap<String, u64> {
         self.shared.lock().executions.clone()
     }
@@ -77,11 +77,11 @@
 async fn run(shared: web::Data<Shared>, request: HttpRequest, body: web::Bytes) -> HttpResponse {
     let id = request.headers().get("idempotency-key");
     let id = id.and_then(|value| value.to_str().ok()).unwrap_or("none").to_owned();
-    let (times, mode) = {
+    let (executions, mode) = {
         let mut state = shared.lock();
-        let times = state.executions.entry(id.clone()).or_default();
-        *times += 1;
-        (*times, state.mode)
+        let executions = state.executions.entry(id.clone()).or_default();
+        *executions += 1;
+        (*executions, state.mode)
     };
     if mode.lose_answers {
         tokio::time::sleep(Duration::from_secs(600)).await;
@@ -90,7 +90,7 @@
     HttpResponse::Ok().json(serde_json::json!({
         "id": id,
         "path": request.path(),
-        "executions": times,
+        "executions": executions,
         "received_bytes": body.len(),
     }))
 }
--- a/standins/src/store.rs
+++ b/standins/src/store.rs
@@ -1,4 +1,5 @@
-//! The users' platform's store: keys with revisions, conditional transactions, ranges and watches.
+//! A stand-in for the store of the users' platform: a key-value store with revisions, conditional transactions, range
+//! reads and watches.
 
 mod rewrite;
 
@@ -14,41 +15,41 @@
 use std::time::{Duration, Instant};
 use std::{io, net};
 
-/// How often a waiting watch looks for changes.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+/// The interval at which an open watch checks for changes.
+const WATCH_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How the store misbehaves.
+/// The fault that the store simulates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// It does not.
+    /// No fault.
     #[default]
     Well,
-    /// Every call is answered with 503 and nothing is done.
+    /// Every call is answered with 503 and has no effect.
     Down,
-    /// Writes are done, and their answers never come.
+    /// Writes take effect, but their answers are never sent.
     LoseAnswers,
-    /// No call is answered or done.
+    /// No call is answered or takes effect.
     Silent,
 }
 
-/// The era header of the store's answers.
+/// The `Store-Era` header of the store's answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EraHeader {
-    /// Contains the current era.
+    /// The header contains the current era.
     #[default]
     Named,
-    /// Is not sent.
+    /// The header is not sent.
     Absent,
-    /// Contains this text.
+    /// The header contains this text.
     Text(&'static str),
 }
 
 /// How a restore affects open watches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OpenWatches {
-    /// They are answered with 503.
+    /// Open watches are answered with 503.
     Ended,
-    /// They continue from their revisions in the restored history.
+    /// Open watches continue from their revisions in the restored history.
     Kept,
 }
 
@@ -58,10 +59,10 @@
     revision: u64,
     items: BTreeMap<String, Item>,
     changes: Vec<Item>,
-    forgotten: u64,
+    compacted_revision: u64,
 }
 
-/// The running store.
+/// A running store; it stops when dropped.
 #[derive(Debug)]
 pub struct Store {
     server: server::Server,
@@ -78,21 +79,21 @@
     mode: Mode,
     revision: u64,
     items: BTreeMap<String, Item>,
-    /// Changes in order; those before `forgotten` are gone.
+    /// Changes in order of their revisions; those up to `compacted_revision` are discarded.
     changes: Vec<Item>,
-    forgotten: u64,
+    compacted_revision: u64,
     calls: u64,
-    /// Watches that wait now.
-    waiting: usize,
-    /// Watches up to this call are never answered.
-    unanswered: u64,
-    /// Watches hear of no change after this revision.
-    deaf_after: Option<u64>,
+    /// The number of watches that wait for changes.
+    open_watches: usize,
+    /// Watches that were opened up to this call are never answered.
+    unanswered_until_call: u64,
+    /// If set, watches report no change after this revision.
+    last_visible_revision: Option<u64>,
     /// The number of restores.
     era: u64,
     era_header: EraHeader,
-    /// The last call before the latest restore that ended open watches.
-    watches_ended: u64,
+    /// Watches that were opened up to this call, the last one before a restore, are answered with 503.
+    watches_ended_until_call: u64,
 }
 
 #[derive(Clone, Debug, Serialize)]
@@ -148,7 +149,7 @@
 }
 
 impl State {
-    /// Starts an answer with the era header.
+    /// Returns a response builder with the configured era header.
     fn answer(&self, status: StatusCode) -> HttpResponseBuilder {
         let mut response = HttpResponse::build(status);
         match self.era_header {
@@ -170,7 +171,7 @@
         };
     }
 
-    fn under(&self, prefix: &str) -> Vec<Item> {
+    fn items_with_prefix(&self, prefix: &str) -> Vec<Item> {
         let found = self.items.range(prefix.to_owned()..);
         found.take_while(|(key, _)| key.starts_with(prefix)).map(|(_, item)| item.clone()).collect()
     }
@@ -183,7 +184,7 @@
 }
 
 impl Store {
-    /// Starts an empty store; port 0 takes a free one.
+    /// Starts an empty store; with port 0 it listens on any free port.
     pub fn start(address: net::SocketAddr) -> io::Result<Self> {
         let shared = Arc::new(Shared::default());
         let data = web::Data::from(shared.clone());
@@ -198,42 +199,43 @@
         Ok(Self { server, shared })
     }
 
-    /// Where it listens.
+    /// The address on which the store listens.
     pub fn address(&self) -> net::SocketAddr {
         self.server.address
     }
 
-    /// Changes how it misbehaves.
+    /// Sets the fault that the store simulates from now on.
     pub fn set_mode(&self, mode: Mode) {
         self.shared.lock().mode = mode;
     }
 
-    /// Writes a key as an operator or a server would.
+    /// Writes a key on behalf of an operator or a server.
     pub fn put(&self, key: &str, value: &[u8]) {
         self.shared.lock().write(key, Some(STANDARD.encode(value)));
     }
 
-    /// Writes a key with a value that is not encoded as all others are.
+    /// Writes a key with a value that is not valid base64.
     pub fn put_undecodable(&self, key: &str) {
         self.shared.lock().write(key, Some("%".to_owned()));
     }
 
-    /// The operator publishes a configuration.
+    /// Publishes a configuration on behalf of the operator.
     pub fn publish(&self, configuration: &[u8]) {
         self.put("op/config", configuration);
     }
 
-    /// A server records itself.
+    /// Writes a server's record on behalf of that server.
     pub fn record_server(&self, name: &str, record: &wire::Record<'_>) {
         self.put(&format!("servers/{name}"), &record.value());
     }
 
-    /// Another writer spoils a server's record.
+    /// Overwrites a server's record with a value that cannot be decoded, as a faulty writer would.
     pub fn spoil_server(&self, name: &str) {
         self.put_undecodable(&format!("servers/{name}"));
     }
 
-    /// Another writer puts these values, and one that cannot be decoded, under every prefix that routers follow.
+    /// Writes these values, and one that cannot be decoded, under every prefix that routers follow, as a faulty writer
+    /// would.
     pub fn put_bad_entries(&self, values: &[&[u8]]) {
         for prefix in ["op/", "servers/", "doorswitch/routers/"] {
             for (place, value) in values.iter().enumerate() {
@@ -248,22 +250,23 @@
         self.shared.lock().write(key, None);
     }
 
-    /// Forgets the history so far.
+    /// Discards the history so far: watches from earlier revisions are answered with 410. Hidden changes are visible
+    /// again.
     pub fn forget(&self) {
         let mut state = self.shared.lock();
-        state.forgotten = state.revision;
+        state.compacted_revision = state.revision;
         state.changes.clear();
-        state.deaf_after = None;
+        state.last_visible_revision = None;
     }
 
-    /// Returns a backup of the store's state.
+    /// Returns a snapshot of the store's state.
     pub fn back_up(&self) -> Backup {
         let state = self.shared.lock();
         Backup {
             revision: state.revision,
             items: state.items.clone(),
             changes: state.changes.clone(),
-            forgotten: state.forgotten,
+            compacted_revision: state.compacted_revision,
         }
     }
 
@@ -273,11 +276,11 @@
         state.revision = backup.revision;
         state.items = backup.items.clone();
         state.changes = backup.changes.clone();
-        state.forgotten = backup.forgotten;
-        state.deaf_after = None;
+        state.compacted_revision = backup.compacted_revision;
+        state.last_visible_revision = None;
         state.era += 1;
         if open_watches == OpenWatches::Ended {
-            state.watches_ended = state.calls;
+            state.watches_ended_until_call = state.calls;
         }
     }
 
@@ -286,36 +289,36 @@
         self.shared.lock().era_header = header;
     }
 
-    /// Watches hear of no change from now on, until the store forgets its history.
+    /// Hides all later changes from watches until the history is discarded or a backup is restored.
     pub fn go_deaf(&self) {
         let mut state = self.shared.lock();
-        state.deaf_after = Some(state.revision);
+        state.last_visible_revision = Some(state.revision);
     }
 
-    /// How many watches wait now.
+    /// The number of watches that wait for changes.
     pub fn open_watches(&self) -> usize {
-        self.shared.lock().waiting
+        self.shared.lock().open_watches
     }
 
-    /// The watches that wait now are never answered; their connections live, and all other calls are answered.
+    /// Never answers the watches that are open now. Their connections stay open, and all other calls are answered.
     pub fn leave_open_watches_unanswered(&self) {
         let mut state = self.shared.lock();
-        state.unanswered = state.calls;
+        state.unanswered_until_call = state.calls;
     }
 
-    /// What lies under a key.
+    /// The decoded value of a key.
     pub fn get(&self, key: &str) -> Option<Vec<u8>> {
         let state = self.shared.lock();
         STANDARD.decode(state.items.get(key)?.value.as_ref()?).ok()
     }
 
-    /// Calls so far.
+    /// The number of calls received so far.
     pub fn calls(&self) -> u64 {
         self.shared.lock().calls
     }
 }
 
-/// Counts a call; an answer means that the store is not well.
+/// Counts a call. Returns the answer for a simulated outage, if there is one.
 async fn admit(shared: &Shared) -> Option<HttpResponse> {
     let (mode, mut refusal) = {
         let mut state = shared.lock();
@@ -345,28 +348,28 @@
         return refused;
     }
     let state = shared.lock();
-    let items = state.under(&query.path_prefix);
+    let items = state.items_with_prefix(&query.path_prefix);
     let body = json!({ "items": items, "more": false, "at": state.revision });
     state.answer(StatusCode::OK).json(body)
 }
 
-/// A watch that waits.
-struct Waiting<'a> {
+/// Counts an open watch until it is dropped.
+struct OpenWatch<'a> {
     shared: &'a Shared,
     call: u64,
 }
 
-impl<'a> Waiting<'a> {
+impl<'a> OpenWatch<'a> {
     fn start(shared: &'a Shared) -> Self {
         let mut state = shared.lock();
-        state.waiting += 1;
+        state.open_watches += 1;
         Self { shared, call: state.calls }
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for OpenWatch<'_> {
     fn drop(&mut self) {
-        self.shared.lock().waiting -= 1;
+        self.shared.lock().open_watches -= 1;
     }
 }
 
@@ -375,35 +378,35 @@
         return refused;
     }
     let after = query.after_revision.as_deref().and_then(|text| text.parse().ok()).unwrap_or(0);
-    let until = Instant::now() + Duration::from_millis(query.wait_ms);
-    let waiting = Waiting::start(&shared);
+    let deadline = Instant::now() + Duration::from_millis(query.wait_ms);
+    let watch = OpenWatch::start(&shared);
     if after > shared.lock().revision {
         return shared.lock().answer(StatusCode::GONE).finish();
     }
     loop {
-        if shared.lock().unanswered >= waiting.call {
+        if shared.lock().unanswered_until_call >= watch.call {
             std::future::pending::<()>().await;
         }
         {
             let state = shared.lock();
-            if state.watches_ended >= waiting.call {
+            if state.watches_ended_until_call >= watch.call {
                 return state.answer(StatusCode::SERVICE_UNAVAILABLE).finish();
             }
-            if after < state.forgotten {
+            if after < state.compacted_revision {
                 return state.answer(StatusCode::GONE).finish();
             }
-            let heard = state.deaf_after.unwrap_or(state.revision);
-            let new = |item: &&Item| {
-                let later = item.revision > after && item.revision <= heard;
-                later && item.private_key.starts_with(&query.path_prefix)
+            let visible_revision = state.last_visible_revision.unwrap_or(state.revision);
+            let is_new = |item: &&Item| {
+                let in_range = item.revision > after && item.revision <= visible_revision;
+                in_range && item.private_key.starts_with(&query.path_prefix)
             };
-            let events: Vec<&Item> = state.changes.iter().filter(new).collect();
-            if !events.is_empty() || Instant::now() >= until {
-                let at = heard.max(after);
+            let events: Vec<&Item> = state.changes.iter().filter(is_new).collect();
+            if !events.is_empty() || Instant::now() >= deadline {
+                let at = visible_revision.max(after);
                 return state.answer(StatusCode::OK).json(json!({ "events": events, "at": at }));
             }
         }
-        actix_rt::time::sleep(LOOK_EVERY).await;
+        actix_rt::time::sleep(WATCH_CHECK_INTERVAL).await;
     }
 }
 
@@ -413,11 +416,11 @@
     }
     let (answer, lost) = {
         let mut state = shared.lock();
-        let holds = |expected: &Expected| {
+        let matches = |expected: &Expected| {
             let item = state.items.get(&expected.private_key);
             item.map_or(0, |item| item.revision) == expected.revision
         };
-        if !body.expected_rev.iter().all(holds) {
+        if !body.expected_rev.iter().all(matches) {
             let keys = body.expected_rev.iter().map(|expected| &expected.private_key);
             let items: Vec<&Item> = keys.filter_map(|key| state.items.get(key)).collect();
             return state.answer(StatusCode::PRECONDITION_FAILED).json(json!({ "items": items }));
--- a/standins/src/store/rewrite.rs
+++ b/standins/src/store/rewrite.rs
@@ -11,7 +11,7 @@
         self.items.get(key)?.value.as_ref()
     }
 
-    /// The keys of the operator and the servers in either state.
+    /// The keys of the operator and the servers that exist in either state.
     fn rewritten_keys<'a>(&'a self, other: &'a Self) -> BTreeSet<&'a String> {
         let keys = self.items.keys().chain(other.items.keys());
         keys.filter(|key| REWRITTEN_PREFIXES.iter().any(|prefix| key.starts_with(prefix))).collect()
@@ -36,10 +36,10 @@
 impl Store {
     /// Repeats the writes that a restore from `before_restore` to `restored` lost, except for keys that changed since.
     pub fn repeat_lost_writes(&self, before_restore: &Backup, restored: &Backup) {
-        let present = self.back_up();
+        let current = self.back_up();
         for key in before_restore.rewritten_keys(restored) {
-            let untouched = present.value(key) == restored.value(key);
-            if untouched && before_restore.value(key) != restored.value(key) {
+            let unchanged = current.value(key) == restored.value(key);
+            if unchanged && before_restore.value(key) != restored.value(key) {
                 self.shared.lock().write(key, before_restore.value(key).cloned());
             }
         }
--- a/standins/src/wire.rs
+++ b/standins/src/wire.rs
@@ -1,25 +1,26 @@
-//! What operators, servers and clients of the users' platform write, for tests that need no more than that.
+//! Records, configurations and requests as servers, operators and clients of the users' platform write them, for tests
+//! that need only these.
 
 use serde_json::json;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// A server's record.
+/// A server's record in the store.
 #[derive(Clone, Copy, Debug)]
 pub struct Record<'a> {
-    /// The service.
+    /// The name of the service.
     pub service: &'a str,
-    /// Where it is reached.
+    /// The server's address.
     pub address: SocketAddr,
-    /// Its state, by the platform's word.
+    /// The state, as the platform writes it.
     pub state: &'a str,
-    /// The Unix millisecond of its start.
+    /// When the server started, in Unix milliseconds.
     pub started_ms: u64,
 }
 
 impl Record<'_> {
-    /// The record as it lies in the store.
+    /// The record as JSON, as it is stored.
     pub fn value(&self) -> Vec<u8> {
         let record = json!({
             "service": self.service, "address": self.address.to_string(), "zone": "domain-0",
@@ -30,7 +31,7 @@
     }
 }
 
-/// A configuration of public routes, each by its path and service.
+/// A configuration with public routes, each given by its path and service.
 pub fn configuration<'a>(
     version: u64,
     host: &str,
@@ -59,25 +60,25 @@
     configuration.to_string().into_bytes()
 }
 
-/// An answer to a client.
+/// An HTTP answer as a client received it.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// The status.
+    /// The HTTP status code.
     pub status: u16,
-    /// The body.
+    /// The response body.
     pub body: String,
 }
 
-/// One request on a connection of its own. An answer that takes longer than `most` is an error.
+/// Sends one GET request on a new connection. An answer that takes longer than `timeout` is an error.
 pub fn get(
     address: SocketAddr,
     host: &str,
     path: &str,
     id: &str,
-    most: Duration,
+    timeout: Duration,
 ) -> io::Result<Answer> {
-    let mut stream = TcpStream::connect_timeout(&address, most)?;
-    stream.set_read_timeout(Some(most))?;
+    let mut stream = TcpStream::connect_timeout(&address, timeout)?;
+    stream.set_read_timeout(Some(timeout))?;
     let request = format!(
         "GET {path} HTTP/1.1\r\nHost: {host}\r\nAttempt-Id: {id}\r\nDeadline-Ms: 1000\r\n\
          Connection: close\r\n\r\n"
