--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -159,7 +159,7 @@
         };
         let (first, last) = (group.first()?, group.last()?);
         Some(format!(
-            "broken={broken:?} router={router} answers={} first_ms={} last_ms={} version={} status={:?} \
+            "broken={broken} router={router} answers={} first_ms={} last_ms={} version={} status={:?} \
              after_ack_ms={} after_harm_ms={}",
             group.len(),
             ms(first),
--- a/soak/src/observe.rs
+++ b/soak/src/observe.rs
@@ -1,6 +1,7 @@
 //! What was harmed when, what was acknowledged when, and which answers that does not excuse.
 
 use std::collections::HashMap;
+use std::fmt;
 use std::time::{Duration, Instant};
 
 /// A configuration is in force everywhere this long after it was acknowledged.
@@ -50,6 +51,30 @@
     SentInBackoff,
 }
 
+impl Broken {
+    /// The text in the output of a run.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Stale => "Stale",
+            Self::Reverted => "Reverted",
+            Self::Unready => "Unready",
+            Self::EarlierLife => "EarlierLife",
+            Self::PoisonSent => "PoisonSent",
+            Self::InnocentKept => "InnocentKept",
+            Self::LimitExceeded => "LimitExceeded",
+            Self::RefusedBesideFree => "RefusedBesideFree",
+            Self::SentToLeaving => "SentToLeaving",
+            Self::SentInBackoff => "SentInBackoff",
+        }
+    }
+}
+
+impl fmt::Display for Broken {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        out.write_str(self.as_str())
+    }
+}
+
 /// A broken promise, with the answer that shows it.
 #[derive(Clone, Debug)]
 pub struct Violation {
--- a/soak/src/schedule.rs
+++ b/soak/src/schedule.rs
@@ -24,6 +24,22 @@
     Swallowing,
 }
 
+impl Dead {
+    /// The text in the output of a run.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Silent => "Silent",
+            Self::Swallowing => "Swallowing",
+        }
+    }
+}
+
+impl fmt::Display for Dead {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        out.write_str(self.as_str())
+    }
+}
+
 /// What is done.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
@@ -171,6 +187,78 @@
     }
 }
 
+/// The text in the output of a run: a name and its fields.
+impl fmt::Display for Action {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Publish => out.write_str("Publish"),
+            Self::StoreRefuses { for_ms } => {
+                out.debug_struct("StoreRefuses").field("for_ms", for_ms).finish()
+            }
+            Self::StoreSilent { for_ms } => {
+                out.debug_struct("StoreSilent").field("for_ms", for_ms).finish()
+            }
+            Self::StoreLeavesWatchesUnanswered => out.write_str("StoreLeavesWatchesUnanswered"),
+            Self::StoreForgets => out.write_str("StoreForgets"),
+            Self::StoreDeaf { for_ms } => {
+                out.debug_struct("StoreDeaf").field("for_ms", for_ms).finish()
+            }
+            Self::StoreRestored { backup_age_ms, outage_ms, rewrite_delay_ms, keeps_watches } => {
+                let mut text = out.debug_struct("StoreRestored");
+                text.field("backup_age_ms", backup_age_ms).field("outage_ms", outage_ms);
+                text.field("rewrite_delay_ms", rewrite_delay_ms);
+                text.field("keeps_watches", keeps_watches).finish()
+            }
+            Self::BadEntries => out.write_str("BadEntries"),
+            Self::ServerRestarts => out.write_str("ServerRestarts"),
+            Self::ServerLeaves => out.write_str("ServerLeaves"),
+            Self::ServerRecordSpoilt => out.write_str("ServerRecordSpoilt"),
+            Self::StoreLinksDie { routers, dead } => {
+                let mut text = out.debug_struct("StoreLinksDie");
+                text.field("routers", routers).field("dead", &format_args!("{dead}")).finish()
+            }
+            Self::StoreCut { routers, for_ms } => {
+                let mut text = out.debug_struct("StoreCut");
+                text.field("routers", routers).field("for_ms", for_ms).finish()
+            }
+            Self::StoreStalls { routers, for_ms } => {
+                let mut text = out.debug_struct("StoreStalls");
+                text.field("routers", routers).field("for_ms", for_ms).finish()
+            }
+            Self::StoreSlow { routers, delay_ms, for_ms } => {
+                let mut text = out.debug_struct("StoreSlow");
+                text.field("routers", routers).field("delay_ms", delay_ms);
+                text.field("for_ms", for_ms).finish()
+            }
+            Self::PeerLinksDie { routers, dead } => {
+                let mut text = out.debug_struct("PeerLinksDie");
+                text.field("routers", routers).field("dead", &format_args!("{dead}")).finish()
+            }
+            Self::PeersCut { routers, for_ms } => {
+                let mut text = out.debug_struct("PeersCut");
+                text.field("routers", routers).field("for_ms", for_ms).finish()
+            }
+            Self::DatagramsLost { routers, percent, for_ms } => {
+                let mut text = out.debug_struct("DatagramsLost");
+                text.field("routers", routers).field("percent", percent);
+                text.field("for_ms", for_ms).finish()
+            }
+            Self::Freeze { routers, for_ms } => {
+                let mut text = out.debug_struct("Freeze");
+                text.field("routers", routers).field("for_ms", for_ms).finish()
+            }
+            Self::Kill { routers, down_ms } => {
+                let mut text = out.debug_struct("Kill");
+                text.field("routers", routers).field("down_ms", down_ms).finish()
+            }
+            Self::LoseAll { down_ms, silent } => {
+                let mut text = out.debug_struct("LoseAll");
+                text.field("down_ms", down_ms).field("silent", silent).finish()
+            }
+        }
+    }
+}
+
 /// One step of a schedule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Step {
@@ -184,7 +272,7 @@
 
 impl fmt::Display for Step {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "step={} at_ms={} action={:?}", self.number, self.at_ms, self.action)
+        write!(out, "step={} at_ms={} action={}", self.number, self.at_ms, self.action)
     }
 }
 
--- /dev/null
+++ b/soak/tests/printed_texts.rs
@@ -0,0 +1,94 @@
+//! The texts of actions and violations in the output of a run, which operators and tools match.
+
+#![allow(missing_docs)]
+
+use doorswitch_soak::observe::Broken;
+use doorswitch_soak::schedule::{Action, Dead, Schedule};
+
+fn printed(action: Action) -> String {
+    let schedule = Schedule::of(vec![(5, action)]);
+    schedule.steps.iter().map(ToString::to_string).collect()
+}
+
+#[test]
+fn every_action_is_printed_under_its_name_with_its_fields() {
+    let routers = || vec![0, 2];
+    let silent = Dead::Silent;
+    let swallowing = Dead::Swallowing;
+    let for_ms = 7;
+    let texts = [
+        (Action::Publish, "Publish"),
+        (Action::StoreRefuses { for_ms }, "StoreRefuses { for_ms: 7 }"),
+        (Action::StoreSilent { for_ms }, "StoreSilent { for_ms: 7 }"),
+        (Action::StoreLeavesWatchesUnanswered, "StoreLeavesWatchesUnanswered"),
+        (Action::StoreForgets, "StoreForgets"),
+        (Action::StoreDeaf { for_ms }, "StoreDeaf { for_ms: 7 }"),
+        (
+            Action::StoreRestored {
+                backup_age_ms: 1,
+                outage_ms: 2,
+                rewrite_delay_ms: 3,
+                keeps_watches: true,
+            },
+            "StoreRestored { backup_age_ms: 1, outage_ms: 2, rewrite_delay_ms: 3, keeps_watches: true }",
+        ),
+        (Action::BadEntries, "BadEntries"),
+        (Action::ServerRestarts, "ServerRestarts"),
+        (Action::ServerLeaves, "ServerLeaves"),
+        (Action::ServerRecordSpoilt, "ServerRecordSpoilt"),
+        (
+            Action::StoreLinksDie { routers: routers(), dead: silent },
+            "StoreLinksDie { routers: [0, 2], dead: Silent }",
+        ),
+        (
+            Action::StoreCut { routers: routers(), for_ms },
+            "StoreCut { routers: [0, 2], for_ms: 7 }",
+        ),
+        (
+            Action::StoreStalls { routers: routers(), for_ms },
+            "StoreStalls { routers: [0, 2], for_ms: 7 }",
+        ),
+        (
+            Action::StoreSlow { routers: routers(), delay_ms: 4, for_ms },
+            "StoreSlow { routers: [0, 2], delay_ms: 4, for_ms: 7 }",
+        ),
+        (
+            Action::PeerLinksDie { routers: routers(), dead: swallowing },
+            "PeerLinksDie { routers: [0, 2], dead: Swallowing }",
+        ),
+        (
+            Action::PeersCut { routers: routers(), for_ms },
+            "PeersCut { routers: [0, 2], for_ms: 7 }",
+        ),
+        (
+            Action::DatagramsLost { routers: routers(), percent: 40, for_ms },
+            "DatagramsLost { routers: [0, 2], percent: 40, for_ms: 7 }",
+        ),
+        (Action::Freeze { routers: routers(), for_ms }, "Freeze { routers: [0, 2], for_ms: 7 }"),
+        (Action::Kill { routers: routers(), down_ms: 8 }, "Kill { routers: [0, 2], down_ms: 8 }"),
+        (Action::LoseAll { down_ms: 8, silent: false }, "LoseAll { down_ms: 8, silent: false }"),
+    ];
+    for (action, text) in texts {
+        assert_eq!(printed(action), format!("step=0 at_ms=5 action={text}"));
+    }
+}
+
+#[test]
+fn every_violation_is_printed_under_its_name_and_in_order() {
+    let texts = [
+        (Broken::Stale, "Stale"),
+        (Broken::Reverted, "Reverted"),
+        (Broken::Unready, "Unready"),
+        (Broken::EarlierLife, "EarlierLife"),
+        (Broken::PoisonSent, "PoisonSent"),
+        (Broken::InnocentKept, "InnocentKept"),
+        (Broken::LimitExceeded, "LimitExceeded"),
+        (Broken::RefusedBesideFree, "RefusedBesideFree"),
+        (Broken::SentToLeaving, "SentToLeaving"),
+        (Broken::SentInBackoff, "SentInBackoff"),
+    ];
+    assert!(texts.is_sorted_by_key(|(broken, _)| *broken));
+    for (broken, text) in texts {
+        assert_eq!(broken.to_string(), text);
+    }
+}
