--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -1,4 +1,5 @@
-//! Real routers before stand-ins: how they start, and what can be done to them from outside.
+//! A fleet of real router processes in front of stand-ins: how they are started, and the faults that can be injected from
+//! outside.
 
 use doorswitch_standins::{backend, network, ports, store, wire};
 use snafu::ResultExt;
@@ -10,38 +11,38 @@
 use std::time::Duration;
 use std::{io, thread};
 
-/// The host of all routes.
+/// The host name of all routes.
 pub const HOST: &str = "soak.example";
-/// The service of the first two servers.
+/// The service of the servers that the fleet itself runs.
 const SERVICE: &str = "app";
-/// The service whose servers crash.
+/// The service whose servers crash on some requests.
 pub const FRAGILE_SERVICE: &str = "fragile";
-/// The path of its route.
+/// The path of the route to [`FRAGILE_SERVICE`].
 pub const FRAGILE_PATH: &str = "/fragile/";
-/// The service whose servers name how many requests they take.
+/// The service whose servers announce rate limits.
 pub const LIMITED_SERVICE: &str = "limited";
-/// The path of its route.
+/// The path of the route to [`LIMITED_SERVICE`].
 pub const LIMITED_PATH: &str = "/limited/";
-/// The service whose servers leave, or ask for backoffs, by their answers.
+/// The service whose servers announce in their answers that they are leaving, or request backoffs.
 pub const OUTSPOKEN_SERVICE: &str = "outspoken";
-/// The path of its route.
+/// The path of the route to [`OUTSPOKEN_SERVICE`].
 pub const OUTSPOKEN_PATH: &str = "/outspoken/";
-/// The failure domains that the routers lie in.
+/// The number of failure domains among which the routers are spread.
 const FAILURE_DOMAINS: usize = 3;
-/// A router names so many others as seeds.
-const SEEDS: usize = 3;
-/// Routes of so many earlier versions stay.
-const ROUTES_KEPT: u64 = 8;
-/// Always there.
+/// The number of other routers that each router has as seeds.
+const SEEDS_PER_ROUTER: usize = 3;
+/// The number of earlier versions whose routes a configuration still contains.
+const EARLIER_ROUTES: u64 = 8;
+/// The name of the server that runs all the time.
 pub const FIRST_SERVER: &str = "i-0";
-/// Leaves and starts again.
+/// The name of the server that leaves and restarts.
 pub const SECOND_SERVER: &str = "i-1";
-/// When the first life of a server started, in Unix milliseconds.
+/// When the first server incarnation started, in Unix milliseconds.
 const FIRST_START_MS: u64 = 1_796_000_000_000;
-/// What another writer puts.
-const BAD_VALUES: &[&[u8]] = &[b"", b"\xff\xfe", b"{", b"[]", b"null", b"{\"service\":7}"];
-/// Processes start within this time of each other.
-const START_APART: Duration = Duration::from_millis(40);
+/// Unreadable values that another writer stores.
+const UNREADABLE_VALUES: &[&[u8]] = &[b"", b"\xff\xfe", b"{", b"[]", b"null", b"{\"service\":7}"];
+/// The time between the starts of two processes.
+const START_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Why a fleet could not be set up or changed.
 #[derive(Debug, snafu::Snafu)]
@@ -50,36 +51,37 @@
 pub enum Error {
     #[snafu(display("cannot {what}: {source}"))]
     Io { what: String, source: io::Error },
-    #[snafu(display("the signal {signal} was not taken"))]
+    #[snafu(display("cannot send the signal {signal}"))]
     Signal { signal: &'static str },
 }
 
-/// One router: its process and the networks around it.
+/// One router: its process, its addresses and the proxies around it.
 struct Router {
     child: Option<Child>,
     ip: IpAddr,
     clients: SocketAddr,
     operators: SocketAddr,
     peers: SocketAddr,
-    /// Between its peers and it.
+    /// The proxy between its peers and the router.
     peer_network: network::Proxy,
-    /// Between it and the store.
+    /// The proxy between the router and the store.
     store_network: network::Proxy,
 }
 
-/// Routers, their store, and the servers behind them.
+/// Router processes, their store and their backend servers.
 pub struct Fleet {
     binary: PathBuf,
     folder: PathBuf,
     store: Arc<store::Store>,
-    /// Every life of every server, by the number that its answers name. The earlier ones still answer.
+    /// All server incarnations, by the number that their answers contain. Earlier incarnations still answer.
     lives: Vec<backend::Backend>,
     routers: Vec<Router>,
     version: u64,
 }
 
 impl Fleet {
-    /// Sets the stand-ins and networks up; no router runs yet. `net` tells its loopback addresses from other fleets'.
+    /// Starts the stand-ins and proxies, but no routers. `net` is the second and third byte of the routers' loopback
+    /// addresses, which must differ from those of other fleets.
     pub fn prepare(
         binary: &Path,
         folder: &Path,
@@ -88,8 +90,8 @@
     ) -> Result<Self, Error> {
         fs::create_dir_all(folder).context(IoSnafu { what: "create the folder" })?;
         let local = IpAddr::V4(Ipv4Addr::LOCALHOST);
-        let starting = |what: &str| IoSnafu { what: format!("start {what}") };
-        let store = store::Store::start((local, 0).into()).context(starting("the store"))?;
+        let start_context = |what: &str| IoSnafu { what: format!("start {what}") };
+        let store = store::Store::start((local, 0).into()).context(start_context("the store"))?;
         let mut fleet = Self {
             binary: binary.to_owned(),
             folder: folder.to_owned(),
@@ -98,8 +100,8 @@
             routers: Vec::new(),
             version: 0,
         };
-        for place in 0..routers {
-            let router = fleet.new_router(place, net).context(starting("a network"))?;
+        for index in 0..routers {
+            let router = fleet.new_router(index, net).context(start_context("a network"))?;
             fleet.routers.push(router);
         }
         fleet.start_server(FIRST_SERVER)?;
@@ -107,7 +109,8 @@
         Ok(fleet)
     }
 
-    /// Starts a server, anew under its name if it ran before; returns the number that its answers name.
+    /// Starts a server, or another incarnation if one of this name was started before. Returns the number that its answers
+    /// contain.
     pub fn start_server(&mut self, name: &str) -> Result<usize, Error> {
         let number = self.lives.len();
         let script: backend::Script =
@@ -118,7 +121,7 @@
         Ok(number)
     }
 
-    /// A life of a server records its state.
+    /// Stores a server record with the state of this incarnation.
     pub fn record_server(&self, name: &str, number: usize, state: &str) {
         let record = wire::Record {
             service: SERVICE,
@@ -129,19 +132,19 @@
         self.store.record_server(name, &record);
     }
 
-    /// Another writer spoils a server's record.
-    pub fn spoil_record(&self, name: &str) {
+    /// Overwrites a server's record with an unreadable value, as a faulty writer would.
+    pub fn corrupt_record(&self, name: &str) {
         self.store.spoil_server(name);
     }
 
-    /// Another writer puts entries that cannot be read under every prefix that routers follow.
+    /// Adds unreadable entries under every prefix that routers follow, as a faulty writer would.
     pub fn put_bad_entries(&self) {
-        self.store.put_bad_entries(BAD_VALUES);
+        self.store.put_bad_entries(UNREADABLE_VALUES);
     }
 
-    fn new_router(&self, place: usize, net: [u8; 2]) -> io::Result<Router> {
+    fn new_router(&self, index: usize, net: [u8; 2]) -> io::Result<Router> {
         let [high, low] = net;
-        let ip = IpAddr::V4(Ipv4Addr::new(127, high, low, 10 + place as u8));
+        let ip = IpAddr::V4(Ipv4Addr::new(127, high, low, 10 + index as u8));
         let local = IpAddr::V4(Ipv4Addr::LOCALHOST);
         let peers = ports::free_address(ip)?;
         Ok(Router {
@@ -155,37 +158,38 @@
         })
     }
 
-    /// How many routers there are.
+    /// The number of routers.
     pub fn routers(&self) -> usize {
         self.routers.len()
     }
 
-    /// Where a router's clients connect.
-    pub fn clients_address(&self, place: usize) -> SocketAddr {
-        self.routers[place].clients
+    /// The address of a router for its clients.
+    pub fn clients_address(&self, index: usize) -> SocketAddr {
+        self.routers[index].clients
     }
 
-    /// Publishes a configuration with one route more; returns its version, which the store has acknowledged then.
+    /// Publishes a configuration with an additional route. Returns its version, which the store has acknowledged by then.
     pub fn publish(&mut self) -> u64 {
         self.version += 1;
-        let first = self.version.saturating_sub(ROUTES_KEPT).max(1);
-        let added = (first..=self.version).map(|version| (added_path(version), SERVICE));
-        let fixed = [
+        let first = self.version.saturating_sub(EARLIER_ROUTES).max(1);
+        let added_routes = (first..=self.version).map(|version| (added_path(version), SERVICE));
+        let fixed_routes = [
             (FRAGILE_PATH, FRAGILE_SERVICE),
             (LIMITED_PATH, LIMITED_SERVICE),
             (OUTSPOKEN_PATH, OUTSPOKEN_SERVICE),
         ];
-        let routes = added.chain(fixed.map(|(path, service)| (path.to_owned(), service)));
+        let routes =
+            added_routes.chain(fixed_routes.map(|(path, service)| (path.to_owned(), service)));
         let services = [SERVICE, FRAGILE_SERVICE, LIMITED_SERVICE, OUTSPOKEN_SERVICE];
         self.store.publish(&wire::configuration(self.version, HOST, &services, routes));
         self.version
     }
 
-    /// Starts a router's process, anew if it ran before.
-    pub fn start(&mut self, place: usize) -> Result<(), Error> {
-        let settings = self.folder.join(format!("router-{place}.yaml"));
-        fs::write(&settings, self.settings(place)).context(IoSnafu { what: "write settings" })?;
-        let log = self.open_log(place).context(IoSnafu { what: "open a log" })?;
+    /// Starts a router's process. The log of earlier processes is continued.
+    pub fn start(&mut self, index: usize) -> Result<(), Error> {
+        let settings = self.folder.join(format!("router-{index}.yaml"));
+        fs::write(&settings, self.settings(index)).context(IoSnafu { what: "write settings" })?;
+        let log = self.open_log(index).context(IoSnafu { what: "open a log" })?;
         let child = Command::new(&self.binary)
             .args(["router", "--settings"])
             .arg(&settings)
@@ -193,41 +197,41 @@
             .stdout(Stdio::null())
             .spawn()
             .context(IoSnafu { what: "start a router" })?;
-        self.routers[place].child = Some(child);
+        self.routers[index].child = Some(child);
         Ok(())
     }
 
-    /// Starts routers in this order, a little apart.
+    /// Starts routers in this order, with a short interval in between.
     pub fn start_all(&mut self, order: &[usize]) -> Result<(), Error> {
-        for place in order {
-            self.start(*place)?;
-            thread::sleep(START_APART);
+        for index in order {
+            self.start(*index)?;
+            thread::sleep(START_INTERVAL);
         }
         Ok(())
     }
 
-    /// Where a router's log lies.
-    pub fn log_file(&self, place: usize) -> PathBuf {
-        self.folder.join(format!("router-{place}.log"))
+    /// The path of a router's log.
+    pub fn log_file(&self, index: usize) -> PathBuf {
+        self.folder.join(format!("router-{index}.log"))
     }
 
-    fn open_log(&self, place: usize) -> io::Result<File> {
-        OpenOptions::new().create(true).append(true).open(self.log_file(place))
+    fn open_log(&self, index: usize) -> io::Result<File> {
+        OpenOptions::new().create(true).append(true).open(self.log_file(index))
     }
 
-    fn settings(&self, place: usize) -> String {
-        let router = &self.routers[place];
-        let others = (1..self.routers.len()).map(|step| (place + step) % self.routers.len());
+    fn settings(&self, index: usize) -> String {
+        let router = &self.routers[index];
+        let others = (1..self.routers.len()).map(|step| (index + step) % self.routers.len());
         let seeds: Vec<String> = others
-            .take(SEEDS)
+            .take(SEEDS_PER_ROUTER)
             .map(|other| format!("{:?}", self.routers[other].peer_network.address.to_string()))
             .collect();
         format!(
-            "vm: entry-{place}\nregion: r\nfailure_domain: domain-{}\n\
+            "vm: entry-{index}\nregion: r\nfailure_domain: domain-{}\n\
              gateway: {{ listen: \"{}\", drain_ms: 300 }}\noperators: {{ listen: \"{}\" }}\n\
              peers: {{ listen: \"{}\", advertise: \"{}\", seeds: [{}] }}\n\
              platform: {{ url: \"http://{}\", protocol: revisions, timeout_ms: 1000, configuration_ms: 2000, leaving_ms: 2000 }}\n",
-            place % FAILURE_DOMAINS,
+            index % FAILURE_DOMAINS,
             router.clients,
             router.operators,
             router.peers,
@@ -237,9 +241,9 @@
         )
     }
 
-    /// Kills a router as a loss of power would.
-    pub fn kill(&mut self, place: usize) -> Result<(), Error> {
-        if let Some(mut child) = self.routers[place].child.take() {
+    /// Kills a router without a graceful stop, as a loss of power would; does nothing if it does not run.
+    pub fn kill(&mut self, index: usize) -> Result<(), Error> {
+        if let Some(mut child) = self.routers[index].child.take() {
             child.kill().context(IoSnafu { what: "kill a router" })?;
             child.wait().context(IoSnafu { what: "wait for a router" })?;
         }
@@ -247,8 +251,8 @@
     }
 
     /// Sends a signal to a router's process, if it runs.
-    pub fn signal(&self, place: usize, signal: &'static str) -> Result<(), Error> {
-        let Some(child) = &self.routers[place].child else { return Ok(()) };
+    pub fn signal(&self, index: usize, signal: &'static str) -> Result<(), Error> {
+        let Some(child) = &self.routers[index].child else { return Ok(()) };
         let status = Command::new("kill")
             .arg(format!("-{signal}"))
             .arg(child.id().to_string())
@@ -258,8 +262,8 @@
         Ok(())
     }
 
-    /// A router whose process ended by itself, if there is one.
-    pub fn ended_by_itself(&mut self) -> Option<usize> {
+    /// The first router whose process ended without being killed, if there is one.
+    pub fn unexpectedly_ended(&mut self) -> Option<usize> {
         let ended = |router: &mut Router| {
             let child = router.child.as_mut();
             child.is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))))
@@ -267,38 +271,38 @@
         self.routers.iter_mut().position(ended)
     }
 
-    /// The store.
+    /// The stand-in for the store.
     pub fn store(&self) -> &Arc<store::Store> {
         &self.store
     }
 
-    /// The network between a router and the store.
-    pub fn store_network(&self, place: usize) -> &network::Proxy {
-        &self.routers[place].store_network
+    /// The proxy between a router and the store.
+    pub fn store_network(&self, index: usize) -> &network::Proxy {
+        &self.routers[index].store_network
     }
 
-    /// The network between a router's peers and it.
-    pub fn peer_network(&self, place: usize) -> &network::Proxy {
-        &self.routers[place].peer_network
+    /// The proxy between a router's peers and the router.
+    pub fn peer_network(&self, index: usize) -> &network::Proxy {
+        &self.routers[index].peer_network
     }
 
-    /// A router's own address.
-    pub fn ip(&self, place: usize) -> IpAddr {
-        self.routers[place].ip
+    /// A router's loopback address.
+    pub fn ip(&self, index: usize) -> IpAddr {
+        self.routers[index].ip
     }
 }
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        for place in 0..self.routers.len() {
-            if let Err(error) = self.kill(place) {
-                eprintln!("event=kill_failed router={place} fault={error}");
+        for index in 0..self.routers.len() {
+            if let Err(error) = self.kill(index) {
+                eprintln!("event=kill_failed router={index} fault={error}");
             }
         }
     }
 }
 
-/// The path of the route that a version adds.
+/// The path of the route that a configuration version adds.
 pub fn added_path(version: u64) -> String {
     format!("/added-{version}/")
 }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,9 +1,9 @@
-//! A randomized soak: real router processes before stand-ins of the platform's store and of backend servers, with
-//! faults that are injected from outside, and checks of what clients see.
+//! A randomized soak test: real router processes in front of stand-ins for the platform's store and for backend servers,
+//! with faults injected from outside, and checks of the answers that clients receive.
 //!
-//! A seed gives a schedule, one list of steps; a run carries it out while one prober for each router asks for a route
-//! that only the newest acknowledged configuration has. Steps can be left out by their numbers, so that a failing
-//! schedule can be cut down to the few that matter.
+//! A seed determines a schedule, which is a list of steps. During the run, one prober per router requests a route that
+//! exists only in the newest acknowledged configuration. Steps can be selected by their numbers, so that a failing schedule
+//! can be reduced to the steps that cause the failure.
 
 pub mod fleet;
 pub mod limited;
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! Soaks real routers: `doorswitch-soak --binary target/release/doorswitch --seeds 0..50`.
+//! Runs real routers under random faults: `doorswitch-soak --binary target/release/doorswitch --seeds 0..50`.
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use doorswitch_soak::{observe, run, schedule};
@@ -20,18 +20,18 @@
                 .long("binary")
                 .default_value("target/release/doorswitch")
                 .value_parser(value_parser!(PathBuf))
-                .help("The routers' program"),
+                .help("The router program"),
         )
         .arg(number("seed", "0", "The first seed"))
-        .arg(number("seeds", "1", "How many seeds, one after the other"))
-        .arg(number("jobs", "1", "Fleets at once"))
-        .arg(number("routers", "8", "Routers of a fleet"))
+        .arg(number("seeds", "1", "Number of consecutive seeds"))
+        .arg(number("jobs", "1", "Number of fleets at the same time"))
+        .arg(number("routers", "8", "Number of routers per fleet"))
         .arg(number("for", "20", "Seconds over which faults begin"))
         .arg(
             Arg::new("writers")
                 .long("writers")
                 .action(ArgAction::SetTrue)
-                .help("Add what other writers and servers do"),
+                .help("Add actions of other writers and of a server"),
         )
         .arg(
             Arg::new("restores")
@@ -39,20 +39,20 @@
                 .action(ArgAction::SetTrue)
                 .help("Add restores of the store from backups"),
         )
-        .arg(Arg::new("named").long("named").help("Play a schedule that is written down"))
+        .arg(Arg::new("named").long("named").help("Run a predefined schedule"))
         .arg(
             Arg::new("only")
                 .long("only")
                 .value_delimiter(',')
                 .value_parser(value_parser!(usize))
-                .help("Leave out all steps but these"),
+                .help("Run only the steps with these numbers"),
         )
         .arg(
             Arg::new("folder")
                 .long("folder")
                 .default_value("target/soak")
                 .value_parser(value_parser!(PathBuf))
-                .help("Where settings and logs go"),
+                .help("Folder for settings and logs"),
         )
 }
 
@@ -68,31 +68,31 @@
     let matches = command().get_matches();
     let first = number(&matches, "seed");
     let next = AtomicU64::new(first);
-    let broken = AtomicU64::new(0);
+    let failed_seeds = AtomicU64::new(0);
     let last = first + number(&matches, "seeds");
     thread::scope(|scope| {
         for job in 0..number(&matches, "jobs") {
-            let (matches, next, broken) = (&matches, &next, &broken);
+            let (matches, next, failed_seeds) = (&matches, &next, &failed_seeds);
             scope.spawn(move || {
                 loop {
                     let seed = next.fetch_add(1, Ordering::Relaxed);
                     if seed >= last {
                         return;
                     }
-                    if !play(matches, seed, job) {
-                        broken.fetch_add(1, Ordering::Relaxed);
+                    if !run_seed(matches, seed, job) {
+                        failed_seeds.fetch_add(1, Ordering::Relaxed);
                     }
                 }
             });
         }
     });
-    let broken = broken.into_inner();
-    println!("event=soak_ended seeds={} broken={broken}", last - first);
-    ExitCode::from(u8::from(broken > 0))
+    let failed_seeds = failed_seeds.into_inner();
+    println!("event=soak_ended seeds={} broken={failed_seeds}", last - first);
+    ExitCode::from(u8::from(failed_seeds > 0))
 }
 
-/// Plays one seed; whether nothing was broken.
-fn play(matches: &ArgMatches, seed: u64, job: u64) -> bool {
+/// Runs one seed. Returns whether all guarantees held.
+fn run_seed(matches: &ArgMatches, seed: u64, job: u64) -> bool {
     let routers = number(matches, "routers") as usize;
     let named = matches.get_one::<String>("named");
     let named = named.and_then(|name| schedule::Schedule::named(name, routers));
@@ -117,7 +117,7 @@
         seed,
     };
     match run::run(&options, &schedule) {
-        Ok(report) => tell(seed, &schedule, &report),
+        Ok(report) => print_report(seed, &schedule, &report),
         Err(error) => {
             println!("event=soak_failed seed={seed} fault={error}");
             false
@@ -125,8 +125,8 @@
     }
 }
 
-/// Writes what a run has seen; whether nothing was broken.
-fn tell(seed: u64, schedule: &schedule::Schedule, report: &run::Report) -> bool {
+/// Prints the results of a run. Returns whether all guarantees held.
+fn print_report(seed: u64, schedule: &schedule::Schedule, report: &run::Report) -> bool {
     let sound = report.violations.is_empty() && report.ended.is_empty();
     let verdict = if sound { "sound" } else { "broken" };
     let mut lines = vec![format!(
@@ -146,20 +146,21 @@
     sound
 }
 
-/// A line for each router and promise that was broken.
+/// One line for each combination of a violated guarantee and a router.
 fn summaries(report: &run::Report) -> Vec<String> {
-    let mut groups: BTreeMap<(observe::Broken, usize), Vec<&observe::Violation>> = BTreeMap::new();
+    let mut groups: BTreeMap<(observe::ViolationKind, usize), Vec<&observe::Violation>> =
+        BTreeMap::new();
     for violation in &report.violations {
-        let key = (violation.broken, violation.answer.router);
+        let key = (violation.kind, violation.answer.router);
         groups.entry(key).or_default().push(violation);
     }
-    let line = |broken: observe::Broken, router: usize, group: &[&observe::Violation]| {
+    let line = |kind: observe::ViolationKind, router: usize, group: &[&observe::Violation]| {
         let ms = |violation: &observe::Violation| {
             violation.answer.sent.saturating_duration_since(report.began).as_millis()
         };
         let (first, last) = (group.first()?, group.last()?);
         Some(format!(
-            "broken={broken} router={router} answers={} first_ms={} last_ms={} version={} status={:?} \
+            "broken={kind} router={router} answers={} first_ms={} last_ms={} version={} status={:?} \
              after_ack_ms={} after_harm_ms={}",
             group.len(),
             ms(first),
@@ -167,8 +168,8 @@
             first.answer.version,
             first.answer.status,
             first.after_ack.as_millis(),
-            first.after_harm.as_millis(),
+            first.after_fault.as_millis(),
         ))
     };
-    groups.iter().filter_map(|((broken, router), group)| line(*broken, *router, group)).collect()
+    groups.iter().filter_map(|((kind, router), group)| line(*kind, *router, group)).collect()
 }
--- a/soak/src/observe.rs
+++ b/soak/src/observe.rs
@@ -1,57 +1,57 @@
-//! What was harmed when, what was acknowledged when, and which answers that does not excuse.
+//! Records faults and acknowledged configurations, and checks answers against the guarantees that hold at the time.
 
 use std::collections::HashMap;
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// A configuration is in force everywhere this long after it was acknowledged.
-const IN_FORCE: Duration = Duration::from_millis(2_000);
-/// A router is bound by that when nothing harmed it for this long.
-const IN_TOUCH: Duration = Duration::from_millis(3_000);
-/// A router in touch serves this long after the last harm.
-const SERVES: Duration = Duration::from_millis(8_000);
+/// The time after its acknowledgement within which a configuration is in force on every connected router.
+const CONFIGURATION_DEADLINE: Duration = Duration::from_millis(2_000);
+/// A router counts as connected when it has had no fault for this time.
+const RECONNECTION_TIME: Duration = Duration::from_millis(3_000);
+/// The time after its last fault within which a router serves requests.
+const SERVING_DEADLINE: Duration = Duration::from_millis(8_000);
 
-/// An answer that a prober got.
+/// An answer that a prober received, or the lack of one.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// Which router gave it.
+    /// The router that was asked.
     pub router: usize,
-    /// Which version's route was asked for.
+    /// The configuration version whose route was requested.
     pub version: u64,
-    /// When.
+    /// When the request was sent.
     pub sent: Instant,
-    /// Its status; `None` if there was none.
+    /// The status; `None` if there was no answer.
     pub status: Option<u16>,
-    /// The life of a server that gave it.
+    /// The number of the server incarnation that answered.
     pub life: Option<usize>,
 }
 
-/// A broken promise.
+/// The kind of a violation. Reports are sorted by the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Broken {
+pub enum ViolationKind {
     /// A configuration was not in force in time.
     Stale,
-    /// A life of a router served by a version and later by an older one.
+    /// A router process served a configuration version and later an older one.
     Reverted,
-    /// A router in touch did not serve.
+    /// A router did not serve requests although it had had no fault for long enough.
     Unready,
-    /// A life of a server that had ended, or had said that it leaves, got a request.
+    /// A server incarnation that had ended, or had announced that it is leaving, received a request.
     EarlierLife,
-    /// A request that crashes servers reached one, long after it had crashed the third.
+    /// A request that crashes servers reached one long after it had crashed the third.
     PoisonSent,
-    /// A request that crashes none was kept from servers.
+    /// A request that crashes no server was quarantined.
     InnocentKept,
-    /// A server got more requests than it takes from all routers together.
+    /// A server received more requests from all routers together than its limit allows.
     LimitExceeded,
-    /// A request was refused for want of a server while one stood there that takes all.
+    /// A request was refused because no server was available, although one server accepted all requests.
     RefusedBesideFree,
-    /// A request reached a server long after its router had passed on that this server leaves.
+    /// A request reached a server long after its router had received and passed on that the server is leaving.
     SentToLeaving,
-    /// Requests reached a server that had asked their router for none.
+    /// Requests of a router reached a server that had requested a backoff from this router.
     SentInBackoff,
 }
 
-impl Broken {
+impl ViolationKind {
     /// The text in the output of a run.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -69,146 +69,152 @@
     }
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for ViolationKind {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str(self.as_str())
     }
 }
 
-/// A broken promise, with the answer that shows it.
+/// A violation of a guarantee, with the answer that shows it.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// What.
-    pub broken: Broken,
+    /// The kind of the violation.
+    pub kind: ViolationKind,
     /// The answer.
     pub answer: Answer,
-    /// How long after the acknowledgement it was sent.
+    /// The time from the acknowledgement of the configuration to the request.
     pub after_ack: Duration,
-    /// How long after the last harm it was sent.
-    pub after_harm: Duration,
+    /// The time from the last fault of the router to the request.
+    pub after_fault: Duration,
 }
 
-/// What a run has seen so far.
+/// The observations of a run so far.
 #[derive(Debug)]
-pub struct Record {
-    /// When the last harm to each router ended; `None` while one lasts.
-    harmed: Vec<(u32, Instant)>,
-    /// The newest version that each router's present life has shown.
-    shown: Vec<u64>,
-    /// How often each router's process started anew.
-    lives: Vec<u64>,
+pub struct Observations {
+    /// For each router, the number of faults under way and when a fault last began or ended.
+    faults: Vec<(u32, Instant)>,
+    /// The newest configuration version that each router's current process has served.
+    newest_served: Vec<u64>,
+    /// How often each router's process was restarted.
+    restarts: Vec<u64>,
     acknowledged: HashMap<u64, Instant>,
-    /// Since when a life of a server must get nothing new.
-    ended: HashMap<usize, Instant>,
-    newest: u64,
-    /// Answers by status; 0 for none.
+    /// When each server incarnation ended or announced that it is leaving; it must receive no new requests afterwards.
+    ended_servers: HashMap<usize, Instant>,
+    newest_acknowledged: u64,
+    /// The number of probes by status of their answers; 0 for no answer.
     statuses: HashMap<u16, u64>,
     violations: Vec<Violation>,
 }
 
-impl Record {
-    /// Nothing has happened yet; all routers start now.
+impl Observations {
+    /// Creates the observations of a run whose routers all start now.
     pub fn new(routers: usize) -> Self {
         Self {
-            harmed: vec![(0, Instant::now()); routers],
-            shown: vec![0; routers],
-            lives: vec![0; routers],
+            faults: vec![(0, Instant::now()); routers],
+            newest_served: vec![0; routers],
+            restarts: vec![0; routers],
             acknowledged: HashMap::new(),
-            ended: HashMap::new(),
-            newest: 0,
+            ended_servers: HashMap::new(),
+            newest_acknowledged: 0,
             statuses: HashMap::new(),
             violations: Vec::new(),
         }
     }
 
-    /// Notes that the store has acknowledged a version.
+    /// Records that the store has acknowledged a configuration version.
     pub fn acknowledge(&mut self, version: u64) {
         self.acknowledged.insert(version, Instant::now());
-        self.newest = version;
+        self.newest_acknowledged = version;
     }
 
-    /// Notes that the store has acknowledged that a life of a server ended or leaves.
-    pub fn end_life(&mut self, life: usize) {
-        self.ended.entry(life).or_insert_with(Instant::now);
+    /// Records that the store has acknowledged that a server incarnation has ended or is leaving.
+    pub fn end_server_life(&mut self, life: usize) {
+        self.ended_servers.entry(life).or_insert_with(Instant::now);
     }
 
-    /// The newest version that was acknowledged; 0 before the first.
-    pub fn newest(&self) -> u64 {
-        self.newest
+    /// The newest configuration version that was acknowledged; 0 before the first.
+    pub fn newest_acknowledged(&self) -> u64 {
+        self.newest_acknowledged
     }
 
-    /// Notes that a harm to a router begins.
-    pub fn harm(&mut self, router: usize) {
-        self.harmed[router].0 += 1;
-        self.harmed[router].1 = Instant::now();
+    /// Records that a fault of a router begins.
+    pub fn begin_fault(&mut self, router: usize) {
+        self.faults[router].0 += 1;
+        self.faults[router].1 = Instant::now();
     }
 
-    /// Notes that a harm to a router ends.
-    pub fn heal(&mut self, router: usize) {
-        self.harmed[router].0 = self.harmed[router].0.saturating_sub(1);
-        self.harmed[router].1 = Instant::now();
+    /// Records that a fault of a router ends.
+    pub fn end_fault(&mut self, router: usize) {
+        self.faults[router].0 = self.faults[router].0.saturating_sub(1);
+        self.faults[router].1 = Instant::now();
     }
 
-    /// Notes that a router's process started anew.
-    pub fn restarted(&mut self, router: usize) {
-        self.shown[router] = 0;
-        self.lives[router] += 1;
+    /// Records that a router's process was restarted.
+    pub fn router_restarted(&mut self, router: usize) {
+        self.newest_served[router] = 0;
+        self.restarts[router] += 1;
     }
 
-    /// How often a router's process started anew.
-    pub fn life(&self, router: usize) -> u64 {
-        self.lives[router]
+    /// How often a router's process was restarted.
+    pub fn restarts(&self, router: usize) -> u64 {
+        self.restarts[router]
     }
 
-    /// Whether a router is bound by its promises now.
-    pub fn in_touch(&self, router: usize) -> bool {
-        let (harms, harmed) = self.harmed[router];
-        harms == 0 && harmed.elapsed() > IN_TOUCH
+    /// Whether a router has been without faults for long enough that its guarantees hold.
+    pub fn is_connected(&self, router: usize) -> bool {
+        let (active_faults, changed_at) = self.faults[router];
+        active_faults == 0 && changed_at.elapsed() > RECONNECTION_TIME
     }
 
-    /// Notes a promise that was broken by an answer which another judged.
-    pub fn break_promise(&mut self, broken: Broken, router: usize, sent: Instant) {
-        let answer = Answer { router, version: self.newest, sent, status: None, life: None };
-        let (after_ack, after_harm) = (Duration::ZERO, self.harmed[router].1.elapsed());
-        self.violations.push(Violation { broken, answer, after_ack, after_harm });
+    /// Records a violation that another client has found.
+    pub fn record_violation(&mut self, kind: ViolationKind, router: usize, sent: Instant) {
+        let answer =
+            Answer { router, version: self.newest_acknowledged, sent, status: None, life: None };
+        let (after_ack, after_fault) = (Duration::ZERO, self.faults[router].1.elapsed());
+        self.violations.push(Violation { kind, answer, after_ack, after_fault });
     }
 
-    /// Judges an answer.
-    pub fn take(&mut self, answer: Answer) {
+    /// Counts an answer and checks it against the guarantees.
+    pub fn check_answer(&mut self, answer: Answer) {
         *self.statuses.entry(answer.status.unwrap_or(0)).or_default() += 1;
-        let (harms, harmed) = self.harmed[answer.router];
-        let after_harm = answer.sent.saturating_duration_since(harmed);
+        let (active_faults, changed_at) = self.faults[answer.router];
+        let after_fault = answer.sent.saturating_duration_since(changed_at);
         let after_ack = match self.acknowledged.get(&answer.version) {
             Some(acknowledged) => answer.sent.saturating_duration_since(*acknowledged),
             None => Duration::ZERO,
         };
-        let in_touch = harms == 0 && after_harm > IN_TOUCH;
-        let shown = self.shown[answer.router];
-        let ended = answer.life.and_then(|life| self.ended.get(&life));
-        let long_ended =
-            ended.is_some_and(|ended| answer.sent.saturating_duration_since(*ended) > IN_FORCE);
-        let broken = match answer.status {
-            Some(200) if in_touch && long_ended => Some(Broken::EarlierLife),
-            Some(404) if shown >= answer.version => Some(Broken::Reverted),
-            Some(404) if in_touch && after_ack > IN_FORCE => Some(Broken::Stale),
+        let connected = active_faults == 0 && after_fault > RECONNECTION_TIME;
+        let newest_served = self.newest_served[answer.router];
+        let ended = answer.life.and_then(|life| self.ended_servers.get(&life));
+        let long_ended = ended.is_some_and(|ended| {
+            answer.sent.saturating_duration_since(*ended) > CONFIGURATION_DEADLINE
+        });
+        let kind = match answer.status {
+            Some(200) if connected && long_ended => Some(ViolationKind::EarlierLife),
+            Some(404) if newest_served >= answer.version => Some(ViolationKind::Reverted),
+            Some(404) if connected && after_ack > CONFIGURATION_DEADLINE => {
+                Some(ViolationKind::Stale)
+            }
             Some(200 | 404) => None,
-            _ if harms == 0 && after_harm > SERVES => Some(Broken::Unready),
+            _ if active_faults == 0 && after_fault > SERVING_DEADLINE => {
+                Some(ViolationKind::Unready)
+            }
             _ => None,
         };
         if answer.status == Some(200) {
-            self.shown[answer.router] = shown.max(answer.version);
+            self.newest_served[answer.router] = newest_served.max(answer.version);
         }
-        if let Some(broken) = broken {
-            self.violations.push(Violation { broken, answer, after_ack, after_harm });
+        if let Some(kind) = kind {
+            self.violations.push(Violation { kind, answer, after_ack, after_fault });
         }
     }
 
-    /// What was broken.
+    /// All violations so far.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
-    /// Answers by status, in order; 0 stands for none.
+    /// The number of probes by status of their answers, in order of the statuses; 0 stands for no answer.
     pub fn statuses(&self) -> Vec<(u16, u64)> {
         let mut statuses: Vec<(u16, u64)> = self.statuses.iter().map(|(k, v)| (*k, *v)).collect();
         statuses.sort_unstable();
--- a/soak/src/outspoken.rs
+++ b/soak/src/outspoken.rs
@@ -1,5 +1,5 @@
-//! Servers that say in their answers that they leave, or turn requests away and ask for a backoff, for a while each, and a
-//! client that sends to them through all routers in turn.
+//! Servers that for some time announce in their answers that they are leaving, or reject requests and request a backoff, and
+//! a client that sends requests to them through all routers in turn.
 
 use crate::{fleet, observe, prober, servers};
 use doorswitch_standins::replies::{Given, Replies, Reply};
@@ -12,33 +12,36 @@
 use std::time::{Duration, Instant};
 use std::{fmt, thread};
 
-/// Servers; the first one always serves.
+/// The number of servers; the first one serves all requests.
 const SERVERS: usize = 3;
-const SEND_EVERY: Duration = Duration::from_millis(25);
-/// An answer that takes longer counts as none.
-const ANSWER_MAX: Duration = Duration::from_millis(700);
-/// What a client sends later than this after its router passed on that a server leaves must not reach that server.
-const DRAIN: Duration = Duration::from_millis(2_000);
-/// Requests may still reach a server for so long after it asked for a backoff, and then so many of each router.
-const FREE: Duration = Duration::from_millis(500);
-const ALLOWED: usize = 2;
-/// For how long, in milliseconds, a server behaves in one way.
-const BEHAVES_FOR_MS: std::ops::Range<u64> = 2_000..8_000;
-/// When the first life of a server started, in Unix milliseconds.
+/// The time between two requests of the client.
+const SEND_INTERVAL: Duration = Duration::from_millis(25);
+/// The time after which a request counts as unanswered.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
+/// A request that is sent later than this after its router passed on the announcement of a leaving server must not reach
+/// that server.
+const LEAVING_GRACE: Duration = Duration::from_millis(2_000);
+/// The time after the request for a backoff during which any number of requests may still reach the server.
+const BACKOFF_GRACE: Duration = Duration::from_millis(500);
+/// The number of requests of each router that may reach the server during the rest of the backoff.
+const ALLOWED_IN_BACKOFF: usize = 2;
+/// How long a server keeps one kind of reply, in milliseconds.
+const REPLY_DURATION_MS: std::ops::Range<u64> = 2_000..8_000;
+/// The Unix millisecond before the start of the first server incarnation.
 const FIRST_START_MS: u64 = 1_799_000_000_000;
 
-/// What was seen of it.
+/// The results of the client.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
-    /// Requests, and how many of them were served.
+pub struct Summary {
+    /// The number of requests, and how many of them were served.
     pub requests: (usize, usize),
-    /// Answers that told a router that a server leaves, and requests that reached one too late.
+    /// The number of answers that announced a leaving server, and of requests that reached such a server too late.
     pub leaving: (usize, usize),
-    /// Backoffs that servers asked for, and the most requests that reached one from one router.
+    /// The number of backoffs that servers requested, and the most requests of one router that reached a server during one.
     pub backoffs: (usize, usize),
 }
 
-impl fmt::Display for Seen {
+impl fmt::Display for Summary {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (requests, served) = self.requests;
         let (leaving, late) = self.leaving;
@@ -51,13 +54,13 @@
     }
 }
 
-/// One life of a router.
-type RouterLife = (usize, u64);
+/// A router process: the index of the router and the number of its restarts.
+type RouterProcess = (usize, u64);
 
 /// A request of the client.
 #[derive(Clone, Copy, Debug)]
 struct Sent {
-    router: RouterLife,
+    router: RouterProcess,
     at: Instant,
     answered: Instant,
 }
@@ -65,14 +68,14 @@
 struct Server {
     backend: backend::Backend,
     replies: Replies,
-    changes: Instant,
-    leaves: bool,
-    /// When its lives began.
+    next_change: Instant,
+    is_leaving: bool,
+    /// When each incarnation of the server began.
     lives: Vec<Instant>,
 }
 
 impl Server {
-    /// Which of its lives it was in.
+    /// The number of the incarnation that ran at this time, counted from 1.
     fn life_at(&self, at: Instant) -> usize {
         self.lives.iter().filter(|began| **began <= at).count()
     }
@@ -85,12 +88,12 @@
     servers: Vec<Server>,
     rng: StdRng,
     sent: HashMap<String, Sent>,
-    seen: Seen,
+    summary: Summary,
 }
 
 fn script(replies: Replies) -> backend::Script {
-    Box::new(move |_, seen| {
-        let reply = replies.next(seen);
+    Box::new(move |_, request| {
+        let reply = replies.next(request);
         vec![backend::whole_with(reply.status, &reply.lines, "answer")]
     })
 }
@@ -101,130 +104,144 @@
     routers: Vec<SocketAddr>,
     shared: Arc<prober::Shared>,
     seed: u64,
-) -> Result<thread::JoinHandle<Seen>, fleet::Error> {
+) -> Result<thread::JoinHandle<Summary>, fleet::Error> {
     let rng = StdRng::seed_from_u64(seed ^ 0x5a1d);
-    let (sent, seen) = (HashMap::new(), Seen::default());
-    let mut client = Client { store, routers, shared, servers: Vec::new(), rng, sent, seen };
-    for place in 0..SERVERS {
+    let (sent, summary) = (HashMap::new(), Summary::default());
+    let mut client = Client { store, routers, shared, servers: Vec::new(), rng, sent, summary };
+    for index in 0..SERVERS {
         let replies = Replies::new(Reply::served(Duration::ZERO));
         let backend = servers::start(script(replies.clone()))?;
-        let changes = Instant::now();
-        let server = Server { backend, replies, changes, leaves: false, lives: Vec::new() };
+        let next_change = Instant::now();
+        let server = Server { backend, replies, next_change, is_leaving: false, lives: Vec::new() };
         client.servers.push(server);
-        client.begin_life(place);
+        client.start_life(index);
     }
     Ok(thread::spawn(move || client.run()))
 }
 
 impl Client {
-    fn run(mut self) -> Seen {
+    fn run(mut self) -> Summary {
         let mut number = 0;
         while !self.shared.ended() {
             let sent = Instant::now();
-            (1..SERVERS).for_each(|place| self.change(place, sent));
+            (1..SERVERS).for_each(|index| self.change_reply(index, sent));
             self.send(number % self.routers.len(), number);
             number += 1;
-            thread::sleep(SEND_EVERY.saturating_sub(sent.elapsed()));
+            thread::sleep(SEND_INTERVAL.saturating_sub(sent.elapsed()));
         }
-        for place in 0..SERVERS {
-            self.judge_leaving(place);
-            self.judge_backoffs(place);
+        for index in 0..SERVERS {
+            self.check_leaving(index);
+            self.check_backoffs(index);
         }
-        self.seen
+        self.summary
     }
 
-    fn begin_life(&mut self, place: usize) {
-        let server = &mut self.servers[place];
+    fn start_life(&mut self, index: usize) {
+        let server = &mut self.servers[index];
         server.replies.set(Reply::served(Duration::ZERO));
-        server.leaves = false;
+        server.is_leaving = false;
         server.lives.push(Instant::now());
         let started_ms = FIRST_START_MS + server.lives.len() as u64;
-        let name = format!("i-outspoken-{place}");
+        let name = format!("i-outspoken-{index}");
         let service = fleet::OUTSPOKEN_SERVICE;
         servers::record(&self.store, service, &name, &server.backend, started_ms);
     }
 
-    /// Lets a server behave otherwise, if it is time; after a life that left comes the next.
-    fn change(&mut self, place: usize, now: Instant) {
-        if now < self.servers[place].changes {
+    /// Changes the reply of a server if a change is due. A server that announced that it is leaving restarts first.
+    fn change_reply(&mut self, index: usize, now: Instant) {
+        if now < self.servers[index].next_change {
             return;
         }
-        if self.servers[place].leaves {
-            self.begin_life(place);
+        if self.servers[index].is_leaving {
+            self.start_life(index);
         }
         let backoff_s = self.rng.random_range(0.2..5.0);
-        let serves = Reply::served(Duration::ZERO);
+        let served = Reply::served(Duration::ZERO);
         let reply = match self.rng.random_range(0..4) {
-            0 => serves,
-            1 => serves.with(backend::LEAVING_LINE),
+            0 => served,
+            1 => served.with(backend::LEAVING_LINE),
             _ => Reply::turned_away(&backend::retry_after_line(&format!("{backoff_s:.2}"))),
         };
-        let server = &mut self.servers[place];
-        server.leaves = reply.lines.contains(backend::LEAVING_LINE);
+        let server = &mut self.servers[index];
+        server.is_leaving = reply.lines.contains(backend::LEAVING_LINE);
         server.replies.set(reply);
-        server.changes = now + Duration::from_millis(self.rng.random_range(BEHAVES_FOR_MS));
+        server.next_change = now + Duration::from_millis(self.rng.random_range(REPLY_DURATION_MS));
     }
 
     fn send(&mut self, router: usize, number: usize) {
         let id = format!("outspoken-{number}");
         let at = Instant::now();
-        let (in_touch, life) = {
-            let record = self.shared.record();
-            (record.in_touch(router), record.life(router))
+        let (connected, restarts) = {
+            let observations = self.shared.observations();
+            (observations.is_connected(router), observations.restarts(router))
         };
         let path = format!("{}x", fleet::OUTSPOKEN_PATH);
-        let answer = wire::get(self.routers[router], fleet::HOST, &path, &id, ANSWER_MAX).ok();
+        let answer = wire::get(self.routers[router], fleet::HOST, &path, &id, ANSWER_TIMEOUT).ok();
         let answered = Instant::now();
-        self.sent.insert(id, Sent { router: (router, life), at, answered });
-        let lacks = |body: &str| body.contains("\"backoff\"") || body.contains("\"no_server\"");
-        if in_touch && answer.as_ref().is_some_and(|answer| lacks(&answer.body)) {
-            // The first server takes all that comes.
-            self.shared.record().break_promise(observe::Broken::RefusedBesideFree, router, at);
+        self.sent.insert(id, Sent { router: (router, restarts), at, answered });
+        let is_unavailable =
+            |body: &str| body.contains("\"backoff\"") || body.contains("\"no_server\"");
+        if connected && answer.as_ref().is_some_and(|answer| is_unavailable(&answer.body)) {
+            // The first server accepts all requests.
+            self.shared.observations().record_violation(
+                observe::ViolationKind::RefusedBesideFree,
+                router,
+                at,
+            );
         }
-        self.seen.requests.0 += 1;
-        self.seen.requests.1 += usize::from(answer.is_some_and(|answer| answer.status == 200));
+        self.summary.requests.0 += 1;
+        self.summary.requests.1 += usize::from(answer.is_some_and(|answer| answer.status == 200));
     }
 
-    /// What a server replied, with the requests that it replied to.
-    fn given(&self, place: usize) -> Vec<(Given, Sent)> {
-        let given = self.servers[place].replies.given().into_iter();
-        given.filter_map(|one| Some((one.clone(), *self.sent.get(&one.id)?))).collect()
+    /// All replies of a server, each with its request.
+    fn replies_with_requests(&self, index: usize) -> Vec<(Given, Sent)> {
+        let replies = self.servers[index].replies.given().into_iter();
+        replies.filter_map(|reply| Some((reply.clone(), *self.sent.get(&reply.id)?))).collect()
     }
 
-    fn judge_leaving(&mut self, place: usize) {
-        let mut told: HashMap<(RouterLife, usize), Instant> = HashMap::new();
-        for (given, sent) in self.given(place) {
-            let key = (sent.router, self.servers[place].life_at(given.at));
-            if told.get(&key).is_some_and(|told| sent.at > *told + DRAIN) {
-                self.seen.leaving.1 += 1;
-                let broken = observe::Broken::SentToLeaving;
-                self.shared.record().break_promise(broken, sent.router.0, sent.at);
+    fn check_leaving(&mut self, index: usize) {
+        let mut announced: HashMap<(RouterProcess, usize), Instant> = HashMap::new();
+        for (given, sent) in self.replies_with_requests(index) {
+            let key = (sent.router, self.servers[index].life_at(given.at));
+            if announced
+                .get(&key)
+                .is_some_and(|announced_at| sent.at > *announced_at + LEAVING_GRACE)
+            {
+                self.summary.leaving.1 += 1;
+                let kind = observe::ViolationKind::SentToLeaving;
+                self.shared.observations().record_violation(kind, sent.router.0, sent.at);
             }
             if given.reply.lines.contains(backend::LEAVING_LINE) {
-                told.entry(key).or_insert(sent.answered);
-                self.seen.leaving.0 += 1;
+                announced.entry(key).or_insert(sent.answered);
+                self.summary.leaving.0 += 1;
             }
         }
     }
 
-    fn judge_backoffs(&mut self, place: usize) {
-        let given = self.given(place);
-        let server = &self.servers[place];
-        for (asked, by) in &given {
-            let line = asked.reply.lines.lines().find_map(|it| it.strip_prefix("Retry-After: "));
-            let Some(backoff_s) = line.and_then(|value| value.parse().ok()) else { continue };
-            let span = asked.at + FREE..asked.at + Duration::from_secs_f64(backoff_s);
-            let life = server.life_at(asked.at);
-            let within = |(one, sent): &&(Given, Sent)| {
-                let same = sent.router == by.router && server.life_at(one.at) == life;
-                same && span.contains(&one.at)
+    fn check_backoffs(&mut self, index: usize) {
+        let replies = self.replies_with_requests(index);
+        let server = &self.servers[index];
+        for (backoff_reply, request) in &replies {
+            let value = backoff_reply
+                .reply
+                .lines
+                .lines()
+                .find_map(|line| line.strip_prefix("Retry-After: "));
+            let Some(backoff_s) = value.and_then(|value| value.parse().ok()) else { continue };
+            let backoff_period = backoff_reply.at + BACKOFF_GRACE
+                ..backoff_reply.at + Duration::from_secs_f64(backoff_s);
+            let life = server.life_at(backoff_reply.at);
+            let in_backoff = |(reply, sent): &&(Given, Sent)| {
+                let same_processes =
+                    sent.router == request.router && server.life_at(reply.at) == life;
+                same_processes && backoff_period.contains(&reply.at)
             };
-            let reached = given.iter().filter(within).count();
-            self.seen.backoffs.0 += 1;
-            self.seen.backoffs.1 = self.seen.backoffs.1.max(reached);
-            if reached > ALLOWED {
-                let broken = observe::Broken::SentInBackoff;
-                self.shared.record().break_promise(broken, by.router.0, by.at);
+            let reached = replies.iter().filter(in_backoff).count();
+            self.summary.backoffs.0 += 1;
+            self.summary.backoffs.1 = self.summary.backoffs.1.max(reached);
+            if reached > ALLOWED_IN_BACKOFF {
+                let kind = observe::ViolationKind::SentInBackoff;
+                self.shared.observations().record_violation(kind, request.router.0, request.at);
             }
         }
     }
--- a/soak/src/poison.rs
+++ b/soak/src/poison.rs
@@ -1,4 +1,4 @@
-//! A client that sends a request again and again that crashes each server which runs it, and an innocent one beside it.
+//! A client that alternates between a poison request, which crashes every server that executes it, and a harmless request.
 
 use crate::{fleet, observe, prober, servers};
 use doorswitch_standins::{backend, store, wire};
@@ -7,39 +7,40 @@
 use std::time::{Duration, Instant};
 use std::{fmt, thread};
 
-/// Servers that it may crash.
+/// The number of servers that the poison request may crash.
 const SERVERS: usize = 5;
-/// A crashed server starts again after this time, and its record then tells a later start.
-const DOWN: Duration = Duration::from_millis(1_500);
-/// When the first life of a server started, in Unix milliseconds.
+/// The time after a crash until the server restarts. Its record then contains a later start time.
+const RESTART_DELAY: Duration = Duration::from_millis(1_500);
+/// The Unix millisecond before the start of the first server incarnation.
 const FIRST_START_MS: u64 = 1_797_000_000_000;
-/// The time between two sends, of the poison request and of the innocent one in turn.
-const SEND_EVERY: Duration = Duration::from_millis(150);
-/// An answer that takes longer counts as none.
-const ANSWER_MAX: Duration = Duration::from_millis(1_500);
-/// Crashes after which the request must be kept from servers, and the time until that is known everywhere.
-const CRASHES: usize = 3;
-const KNOWN: Duration = Duration::from_millis(3_000);
-/// Sends later than that which are allowed.
-const LATE_SENDS: usize = 3;
+/// The time between two requests, which are poison and harmless in turn.
+const SEND_INTERVAL: Duration = Duration::from_millis(150);
+/// The time after which a request counts as unanswered.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// The number of crashes after which the poison request must be quarantined.
+const CRASHES_UNTIL_QUARANTINE: usize = 3;
+/// The time until all routers have received the quarantine.
+const QUARANTINE_PROPAGATION_TIME: Duration = Duration::from_millis(3_000);
+/// The number of later requests that may still reach a server.
+const LATE_SENDS_ALLOWED: usize = 3;
 
-/// What was seen of it.
+/// The results of the client.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
-    /// Crashes of servers.
+pub struct Summary {
+    /// The number of server crashes.
     pub crashes: usize,
-    /// Sends by routers in touch, long after the third crash.
+    /// The number of poison requests that connected routers sent to servers long after the third crash.
     pub late_sends: usize,
-    /// Innocent requests, and how many of them were served.
-    pub innocent: (usize, usize),
+    /// The number of harmless requests, and how many of them were served.
+    pub harmless: (usize, usize),
 }
 
-impl fmt::Display for Seen {
+impl fmt::Display for Summary {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (innocent, served) = self.innocent;
+        let (harmless, served) = self.harmless;
         write!(
             out,
-            "crashes={} late_sends={} innocent={innocent} innocent_served={served}",
+            "crashes={} late_sends={} innocent={harmless} innocent_served={served}",
             self.crashes, self.late_sends
         )
     }
@@ -50,10 +51,10 @@
     routers: Vec<SocketAddr>,
     shared: Arc<prober::Shared>,
     servers: Vec<backend::Backend>,
-    /// The start that each server's record tells, counted from 1.
+    /// The number of the start, counted from 1, that each server's record contains.
     recorded: Vec<usize>,
     third_crash: Option<Instant>,
-    seen: Seen,
+    summary: Summary,
 }
 
 /// Starts the servers and the client.
@@ -61,24 +62,25 @@
     store: Arc<store::Store>,
     routers: Vec<SocketAddr>,
     shared: Arc<prober::Shared>,
-) -> Result<thread::JoinHandle<Seen>, fleet::Error> {
+) -> Result<thread::JoinHandle<Summary>, fleet::Error> {
     let script = || -> backend::Script {
-        Box::new(|_, seen| match seen.line.contains("poison") {
-            true => vec![backend::Step::Crash(DOWN)],
+        Box::new(|_, request| match request.line.contains("poison") {
+            true => vec![backend::Step::Crash(RESTART_DELAY)],
             false => vec![backend::whole("200 OK", "answer")],
         })
     };
     let servers: Result<Vec<_>, _> = (0..SERVERS).map(|_| servers::start(script())).collect();
     let servers = servers?;
     let recorded = vec![0; SERVERS];
-    let seen = Seen::default();
-    let mut client = Client { store, routers, shared, servers, recorded, third_crash: None, seen };
+    let summary = Summary::default();
+    let mut client =
+        Client { store, routers, shared, servers, recorded, third_crash: None, summary };
     client.record_servers();
     Ok(thread::spawn(move || client.run()))
 }
 
 impl Client {
-    fn run(mut self) -> Seen {
+    fn run(mut self) -> Summary {
         let mut number = 0;
         while !self.shared.ended() {
             let sent = Instant::now();
@@ -86,20 +88,20 @@
             let router = number % self.routers.len();
             match number % 2 {
                 0 => self.send_poison(router, number),
-                _ => self.send_innocent(router, number),
+                _ => self.send_harmless(router, number),
             }
             number += 1;
-            thread::sleep(SEND_EVERY.saturating_sub(sent.elapsed()));
+            thread::sleep(SEND_INTERVAL.saturating_sub(sent.elapsed()));
         }
-        self.seen
+        self.summary
     }
 
     fn record_servers(&mut self) {
-        for (place, server) in self.servers.iter().enumerate() {
+        for (index, server) in self.servers.iter().enumerate() {
             let starts = server.starts();
-            if self.recorded[place] < starts {
-                self.recorded[place] = starts;
-                let name = format!("i-fragile-{place}");
+            if self.recorded[index] < starts {
+                self.recorded[index] = starts;
+                let name = format!("i-fragile-{index}");
                 let started_ms = FIRST_START_MS + starts as u64;
                 let service = fleet::FRAGILE_SERVICE;
                 servers::record(&self.store, service, &name, server, started_ms);
@@ -107,46 +109,55 @@
         }
     }
 
-    fn arrivals(&self) -> usize {
+    fn poison_arrivals(&self) -> usize {
         let poison = |server: &backend::Backend| {
-            server.seen().iter().filter(|seen| seen.line.contains("poison")).count()
+            server.seen().iter().filter(|request| request.line.contains("poison")).count()
         };
         self.servers.iter().map(poison).sum()
     }
 
-    fn ask(&self, router: usize, what: &str, number: usize) -> Option<wire::Answer> {
+    fn send(&self, router: usize, what: &str, number: usize) -> Option<wire::Answer> {
         let path = format!("{}{what}", fleet::FRAGILE_PATH);
         let id = format!("{what}-{number}");
-        wire::get(self.routers[router], fleet::HOST, &path, &id, ANSWER_MAX).ok()
+        wire::get(self.routers[router], fleet::HOST, &path, &id, ANSWER_TIMEOUT).ok()
     }
 
     fn send_poison(&mut self, router: usize, number: usize) {
         let sent = Instant::now();
-        let in_touch = self.shared.record().in_touch(router);
-        let before = self.arrivals();
-        self.ask(router, "poison", number);
-        let reached = self.arrivals() > before;
-        let late = self.third_crash.is_some_and(|at| sent > at + KNOWN);
-        if reached && late && in_touch {
-            self.seen.late_sends += 1;
-            if self.seen.late_sends > LATE_SENDS {
-                self.shared.record().break_promise(observe::Broken::PoisonSent, router, sent);
+        let connected = self.shared.observations().is_connected(router);
+        let before = self.poison_arrivals();
+        self.send(router, "poison", number);
+        let reached = self.poison_arrivals() > before;
+        let late = self.third_crash.is_some_and(|at| sent > at + QUARANTINE_PROPAGATION_TIME);
+        if reached && late && connected {
+            self.summary.late_sends += 1;
+            if self.summary.late_sends > LATE_SENDS_ALLOWED {
+                self.shared.observations().record_violation(
+                    observe::ViolationKind::PoisonSent,
+                    router,
+                    sent,
+                );
             }
         }
-        self.seen.crashes = self.servers.iter().map(|server| server.crashes().len()).sum();
-        if self.seen.crashes >= CRASHES {
+        self.summary.crashes = self.servers.iter().map(|server| server.crashes().len()).sum();
+        if self.summary.crashes >= CRASHES_UNTIL_QUARANTINE {
             self.third_crash.get_or_insert_with(Instant::now);
         }
     }
 
-    fn send_innocent(&mut self, router: usize, number: usize) {
+    fn send_harmless(&mut self, router: usize, number: usize) {
         let sent = Instant::now();
-        let answer = self.ask(router, "innocent", number);
-        let kept = answer.as_ref().is_some_and(|answer| answer.body.contains("\"quarantined\""));
-        if kept {
-            self.shared.record().break_promise(observe::Broken::InnocentKept, router, sent);
+        let answer = self.send(router, "innocent", number);
+        let quarantined =
+            answer.as_ref().is_some_and(|answer| answer.body.contains("\"quarantined\""));
+        if quarantined {
+            self.shared.observations().record_violation(
+                observe::ViolationKind::InnocentKept,
+                router,
+                sent,
+            );
         }
-        let (sends, served) = &mut self.seen.innocent;
+        let (sends, served) = &mut self.summary.harmless;
         *sends += 1;
         *served += usize::from(answer.is_some_and(|answer| answer.status == 200));
     }
--- a/soak/src/prober.rs
+++ b/soak/src/prober.rs
@@ -1,4 +1,4 @@
-//! A client that asks one router, again and again, for a route that only the newest configuration has.
+//! A client that repeatedly requests from one router a route that exists only in the newest configuration.
 
 use crate::{fleet, observe};
 use doorswitch_standins::wire;
@@ -8,27 +8,27 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The time between two questions.
-const ASK_EVERY: Duration = Duration::from_millis(50);
-/// An answer that takes longer counts as none.
-const ANSWER_MAX: Duration = Duration::from_millis(1_500);
+/// The time between two requests of a prober.
+const PROBE_INTERVAL: Duration = Duration::from_millis(50);
+/// The time after which a request counts as unanswered.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// What the probers and the run share.
+/// The state that the run shares with its probers and other clients.
 #[derive(Debug)]
 pub struct Shared {
-    record: Mutex<observe::Record>,
+    observations: Mutex<observe::Observations>,
     ended: AtomicBool,
 }
 
 impl Shared {
-    /// For a run that begins.
-    pub fn new(record: observe::Record) -> Arc<Self> {
-        Arc::new(Self { record: Mutex::new(record), ended: AtomicBool::new(false) })
+    /// Creates the state of a run that begins.
+    pub fn new(observations: observe::Observations) -> Arc<Self> {
+        Arc::new(Self { observations: Mutex::new(observations), ended: AtomicBool::new(false) })
     }
 
-    /// The record.
-    pub fn record(&self) -> MutexGuard<'_, observe::Record> {
-        self.record.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Locks and returns the observations of the run.
+    pub fn observations(&self) -> MutexGuard<'_, observe::Observations> {
+        self.observations.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Whether the run has ended.
@@ -36,7 +36,7 @@
         self.ended.load(Ordering::Relaxed)
     }
 
-    /// Ends the probers.
+    /// Stops the probers and the other clients.
     pub fn end(&self) {
         self.ended.store(true, Ordering::Relaxed);
     }
@@ -45,22 +45,34 @@
 /// Starts the prober of a router.
 pub fn start(router: usize, address: SocketAddr, shared: Arc<Shared>) -> thread::JoinHandle<()> {
     thread::spawn(move || {
-        let mut asked = 0;
+        let mut probes = 0;
         while !shared.ended.load(Ordering::Relaxed) {
-            let version = shared.record().newest();
+            let version = shared.observations().newest_acknowledged();
             let sent = Instant::now();
-            asked += 1;
+            probes += 1;
             let answer = {
                 let path = format!("{}x", fleet::added_path(version));
-                wire::get(address, fleet::HOST, &path, &format!("{router}-{asked}"), ANSWER_MAX)
-                    .ok()
+                wire::get(
+                    address,
+                    fleet::HOST,
+                    &path,
+                    &format!("{router}-{probes}"),
+                    ANSWER_TIMEOUT,
+                )
+                .ok()
             };
             let (status, life) = match answer {
                 Some(answer) => (Some(answer.status), answer.body.parse().ok()),
                 None => (None, None),
             };
-            shared.record().take(observe::Answer { router, version, sent, status, life });
-            thread::sleep(ASK_EVERY.saturating_sub(sent.elapsed()));
+            shared.observations().check_answer(observe::Answer {
+                router,
+                version,
+                sent,
+                status,
+                life,
+            });
+            thread::sleep(PROBE_INTERVAL.saturating_sub(sent.elapsed()));
         }
     })
 }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! Carries a schedule out and tells what was seen.
+//! Runs a schedule against a fleet and reports the results.
 
 use crate::{fleet, limited, observe, outspoken, poison, prober, schedule};
 use doorswitch_standins::{network, store};
@@ -12,85 +12,85 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What one run is made of.
+/// The options of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The routers' program.
+    /// The program of the routers.
     pub binary: PathBuf,
-    /// Where settings and logs lie.
+    /// The folder for settings and logs.
     pub folder: PathBuf,
-    /// How many routers there are.
+    /// The number of routers.
     pub routers: usize,
-    /// Tells the fleet's loopback addresses from those of others on this machine.
+    /// The second and third byte of the fleet's loopback addresses, which keep it apart from other fleets on this machine.
     pub net: [u8; 2],
-    /// Draws the order in which processes start.
+    /// The seed of the order in which processes start.
     pub seed: u64,
 }
 
-/// What a run has seen.
+/// The results of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// Broken promises.
+    /// All violations of guarantees.
     pub violations: Vec<observe::Violation>,
-    /// Answers by status; 0 stands for none.
+    /// The number of probes by status of their answers; 0 stands for no answer.
     pub statuses: Vec<(u16, u64)>,
     /// When the run began.
     pub began: Instant,
-    /// Routers whose processes ended by themselves.
+    /// Routers whose processes ended unexpectedly.
     pub ended: Vec<usize>,
-    /// What the request did that crashes servers.
-    pub poison: poison::Seen,
-    /// What servers got that name how many requests they take.
-    pub limited: limited::Seen,
-    /// What servers got that say that they leave, or ask for a backoff.
-    pub outspoken: outspoken::Seen,
+    /// Results of the requests that crash servers.
+    pub poison: poison::Summary,
+    /// Results of the servers that announce rate limits.
+    pub limited: limited::Summary,
+    /// Results of the servers that announce that they are leaving, or request backoffs.
+    pub outspoken: outspoken::Summary,
 }
 
-/// A moment of a run.
-enum Moment {
-    /// Takes the backup that this step restores.
-    BacksUp(usize),
-    /// Restores the backup of this step.
-    Restores(usize, schedule::Action),
-    Begins(schedule::Action),
-    Ends(schedule::Action),
+/// A timed event of a run.
+enum Event {
+    /// Takes the backup that the step of this number restores.
+    TakeBackup(usize),
+    /// Restores the backup of the step of this number.
+    RestoreBackup(usize, schedule::Action),
+    BeginAction(schedule::Action),
+    EndAction(schedule::Action),
 }
 
 struct Run {
     fleet: fleet::Fleet,
-    /// The present life of the second server.
-    second: usize,
+    /// The number of the current incarnation of the second server.
+    second_server_life: usize,
     shared: Arc<prober::Shared>,
     /// Backups by the numbers of the steps that restore them.
     backups: HashMap<usize, store::Backup>,
-    /// The store's state before and after the latest restore, until the lost writes are repeated.
+    /// The store's state before and after the latest restore, kept until the lost writes are repeated.
     pending_rewrite: Option<(store::Backup, store::Backup)>,
     rng: StdRng,
 }
 
-/// Starts a fleet, carries a schedule out and ends the fleet.
+/// Starts a fleet, runs a schedule against it and stops the fleet.
 pub fn run(options: &Options, schedule: &schedule::Schedule) -> Result<Report, fleet::Error> {
     let Options { binary, folder, routers, net, seed } = options;
     let mut fleet = fleet::Fleet::prepare(binary, folder, *routers, *net)?;
-    let shared = prober::Shared::new(observe::Record::new(*routers));
+    let shared = prober::Shared::new(observe::Observations::new(*routers));
     let version = fleet.publish();
-    shared.record().acknowledge(version);
-    // The servers' first lives have the numbers 0 and 1.
+    shared.observations().acknowledge(version);
+    // The first incarnations of the servers have the numbers 0 and 1.
     let rng = StdRng::seed_from_u64(*seed);
     let backups = HashMap::new();
-    let mut run = Run { fleet, second: 1, shared, backups, pending_rewrite: None, rng };
+    let mut run = Run { fleet, second_server_life: 1, shared, backups, pending_rewrite: None, rng };
     run.start_all()?;
     let probers: Vec<thread::JoinHandle<()>> = (0..*routers)
-        .map(|place| prober::start(place, run.fleet.clients_address(place), run.shared.clone()))
+        .map(|index| prober::start(index, run.fleet.clients_address(index), run.shared.clone()))
         .collect();
     let store = run.fleet.store().clone();
     let clients: Vec<SocketAddr> =
-        (0..*routers).map(|place| run.fleet.clients_address(place)).collect();
+        (0..*routers).map(|index| run.fleet.clients_address(index)).collect();
     let limited = limited::start(&store, clients.clone(), run.shared.clone(), *seed)?;
     let outspoken = outspoken::start(store.clone(), clients.clone(), run.shared.clone(), *seed)?;
     let poison = poison::start(store, clients, run.shared.clone())?;
     let began = Instant::now();
-    let carried_out = run.carry_out(schedule, began);
+    let executed = run.execute(schedule, began);
     run.shared.end();
     for prober in probers {
         let _ = prober.join();
@@ -98,12 +98,12 @@
     let poison = poison.join().unwrap_or_default();
     let limited = limited.join().unwrap_or_default();
     let outspoken = outspoken.join().unwrap_or_default();
-    let ended = run.fleet.ended_by_itself().into_iter().collect();
-    carried_out?;
-    let record = run.shared.record();
+    let ended = run.fleet.unexpectedly_ended().into_iter().collect();
+    executed?;
+    let observations = run.shared.observations();
     Ok(Report {
-        violations: record.violations().to_vec(),
-        statuses: record.statuses(),
+        violations: observations.violations().to_vec(),
+        statuses: observations.statuses(),
         began,
         ended,
         poison,
@@ -113,61 +113,61 @@
 }
 
 impl Run {
-    fn carry_out(
+    fn execute(
         &mut self,
         schedule: &schedule::Schedule,
         began: Instant,
     ) -> Result<(), fleet::Error> {
-        let mut moments: Vec<(u64, Moment)> = Vec::new();
+        let mut events: Vec<(u64, Event)> = Vec::new();
         for step in &schedule.steps {
-            let lasts_ms = step.action.lasts_ms();
+            let duration_ms = step.action.duration_ms();
             if let schedule::Action::StoreRestored { backup_age_ms, outage_ms, .. } = &step.action {
                 let backed_up_ms = step.at_ms.saturating_sub(*backup_age_ms);
-                moments.push((backed_up_ms, Moment::BacksUp(step.number)));
+                events.push((backed_up_ms, Event::TakeBackup(step.number)));
                 let action = step.action.clone();
-                moments.push((step.at_ms + outage_ms, Moment::Restores(step.number, action)));
+                events.push((step.at_ms + outage_ms, Event::RestoreBackup(step.number, action)));
             }
-            moments.push((step.at_ms, Moment::Begins(step.action.clone())));
-            moments.push((step.at_ms + lasts_ms, Moment::Ends(step.action.clone())));
+            events.push((step.at_ms, Event::BeginAction(step.action.clone())));
+            events.push((step.at_ms + duration_ms, Event::EndAction(step.action.clone())));
         }
-        // Stable: what begins and ends at once keeps its order.
-        moments.sort_by_key(|(at_ms, _)| *at_ms);
-        for (at_ms, moment) in moments {
+        // The sort is stable, so that an action without duration begins before it ends.
+        events.sort_by_key(|(at_ms, _)| *at_ms);
+        for (at_ms, event) in events {
             wait_until(began + Duration::from_millis(at_ms));
-            match moment {
-                Moment::BacksUp(number) => {
+            match event {
+                Event::TakeBackup(number) => {
                     self.backups.insert(number, self.fleet.store().back_up());
                 }
-                Moment::Restores(number, action) => self.restore(number, &action),
-                Moment::Begins(action) => self.begin(&action)?,
-                Moment::Ends(action) => self.end(&action)?,
+                Event::RestoreBackup(number, action) => self.restore(number, &action),
+                Event::BeginAction(action) => self.begin(&action)?,
+                Event::EndAction(action) => self.end(&action)?,
             }
         }
         wait_until(began + Duration::from_millis(schedule.ends_ms));
         Ok(())
     }
 
-    fn harm(&self, routers: &[usize]) {
-        routers.iter().for_each(|place| self.shared.record().harm(*place));
+    fn begin_fault(&self, routers: &[usize]) {
+        routers.iter().for_each(|index| self.shared.observations().begin_fault(*index));
     }
 
-    fn heal(&self, routers: &[usize]) {
-        routers.iter().for_each(|place| self.shared.record().heal(*place));
+    fn end_fault(&self, routers: &[usize]) {
+        routers.iter().for_each(|index| self.shared.observations().end_fault(*index));
     }
 
-    fn all(&self) -> Vec<usize> {
+    fn all_routers(&self) -> Vec<usize> {
         (0..self.fleet.routers()).collect()
     }
 
     fn start_all(&mut self) -> Result<(), fleet::Error> {
-        let mut order = self.all();
+        let mut order = self.all_routers();
         order.shuffle(&mut self.rng);
         self.fleet.start_all(&order)
     }
 
     fn publish(&mut self) {
         let version = self.fleet.publish();
-        self.shared.record().acknowledge(version);
+        self.shared.observations().acknowledge(version);
     }
 
     fn begin(&mut self, action: &schedule::Action) -> Result<(), fleet::Error> {
@@ -175,84 +175,84 @@
         match action {
             Action::Publish => self.publish(),
             Action::StoreRefuses { .. } | Action::StoreRestored { .. } => {
-                self.harm(&self.all());
+                self.begin_fault(&self.all_routers());
                 self.fleet.store().set_mode(store::Mode::Down);
             }
             Action::StoreSilent { .. } => {
-                self.harm(&self.all());
+                self.begin_fault(&self.all_routers());
                 self.fleet.store().leave_open_watches_unanswered();
                 self.fleet.store().set_mode(store::Mode::Silent);
             }
             Action::StoreLeavesWatchesUnanswered => {
-                self.harm(&self.all());
+                self.begin_fault(&self.all_routers());
                 self.fleet.store().leave_open_watches_unanswered();
             }
             Action::StoreForgets => self.fleet.store().forget(),
             Action::StoreDeaf { .. } => {
-                self.harm(&self.all());
+                self.begin_fault(&self.all_routers());
                 self.fleet.store().go_deaf();
             }
             Action::BadEntries => self.fleet.put_bad_entries(),
             Action::ServerRestarts => {
-                let ended = self.second;
-                self.second = self.fleet.start_server(fleet::SECOND_SERVER)?;
-                self.shared.record().end_life(ended);
+                let ended = self.second_server_life;
+                self.second_server_life = self.fleet.start_server(fleet::SECOND_SERVER)?;
+                self.shared.observations().end_server_life(ended);
             }
             Action::ServerLeaves => {
-                self.fleet.record_server(fleet::SECOND_SERVER, self.second, "draining");
-                self.shared.record().end_life(self.second);
+                self.fleet.record_server(fleet::SECOND_SERVER, self.second_server_life, "draining");
+                self.shared.observations().end_server_life(self.second_server_life);
             }
             Action::ServerRecordSpoilt => {
-                self.fleet.spoil_record(fleet::SECOND_SERVER);
-                self.shared.record().end_life(self.second);
+                self.fleet.corrupt_record(fleet::SECOND_SERVER);
+                self.shared.observations().end_server_life(self.second_server_life);
             }
             Action::StoreLinksDie { routers, dead } => {
-                self.harm(routers);
-                for place in routers {
-                    kill_links(self.fleet.store_network(*place), *dead);
+                self.begin_fault(routers);
+                for index in routers {
+                    fail_connections(self.fleet.store_network(*index), *dead);
                 }
             }
             Action::StoreCut { routers, .. } => {
-                self.harm(routers);
+                self.begin_fault(routers);
                 self.change_store_network(routers, |faults| faults.cut_all = true);
             }
             Action::StoreStalls { routers, .. } => {
-                self.harm(routers);
+                self.begin_fault(routers);
                 self.change_store_network(routers, |faults| faults.stalled = true);
             }
             Action::StoreSlow { routers, delay_ms, .. } => {
-                self.harm(routers);
+                self.begin_fault(routers);
                 self.change_store_network(routers, |faults| faults.delay_ms = *delay_ms);
             }
             Action::PeerLinksDie { routers, dead } => {
-                self.harm(routers);
-                for place in routers {
-                    kill_links(self.fleet.peer_network(*place), *dead);
+                self.begin_fault(routers);
+                for index in routers {
+                    fail_connections(self.fleet.peer_network(*index), *dead);
                 }
             }
             Action::PeersCut { routers, .. } => {
-                self.harm(routers);
+                self.begin_fault(routers);
                 self.change_peer_network(routers, |faults| faults.cut_all = true);
             }
             Action::DatagramsLost { routers, percent, .. } => {
-                self.harm(routers);
+                self.begin_fault(routers);
                 self.change_peer_network(routers, |faults| {
                     faults.lose_datagrams_percent = *percent;
                 });
             }
             Action::Freeze { routers, .. } => {
-                self.harm(routers);
-                for place in routers {
-                    self.fleet.signal(*place, "STOP")?;
+                self.begin_fault(routers);
+                for index in routers {
+                    self.fleet.signal(*index, "STOP")?;
                 }
             }
             Action::Kill { routers, .. } => {
-                self.harm(routers);
-                for place in routers {
-                    self.fleet.kill(*place)?;
+                self.begin_fault(routers);
+                for index in routers {
+                    self.fleet.kill(*index)?;
                 }
             }
-            Action::LoseAll { silent, .. } => self.lose_all(*silent)?,
+            Action::LoseAll { silent, .. } => self.kill_all(*silent)?,
         }
         Ok(())
     }
@@ -270,7 +270,7 @@
         let store = self.fleet.store();
         let before = store.back_up();
         store.restore(&backup, watches);
-        // Lost writes of an earlier restore that were not repeated yet are repeated with those of this one.
+        // Lost writes of an earlier restore that have not been repeated yet are repeated with those of this restore.
         let before = self
             .pending_rewrite
             .take()
@@ -290,16 +290,16 @@
     }
 
     /// Kills every router just after a configuration was acknowledged.
-    fn lose_all(&mut self, silent: bool) -> Result<(), fleet::Error> {
-        self.harm(&self.all());
+    fn kill_all(&mut self, silent: bool) -> Result<(), fleet::Error> {
+        self.begin_fault(&self.all_routers());
         self.publish();
         thread::sleep(Duration::from_millis(self.rng.random_range(0..40)));
-        for place in self.all() {
+        for index in self.all_routers() {
             if silent {
-                self.fleet.store_network(place).silence_connections();
-                self.fleet.peer_network(place).silence_connections();
+                self.fleet.store_network(index).silence_connections();
+                self.fleet.peer_network(index).silence_connections();
             }
-            self.fleet.kill(place)?;
+            self.fleet.kill(index)?;
         }
         Ok(())
     }
@@ -315,87 +315,87 @@
             | Action::ServerRecordSpoilt => {}
             Action::StoreDeaf { .. } => {
                 self.fleet.store().forget();
-                self.heal(&self.all());
+                self.end_fault(&self.all_routers());
             }
             Action::StoreRefuses { .. } | Action::StoreSilent { .. } => {
                 self.fleet.store().set_mode(store::Mode::Well);
-                self.heal(&self.all());
+                self.end_fault(&self.all_routers());
             }
             Action::StoreRestored { .. } => {
                 self.repeat_lost_writes();
-                self.heal(&self.all());
+                self.end_fault(&self.all_routers());
             }
-            Action::StoreLeavesWatchesUnanswered => self.heal(&self.all()),
+            Action::StoreLeavesWatchesUnanswered => self.end_fault(&self.all_routers()),
             Action::StoreLinksDie { routers, .. } | Action::PeerLinksDie { routers, .. } => {
-                self.heal(routers);
+                self.end_fault(routers);
             }
             Action::StoreCut { routers, .. } => {
                 self.change_store_network(routers, |faults| faults.cut_all = false);
-                self.heal(routers);
+                self.end_fault(routers);
             }
             Action::StoreStalls { routers, .. } => {
                 self.change_store_network(routers, |faults| faults.stalled = false);
-                self.heal(routers);
+                self.end_fault(routers);
             }
             Action::StoreSlow { routers, .. } => {
                 self.change_store_network(routers, |faults| faults.delay_ms = 0);
-                self.heal(routers);
+                self.end_fault(routers);
             }
             Action::PeersCut { routers, .. } => {
                 self.change_peer_network(routers, |faults| faults.cut_all = false);
-                self.heal(routers);
+                self.end_fault(routers);
             }
             Action::DatagramsLost { routers, .. } => {
                 self.change_peer_network(routers, |faults| faults.lose_datagrams_percent = 0);
-                self.heal(routers);
+                self.end_fault(routers);
             }
             Action::Freeze { routers, .. } => {
-                for place in routers {
-                    self.fleet.signal(*place, "CONT")?;
+                for index in routers {
+                    self.fleet.signal(*index, "CONT")?;
                 }
-                self.heal(routers);
+                self.end_fault(routers);
             }
             Action::Kill { routers, .. } => {
-                for place in routers {
-                    self.restart(*place)?;
+                for index in routers {
+                    self.restart(*index)?;
                 }
-                self.heal(routers);
+                self.end_fault(routers);
             }
             Action::LoseAll { .. } => {
-                let mut order = self.all();
+                let mut order = self.all_routers();
                 order.shuffle(&mut self.rng);
-                for place in order {
-                    self.restart(place)?;
+                for index in order {
+                    self.restart(index)?;
                 }
-                self.heal(&self.all());
+                self.end_fault(&self.all_routers());
             }
         }
         Ok(())
     }
 
-    /// Starts a router anew, whether or not another step has done so meanwhile.
-    fn restart(&mut self, place: usize) -> Result<(), fleet::Error> {
-        self.fleet.kill(place)?;
-        self.shared.record().restarted(place);
-        self.fleet.start(place)
+    /// Restarts a router, also if another step has already restarted it.
+    fn restart(&mut self, index: usize) -> Result<(), fleet::Error> {
+        self.fleet.kill(index)?;
+        self.shared.observations().router_restarted(index);
+        self.fleet.start(index)
     }
 
     fn change_store_network(&self, routers: &[usize], change: impl Fn(&mut network::Faults)) {
-        routers.iter().for_each(|place| self.fleet.store_network(*place).change(&change));
+        routers.iter().for_each(|index| self.fleet.store_network(*index).change(&change));
     }
 
     fn change_peer_network(&self, routers: &[usize], change: impl Fn(&mut network::Faults)) {
-        routers.iter().for_each(|place| self.fleet.peer_network(*place).change(&change));
+        routers.iter().for_each(|index| self.fleet.peer_network(*index).change(&change));
     }
 }
 
-fn kill_links(network: &network::Proxy, dead: schedule::Dead) {
+fn fail_connections(network: &network::Proxy, dead: schedule::Dead) {
     match dead {
         schedule::Dead::Silent => network.silence_connections(),
         schedule::Dead::Swallowing => network.swallow_connections(),
     }
 }
 
-fn wait_until(moment: Instant) {
-    thread::sleep(moment.saturating_duration_since(Instant::now()));
+fn wait_until(time: Instant) {
+    thread::sleep(time.saturating_duration_since(Instant::now()));
 }
--- a/soak/src/schedule.rs
+++ b/soak/src/schedule.rs
@@ -1,26 +1,26 @@
-//! What is done to a fleet, and when: one list of steps, drawn from a seed.
+//! Schedules of faults and changes: a list of timed steps, generated from a seed.
 
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
 use std::fmt;
 
-/// Faults begin after this time, when the fleet has started.
-const SETTLED_MS: u64 = 4_000;
-/// After the last step the fleet is watched for this long.
-const WATCHED_MS: u64 = 8_000;
-/// No fault lasts longer.
-const FAULT_LONGEST_MS: u64 = 5_000;
+/// The time that a fleet has to start before the first fault.
+const STARTUP_MS: u64 = 4_000;
+/// How long the fleet is observed after the last step.
+const OBSERVATION_MS: u64 = 8_000;
+/// The longest duration of a fault.
+const FAULT_DURATION_MAX_MS: u64 = 5_000;
 
-/// Routers by their places.
+/// Routers by their indexes in the fleet.
 pub type Routers = Vec<usize>;
 
-/// How connections stop passing on what they carry; new ones work.
+/// How open connections fail without being closed; new connections work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Dead {
-    /// Nothing arrives and nothing is acknowledged.
+    /// No data arrives and nothing is acknowledged.
     Silent,
-    /// What is sent is acknowledged and passed on to nobody.
+    /// Data is acknowledged and discarded.
     Swallowing,
 }
 
@@ -40,28 +40,28 @@
     }
 }
 
-/// What is done.
+/// A fault or a change of a schedule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// The operator publishes a configuration with one route more.
+    /// The operator publishes a configuration with an additional route.
     Publish,
     /// The store answers every call with 503.
     StoreRefuses {
-        /// For how long.
+        /// The duration.
         for_ms: u64,
     },
-    /// The store takes calls and never answers those that come or wait meanwhile.
+    /// The store accepts calls, but never answers those that arrive or wait meanwhile.
     StoreSilent {
-        /// For how long.
+        /// The duration.
         for_ms: u64,
     },
-    /// The calls for news that wait now are never answered; all others are.
+    /// The long polls that are open now are never answered; all other calls are.
     StoreLeavesWatchesUnanswered,
-    /// The store forgets its history.
+    /// The store discards its history.
     StoreForgets,
-    /// Watches hear nothing while changes are made; then the store forgets its history.
+    /// Changes are hidden from watches for a while; then the store discards its history.
     StoreDeaf {
-        /// For how long.
+        /// The duration.
         for_ms: u64,
     },
     /// The store becomes unavailable and is restored from a backup; the operator and the servers repeat lost writes.
@@ -75,93 +75,93 @@
         /// Whether open watches continue after the restore.
         keeps_watches: bool,
     },
-    /// Another writer puts entries that cannot be read beside those that routers follow.
+    /// Another writer adds unreadable entries under the prefixes that routers follow.
     BadEntries,
-    /// The second server starts again under its name, at another address.
+    /// The second server restarts under the same name at another address.
     ServerRestarts,
-    /// The second server leaves.
+    /// The second server announces in its record that it is leaving.
     ServerLeaves,
-    /// Another writer spoils the record of the second server.
+    /// Another writer overwrites the record of the second server with an unreadable value.
     ServerRecordSpoilt,
-    /// Open connections of these routers to the store die.
+    /// Open connections of these routers to the store fail.
     StoreLinksDie {
-        /// Whose.
+        /// The routers whose connections fail.
         routers: Routers,
-        /// How.
+        /// How the connections fail.
         dead: Dead,
     },
-    /// Nothing passes between these routers and the store, and connections are reset.
+    /// The network between these routers and the store is cut, and open connections are closed.
     StoreCut {
-        /// Which.
+        /// The affected routers.
         routers: Routers,
-        /// For how long.
+        /// The duration.
         for_ms: u64,
     },
-    /// What passes between these routers and the store waits and arrives afterwards.
+    /// Data between these routers and the store is held and arrives afterwards.
     StoreStalls {
-        /// Which.
+        /// The affected routers.
         routers: Routers,
-        /// For how long.
+        /// The duration.
         for_ms: u64,
     },
-    /// What passes between these routers and the store takes longer.
+    /// Data between these routers and the store is delayed.
     StoreSlow {
-        /// Which.
+        /// The affected routers.
         routers: Routers,
-        /// Added one way.
+        /// The delay that is added in each direction.
         delay_ms: u64,
-        /// For how long.
+        /// The duration.
         for_ms: u64,
     },
-    /// Open connections from peers to these routers die.
+    /// Open connections from peers to these routers fail.
     PeerLinksDie {
-        /// To whom.
+        /// The routers whose connections fail.
         routers: Routers,
-        /// How.
+        /// How the connections fail.
         dead: Dead,
     },
-    /// Nothing passes from peers to these routers.
+    /// The network from peers to these routers is cut.
     PeersCut {
-        /// Which.
+        /// The affected routers.
         routers: Routers,
-        /// For how long.
+        /// The duration.
         for_ms: u64,
     },
-    /// Datagrams to these routers are lost.
+    /// Some datagrams to these routers are lost.
     DatagramsLost {
-        /// Which.
+        /// The affected routers.
         routers: Routers,
-        /// Of a hundred, so many.
+        /// The percentage that is lost.
         percent: u64,
-        /// For how long.
+        /// The duration.
         for_ms: u64,
     },
-    /// These processes stand still, while their kernel acknowledges.
+    /// The processes of these routers are suspended, while their kernel still acknowledges data.
     Freeze {
-        /// Which.
+        /// The affected routers.
         routers: Routers,
-        /// For how long.
+        /// The duration.
         for_ms: u64,
     },
-    /// These processes are killed and started again.
+    /// The processes of these routers are killed and restarted.
     Kill {
-        /// Which.
+        /// The affected routers.
         routers: Routers,
-        /// After how long they start again.
+        /// The time until the processes are restarted.
         down_ms: u64,
     },
-    /// Every router is killed at once and started again, in any order; right after a configuration was acknowledged.
+    /// All routers are killed right after a configuration was acknowledged, and restarted in random order.
     LoseAll {
-        /// After how long they start again.
+        /// The time until the processes are restarted.
         down_ms: u64,
-        /// Whether open connections fall silent first, as by a loss of power.
+        /// Whether open connections are blackholed first, as in a loss of power.
         silent: bool,
     },
 }
 
 impl Action {
-    /// How long it lasts, in milliseconds; 0 for what happens at once.
-    pub fn lasts_ms(&self) -> u64 {
+    /// The duration in milliseconds; 0 for actions that take effect at once.
+    pub fn duration_ms(&self) -> u64 {
         match self {
             Self::StoreRefuses { for_ms }
             | Self::StoreSilent { for_ms }
@@ -262,11 +262,11 @@
 /// One step of a schedule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// Tells it from the others.
+    /// Identifies the step within its schedule.
     pub number: usize,
-    /// When it begins.
+    /// When the action begins, from the start of the run.
     pub at_ms: u64,
-    /// What is done.
+    /// The fault or change.
     pub action: Action,
 }
 
@@ -276,51 +276,53 @@
     }
 }
 
-/// What is done to a fleet of some routers.
+/// The steps of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Schedule {
     /// The steps in order of time.
     pub steps: Vec<Step>,
-    /// When the run ends.
+    /// When the run ends, from its start.
     pub ends_ms: u64,
 }
 
 impl Schedule {
-    /// Numbers steps in order of time.
+    /// Creates a schedule with the actions in order of time, numbered from 0.
     pub fn of(mut actions: Vec<(u64, Action)>) -> Self {
         actions.sort_by_key(|(at_ms, _)| *at_ms);
-        let ends = actions.iter().map(|(at_ms, action)| at_ms + action.lasts_ms());
-        let ends_ms = ends.max().unwrap_or(SETTLED_MS) + WATCHED_MS;
+        let end_times_ms = actions.iter().map(|(at_ms, action)| at_ms + action.duration_ms());
+        let ends_ms = end_times_ms.max().unwrap_or(STARTUP_MS) + OBSERVATION_MS;
         let steps = actions.into_iter().enumerate();
         let steps = steps.map(|(number, (at_ms, action))| Step { number, at_ms, action });
         Self { steps: steps.collect(), ends_ms }
     }
 
-    /// Draws the schedule of a seed: faults over `for_ms` that may overlap, changes during and after each of them, and
-    /// most often a loss of all.
+    /// Generates the schedule of a seed: faults over `for_ms` that may overlap, configuration changes during and after each
+    /// of them, and in most schedules a kill of all routers.
     pub fn drawn(seed: u64, routers: usize, for_ms: u64) -> Self {
-        let mut draw = Draw { rng: StdRng::seed_from_u64(seed), routers, actions: Vec::new() };
-        let last_ms = SETTLED_MS + for_ms;
-        for _ in 0..draw.rng.random_range(2..=6) {
-            let at_ms = draw.rng.random_range(SETTLED_MS..last_ms);
-            let action = draw.fault();
-            draw.push_with_changes(at_ms, action);
+        let mut generator =
+            Generator { rng: StdRng::seed_from_u64(seed), routers, actions: Vec::new() };
+        let last_ms = STARTUP_MS + for_ms;
+        for _ in 0..generator.rng.random_range(2..=6) {
+            let at_ms = generator.rng.random_range(STARTUP_MS..last_ms);
+            let action = generator.random_fault();
+            generator.push_with_publishes(at_ms, action);
         }
-        if draw.rng.random_bool(0.7) {
-            let at_ms = draw.rng.random_range(SETTLED_MS + for_ms / 2..last_ms);
-            let (down_ms, silent) = (draw.rng.random_range(200..1_500), draw.rng.random_bool(0.5));
-            draw.push_with_changes(at_ms, Action::LoseAll { down_ms, silent });
+        if generator.rng.random_bool(0.7) {
+            let at_ms = generator.rng.random_range(STARTUP_MS + for_ms / 2..last_ms);
+            let (down_ms, silent) =
+                (generator.rng.random_range(200..1_500), generator.rng.random_bool(0.5));
+            generator.push_with_publishes(at_ms, Action::LoseAll { down_ms, silent });
         }
-        Self::of(draw.actions)
+        Self::of(generator.actions)
     }
 
-    /// Adds what other writers and a server do over `for_ms`, drawn apart from the rest.
+    /// Adds actions of other writers and of a server over `for_ms`, drawn from a separate generator.
     pub fn with_writers(self, seed: u64, for_ms: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(!seed);
         let mut actions: Vec<(u64, Action)> =
             self.steps.into_iter().map(|step| (step.at_ms, step.action)).collect();
         for _ in 0..rng.random_range(2..=8) {
-            let at_ms = rng.random_range(SETTLED_MS..SETTLED_MS + for_ms);
+            let at_ms = rng.random_range(STARTUP_MS..STARTUP_MS + for_ms);
             let action = match rng.random_range(0..8) {
                 0 => Action::StoreDeaf { for_ms: rng.random_range(200..1_500) },
                 1 => Action::BadEntries,
@@ -328,7 +330,7 @@
                 4 => Action::ServerRecordSpoilt,
                 _ => Action::ServerRestarts,
             };
-            let during_ms = at_ms + rng.random_range(0..=action.lasts_ms());
+            let during_ms = at_ms + rng.random_range(0..=action.duration_ms());
             actions.push((at_ms, action));
             actions.push((during_ms, Action::Publish));
         }
@@ -341,7 +343,7 @@
         let mut actions: Vec<(u64, Action)> =
             self.steps.into_iter().map(|step| (step.at_ms, step.action)).collect();
         for _ in 0..rng.random_range(1..=4) {
-            let at_ms = rng.random_range(SETTLED_MS..SETTLED_MS + for_ms);
+            let at_ms = rng.random_range(STARTUP_MS..STARTUP_MS + for_ms);
             let action = Action::StoreRestored {
                 backup_age_ms: rng.random_range(100..4_000),
                 outage_ms: rng.random_range(100..2_500),
@@ -352,7 +354,7 @@
                 },
                 keeps_watches: rng.random_bool(0.5),
             };
-            let end_ms = at_ms + action.lasts_ms();
+            let end_ms = at_ms + action.duration_ms();
             actions.push((at_ms, action));
             for _ in 0..rng.random_range(1..=3) {
                 let published_ms = at_ms.saturating_sub(rng.random_range(0..2_000));
@@ -368,50 +370,51 @@
         Self::of(actions)
     }
 
-    /// A schedule that is written down; `None` if none has this name.
+    /// The predefined schedule of this name; `None` if there is none.
     pub fn named(name: &str, routers: usize) -> Option<Self> {
-        let all: Routers = (0..routers).collect();
-        let lose_all = (5_000, Action::LoseAll { down_ms: 500, silent: true });
-        let changes = [8_000, 11_000, 12_000, 13_000, 14_000].map(|at_ms| (at_ms, Action::Publish));
-        let faults = match name {
-            "loss-of-all" => vec![lose_all],
+        let all_routers: Routers = (0..routers).collect();
+        let kill_all = (5_000, Action::LoseAll { down_ms: 500, silent: true });
+        let publishes =
+            [8_000, 11_000, 12_000, 13_000, 14_000].map(|at_ms| (at_ms, Action::Publish));
+        let actions = match name {
+            "loss-of-all" => vec![kill_all],
             "loss-of-all-then-silent-store" => {
-                vec![lose_all, (9_300, Action::StoreSilent { for_ms: 1_500 })]
+                vec![kill_all, (9_300, Action::StoreSilent { for_ms: 1_500 })]
             }
             "loss-of-all-then-one-call-unanswered" => {
-                vec![lose_all, (10_500, Action::StoreLeavesWatchesUnanswered)]
+                vec![kill_all, (10_500, Action::StoreLeavesWatchesUnanswered)]
             }
             "loss-of-all-then-one-router-s-connections-silent" => {
                 let routers = vec![routers - 1];
                 let dead = Dead::Silent;
                 vec![
-                    lose_all,
+                    kill_all,
                     (10_500, Action::StoreLinksDie { routers, dead }),
-                    (10_500, Action::PeerLinksDie { routers: all, dead }),
+                    (10_500, Action::PeerLinksDie { routers: all_routers, dead }),
                 ]
             }
             _ => return None,
         };
-        Some(Self::of(faults.into_iter().chain(changes).collect()))
+        Some(Self::of(actions.into_iter().chain(publishes).collect()))
     }
 
-    /// Leaves out all steps but those with these numbers.
+    /// Removes all steps except those with these numbers.
     pub fn only(mut self, numbers: &[usize]) -> Self {
         self.steps.retain(|step| numbers.contains(&step.number));
         self
     }
 }
 
-/// A schedule while it is drawn.
-struct Draw {
+/// A schedule while it is generated.
+struct Generator {
     rng: StdRng,
     routers: usize,
     actions: Vec<(u64, Action)>,
 }
 
-impl Draw {
-    fn push_with_changes(&mut self, at_ms: u64, action: Action) {
-        let end_ms = at_ms + action.lasts_ms();
+impl Generator {
+    fn push_with_publishes(&mut self, at_ms: u64, action: Action) {
+        let end_ms = at_ms + action.duration_ms();
         self.actions.push((at_ms, action));
         if self.rng.random_bool(0.4) {
             let during_ms = self.rng.random_range(at_ms..=end_ms);
@@ -423,27 +426,27 @@
         }
     }
 
-    /// Some routers: all of them, one, or a part.
-    fn some(&mut self) -> Routers {
-        let all: Routers = (0..self.routers).collect();
+    /// Draws a set of routers: all, one, or a random number of them.
+    fn random_routers(&mut self) -> Routers {
+        let all_routers: Routers = (0..self.routers).collect();
         let count = match self.rng.random_range(0..3) {
             0 => self.routers,
             1 => 1,
             _ => self.rng.random_range(1..=self.routers),
         };
-        all.sample(&mut self.rng, count).copied().collect()
+        all_routers.sample(&mut self.rng, count).copied().collect()
     }
 
-    fn dead(&mut self) -> Dead {
+    fn random_connection_fault(&mut self) -> Dead {
         match self.rng.random_bool(0.5) {
             true => Dead::Silent,
             false => Dead::Swallowing,
         }
     }
 
-    fn fault(&mut self) -> Action {
-        let for_ms = self.rng.random_range(300..=FAULT_LONGEST_MS);
-        let (routers, dead) = (self.some(), self.dead());
+    fn random_fault(&mut self) -> Action {
+        let for_ms = self.rng.random_range(300..=FAULT_DURATION_MAX_MS);
+        let (routers, dead) = (self.random_routers(), self.random_connection_fault());
         match self.rng.random_range(0..13) {
             0 => Action::StoreRefuses { for_ms },
             1 | 2 => Action::StoreSilent { for_ms },
--- a/soak/src/servers.rs
+++ b/soak/src/servers.rs
@@ -1,15 +1,15 @@
-//! Scripted servers of a soak, and their records.
+//! Starts scripted servers and stores their records.
 
 use crate::fleet;
 use doorswitch_standins::{backend, store, wire};
 use snafu::ResultExt;
 
-/// Starts a server.
+/// Starts a scripted server on a free port.
 pub fn start(script: backend::Script) -> Result<backend::Backend, fleet::Error> {
     backend::Backend::start(script).context(fleet::IoSnafu { what: "start a server" })
 }
 
-/// Records a server as ready, with when its present life started, in Unix milliseconds.
+/// Stores the record of a ready server. `started_ms` is when its current incarnation started, in Unix milliseconds.
 pub fn record(
     store: &store::Store,
     service: &str,
--- a/soak/tests/printed_texts.rs
+++ b/soak/tests/printed_texts.rs
@@ -2,7 +2,7 @@
 
 #![allow(missing_docs)]
 
-use doorswitch_soak::observe::Broken;
+use doorswitch_soak::observe::ViolationKind;
 use doorswitch_soak::schedule::{Action, Dead, Schedule};
 
 fn printed(action: Action) -> String {
@@ -76,19 +76,19 @@
 #[test]
 fn every_violation_is_printed_under_its_name_and_in_order() {
     let texts = [
-        (Broken::Stale, "Stale"),
-        (Broken::Reverted, "Reverted"),
-        (Broken::Unready, "Unready"),
-        (Broken::EarlierLife, "EarlierLife"),
-        (Broken::PoisonSent, "PoisonSent"),
-        (Broken::InnocentKept, "InnocentKept"),
-        (Broken::LimitExceeded, "LimitExceeded"),
-        (Broken::RefusedBesideFree, "RefusedBesideFree"),
-        (Broken::SentToLeaving, "SentToLeaving"),
-        (Broken::SentInBackoff, "SentInBackoff"),
+        (ViolationKind::Stale, "Stale"),
+        (ViolationKind::Reverted, "Reverted"),
+        (ViolationKind::Unready, "Unready"),
+        (ViolationKind::EarlierLife, "EarlierLife"),
+        (ViolationKind::PoisonSent, "PoisonSent"),
+        (ViolationKind::InnocentKept, "InnocentKept"),
+        (ViolationKind::LimitExceeded, "LimitExceeded"),
+        (ViolationKind::RefusedBesideFree, "RefusedBesideFree"),
+        (ViolationKind::SentToLeaving, "SentToLeaving"),
+        (ViolationKind::SentInBackoff, "SentInBackoff"),
     ];
-    assert!(texts.is_sorted_by_key(|(broken, _)| *broken));
-    for (broken, text) in texts {
-        assert_eq!(broken.to_string(), text);
+    assert!(texts.is_sorted_by_key(|(kind, _)| *kind));
+    for (kind, text) in texts {
+        assert_eq!(kind.to_string(), text);
     }
 }
