--- a/soak/src/limited.rs
+++ b/soak/src/limited.rs
@@ -172,7 +172,7 @@
         if refused_for_limit {
             // The first server accepts all requests.
             self.shared.observations().record_violation(
-                observe::ViolationKind::RefusedBesideFree,
+                observe::ViolationKind::RefusedWithFreeServer,
                 router,
                 sent,
             );
--- a/soak/src/observe.rs
+++ b/soak/src/observe.rs
@@ -30,41 +30,41 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum ViolationKind {
     /// A configuration was not in force in time.
-    Stale,
+    ConfigurationStale,
     /// A router process served a configuration version and later an older one.
-    Reverted,
+    ConfigurationReverted,
     /// A router did not serve requests although it had had no fault for long enough.
-    Unready,
+    RouterUnready,
     /// A server incarnation that had ended, or had announced that it is leaving, received a request.
-    EarlierLife,
+    RequestToEndedServer,
     /// A request that crashes servers reached one long after it had crashed the third.
-    PoisonSent,
+    PoisonRequestSent,
     /// A request that crashes no server was quarantined.
-    InnocentKept,
+    HarmlessRequestQuarantined,
     /// A server received more requests from all routers together than its limit allows.
     LimitExceeded,
     /// A request was refused because no server was available, although one server accepted all requests.
-    RefusedBesideFree,
+    RefusedWithFreeServer,
     /// A request reached a server long after its router had received and passed on that the server is leaving.
-    SentToLeaving,
+    SentToLeavingServer,
     /// Requests of a router reached a server that had requested a backoff from this router.
-    SentInBackoff,
+    SentDuringBackoff,
 }
 
 impl ViolationKind {
     /// The text in the output of a run.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Stale => "Stale",
-            Self::Reverted => "Reverted",
-            Self::Unready => "Unready",
-            Self::EarlierLife => "EarlierLife",
-            Self::PoisonSent => "PoisonSent",
-            Self::InnocentKept => "InnocentKept",
+            Self::ConfigurationStale => "Stale",
+            Self::ConfigurationReverted => "Reverted",
+            Self::RouterUnready => "Unready",
+            Self::RequestToEndedServer => "EarlierLife",
+            Self::PoisonRequestSent => "PoisonSent",
+            Self::HarmlessRequestQuarantined => "InnocentKept",
             Self::LimitExceeded => "LimitExceeded",
-            Self::RefusedBesideFree => "RefusedBesideFree",
-            Self::SentToLeaving => "SentToLeaving",
-            Self::SentInBackoff => "SentInBackoff",
+            Self::RefusedWithFreeServer => "RefusedBesideFree",
+            Self::SentToLeavingServer => "SentToLeaving",
+            Self::SentDuringBackoff => "SentInBackoff",
         }
     }
 }
@@ -190,14 +190,16 @@
             answer.sent.saturating_duration_since(*ended) > CONFIGURATION_DEADLINE
         });
         let kind = match answer.status {
-            Some(200) if connected && long_ended => Some(ViolationKind::EarlierLife),
-            Some(404) if newest_served >= answer.version => Some(ViolationKind::Reverted),
+            Some(200) if connected && long_ended => Some(ViolationKind::RequestToEndedServer),
+            Some(404) if newest_served >= answer.version => {
+                Some(ViolationKind::ConfigurationReverted)
+            }
             Some(404) if connected && after_ack > CONFIGURATION_DEADLINE => {
-                Some(ViolationKind::Stale)
+                Some(ViolationKind::ConfigurationStale)
             }
             Some(200 | 404) => None,
             _ if active_faults == 0 && after_fault > SERVING_DEADLINE => {
-                Some(ViolationKind::Unready)
+                Some(ViolationKind::RouterUnready)
             }
             _ => None,
         };
--- a/soak/src/outspoken.rs
+++ b/soak/src/outspoken.rs
@@ -184,7 +184,7 @@
         if connected && answer.as_ref().is_some_and(|answer| is_unavailable(&answer.body)) {
             // The first server accepts all requests.
             self.shared.observations().record_violation(
-                observe::ViolationKind::RefusedBesideFree,
+                observe::ViolationKind::RefusedWithFreeServer,
                 router,
                 at,
             );
@@ -208,7 +208,7 @@
                 .is_some_and(|announced_at| sent.at > *announced_at + LEAVING_GRACE)
             {
                 self.summary.leaving.1 += 1;
-                let kind = observe::ViolationKind::SentToLeaving;
+                let kind = observe::ViolationKind::SentToLeavingServer;
                 self.shared.observations().record_violation(kind, sent.router.0, sent.at);
             }
             if given.reply.lines.contains(backend::LEAVING_LINE) {
@@ -240,7 +240,7 @@
             self.summary.backoffs.0 += 1;
             self.summary.backoffs.1 = self.summary.backoffs.1.max(reached);
             if reached > ALLOWED_IN_BACKOFF {
-                let kind = observe::ViolationKind::SentInBackoff;
+                let kind = observe::ViolationKind::SentDuringBackoff;
                 self.shared.observations().record_violation(kind, request.router.0, request.at);
             }
         }
--- a/soak/src/poison.rs
+++ b/soak/src/poison.rs
@@ -133,7 +133,7 @@
             self.summary.late_sends += 1;
             if self.summary.late_sends > LATE_SENDS_ALLOWED {
                 self.shared.observations().record_violation(
-                    observe::ViolationKind::PoisonSent,
+                    observe::ViolationKind::PoisonRequestSent,
                     router,
                     sent,
                 );
@@ -152,7 +152,7 @@
             answer.as_ref().is_some_and(|answer| answer.body.contains("\"quarantined\""));
         if quarantined {
             self.shared.observations().record_violation(
-                observe::ViolationKind::InnocentKept,
+                observe::ViolationKind::HarmlessRequestQuarantined,
                 router,
                 sent,
             );
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -174,11 +174,11 @@
         use schedule::Action;
         match action {
             Action::Publish => self.publish(),
-            Action::StoreRefuses { .. } | Action::StoreRestored { .. } => {
+            Action::StoreUnavailable { .. } | Action::StoreRestored { .. } => {
                 self.begin_fault(&self.all_routers());
                 self.fleet.store().set_mode(store::Mode::Down);
             }
-            Action::StoreSilent { .. } => {
+            Action::StoreUnresponsive { .. } => {
                 self.begin_fault(&self.all_routers());
                 self.fleet.store().leave_open_watches_unanswered();
                 self.fleet.store().set_mode(store::Mode::Silent);
@@ -187,12 +187,12 @@
                 self.begin_fault(&self.all_routers());
                 self.fleet.store().leave_open_watches_unanswered();
             }
-            Action::StoreForgets => self.fleet.store().forget(),
-            Action::StoreDeaf { .. } => {
+            Action::StoreDiscardsHistory => self.fleet.store().forget(),
+            Action::StoreHidesChanges { .. } => {
                 self.begin_fault(&self.all_routers());
                 self.fleet.store().go_deaf();
             }
-            Action::BadEntries => self.fleet.put_bad_entries(),
+            Action::UnreadableEntries => self.fleet.put_bad_entries(),
             Action::ServerRestarts => {
                 let ended = self.second_server_life;
                 self.second_server_life = self.fleet.start_server(fleet::SECOND_SERVER)?;
@@ -202,14 +202,14 @@
                 self.fleet.record_server(fleet::SECOND_SERVER, self.second_server_life, "draining");
                 self.shared.observations().end_server_life(self.second_server_life);
             }
-            Action::ServerRecordSpoilt => {
+            Action::ServerRecordCorrupted => {
                 self.fleet.corrupt_record(fleet::SECOND_SERVER);
                 self.shared.observations().end_server_life(self.second_server_life);
             }
-            Action::StoreLinksDie { routers, dead } => {
+            Action::StoreConnectionsFail { routers, fault } => {
                 self.begin_fault(routers);
                 for index in routers {
-                    fail_connections(self.fleet.store_network(*index), *dead);
+                    fail_connections(self.fleet.store_network(*index), *fault);
                 }
             }
             Action::StoreCut { routers, .. } => {
@@ -220,14 +220,14 @@
                 self.begin_fault(routers);
                 self.change_store_network(routers, |faults| faults.stalled = true);
             }
-            Action::StoreSlow { routers, delay_ms, .. } => {
+            Action::StoreDelayed { routers, delay_ms, .. } => {
                 self.begin_fault(routers);
                 self.change_store_network(routers, |faults| faults.delay_ms = *delay_ms);
             }
-            Action::PeerLinksDie { routers, dead } => {
+            Action::PeerConnectionsFail { routers, fault } => {
                 self.begin_fault(routers);
                 for index in routers {
-                    fail_connections(self.fleet.peer_network(*index), *dead);
+                    fail_connections(self.fleet.peer_network(*index), *fault);
                 }
             }
             Action::PeersCut { routers, .. } => {
@@ -240,7 +240,7 @@
                     faults.lose_datagrams_percent = *percent;
                 });
             }
-            Action::Freeze { routers, .. } => {
+            Action::Suspend { routers, .. } => {
                 self.begin_fault(routers);
                 for index in routers {
                     self.fleet.signal(*index, "STOP")?;
@@ -252,7 +252,7 @@
                     self.fleet.kill(*index)?;
                 }
             }
-            Action::LoseAll { silent, .. } => self.kill_all(*silent)?,
+            Action::KillAll { blackhole_first, .. } => self.kill_all(*blackhole_first)?,
         }
         Ok(())
     }
@@ -290,12 +290,12 @@
     }
 
     /// Kills every router just after a configuration was acknowledged.
-    fn kill_all(&mut self, silent: bool) -> Result<(), fleet::Error> {
+    fn kill_all(&mut self, blackhole_first: bool) -> Result<(), fleet::Error> {
         self.begin_fault(&self.all_routers());
         self.publish();
         thread::sleep(Duration::from_millis(self.rng.random_range(0..40)));
         for index in self.all_routers() {
-            if silent {
+            if blackhole_first {
                 self.fleet.store_network(index).silence_connections();
                 self.fleet.peer_network(index).silence_connections();
             }
@@ -308,16 +308,16 @@
         use schedule::Action;
         match action {
             Action::Publish
-            | Action::StoreForgets
-            | Action::BadEntries
+            | Action::StoreDiscardsHistory
+            | Action::UnreadableEntries
             | Action::ServerRestarts
             | Action::ServerLeaves
-            | Action::ServerRecordSpoilt => {}
-            Action::StoreDeaf { .. } => {
+            | Action::ServerRecordCorrupted => {}
+            Action::StoreHidesChanges { .. } => {
                 self.fleet.store().forget();
                 self.end_fault(&self.all_routers());
             }
-            Action::StoreRefuses { .. } | Action::StoreSilent { .. } => {
+            Action::StoreUnavailable { .. } | Action::StoreUnresponsive { .. } => {
                 self.fleet.store().set_mode(store::Mode::Well);
                 self.end_fault(&self.all_routers());
             }
@@ -326,7 +326,8 @@
                 self.end_fault(&self.all_routers());
             }
             Action::StoreLeavesWatchesUnanswered => self.end_fault(&self.all_routers()),
-            Action::StoreLinksDie { routers, .. } | Action::PeerLinksDie { routers, .. } => {
+            Action::StoreConnectionsFail { routers, .. }
+            | Action::PeerConnectionsFail { routers, .. } => {
                 self.end_fault(routers);
             }
             Action::StoreCut { routers, .. } => {
@@ -337,7 +338,7 @@
                 self.change_store_network(routers, |faults| faults.stalled = false);
                 self.end_fault(routers);
             }
-            Action::StoreSlow { routers, .. } => {
+            Action::StoreDelayed { routers, .. } => {
                 self.change_store_network(routers, |faults| faults.delay_ms = 0);
                 self.end_fault(routers);
             }
@@ -349,7 +350,7 @@
                 self.change_peer_network(routers, |faults| faults.lose_datagrams_percent = 0);
                 self.end_fault(routers);
             }
-            Action::Freeze { routers, .. } => {
+            Action::Suspend { routers, .. } => {
                 for index in routers {
                     self.fleet.signal(*index, "CONT")?;
                 }
@@ -361,7 +362,7 @@
                 }
                 self.end_fault(routers);
             }
-            Action::LoseAll { .. } => {
+            Action::KillAll { .. } => {
                 let mut order = self.all_routers();
                 order.shuffle(&mut self.rng);
                 for index in order {
@@ -389,10 +390,10 @@
     }
 }
 
-fn fail_connections(network: &network::Proxy, dead: schedule::Dead) {
-    match dead {
-        schedule::Dead::Silent => network.silence_connections(),
-        schedule::Dead::Swallowing => network.swallow_connections(),
+fn fail_connections(network: &network::Proxy, fault: schedule::ConnectionFault) {
+    match fault {
+        schedule::ConnectionFault::Blackholed => network.silence_connections(),
+        schedule::ConnectionFault::Discarding => network.swallow_connections(),
     }
 }
 
--- a/soak/src/schedule.rs
+++ b/soak/src/schedule.rs
@@ -17,24 +17,24 @@
 
 /// How open connections fail without being closed; new connections work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dead {
+pub enum ConnectionFault {
     /// No data arrives and nothing is acknowledged.
-    Silent,
+    Blackholed,
     /// Data is acknowledged and discarded.
-    Swallowing,
+    Discarding,
 }
 
-impl Dead {
+impl ConnectionFault {
     /// The text in the output of a run.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Silent => "Silent",
-            Self::Swallowing => "Swallowing",
+            Self::Blackholed => "Silent",
+            Self::Discarding => "Swallowing",
         }
     }
 }
 
-impl fmt::Display for Dead {
+impl fmt::Display for ConnectionFault {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str(self.as_str())
     }
@@ -46,21 +46,21 @@
     /// The operator publishes a configuration with an additional route.
     Publish,
     /// The store answers every call with 503.
-    StoreRefuses {
+    StoreUnavailable {
         /// The duration.
         for_ms: u64,
     },
     /// The store accepts calls, but never answers those that arrive or wait meanwhile.
-    StoreSilent {
+    StoreUnresponsive {
         /// The duration.
         for_ms: u64,
     },
     /// The long polls that are open now are never answered; all other calls are.
     StoreLeavesWatchesUnanswered,
     /// The store discards its history.
-    StoreForgets,
+    StoreDiscardsHistory,
     /// Changes are hidden from watches for a while; then the store discards its history.
-    StoreDeaf {
+    StoreHidesChanges {
         /// The duration.
         for_ms: u64,
     },
@@ -76,19 +76,19 @@
         keeps_watches: bool,
     },
     /// Another writer adds unreadable entries under the prefixes that routers follow.
-    BadEntries,
+    UnreadableEntries,
     /// The second server restarts under the same name at another address.
     ServerRestarts,
     /// The second server announces in its record that it is leaving.
     ServerLeaves,
     /// Another writer overwrites the record of the second server with an unreadable value.
-    ServerRecordSpoilt,
+    ServerRecordCorrupted,
     /// Open connections of these routers to the store fail.
-    StoreLinksDie {
+    StoreConnectionsFail {
         /// The routers whose connections fail.
         routers: Routers,
         /// How the connections fail.
-        dead: Dead,
+        fault: ConnectionFault,
     },
     /// The network between these routers and the store is cut, and open connections are closed.
     StoreCut {
@@ -105,7 +105,7 @@
         for_ms: u64,
     },
     /// Data between these routers and the store is delayed.
-    StoreSlow {
+    StoreDelayed {
         /// The affected routers.
         routers: Routers,
         /// The delay that is added in each direction.
@@ -114,11 +114,11 @@
         for_ms: u64,
     },
     /// Open connections from peers to these routers fail.
-    PeerLinksDie {
+    PeerConnectionsFail {
         /// The routers whose connections fail.
         routers: Routers,
         /// How the connections fail.
-        dead: Dead,
+        fault: ConnectionFault,
     },
     /// The network from peers to these routers is cut.
     PeersCut {
@@ -137,7 +137,7 @@
         for_ms: u64,
     },
     /// The processes of these routers are suspended, while their kernel still acknowledges data.
-    Freeze {
+    Suspend {
         /// The affected routers.
         routers: Routers,
         /// The duration.
@@ -151,11 +151,11 @@
         down_ms: u64,
     },
     /// All routers are killed right after a configuration was acknowledged, and restarted in random order.
-    LoseAll {
+    KillAll {
         /// The time until the processes are restarted.
         down_ms: u64,
         /// Whether open connections are blackholed first, as in a loss of power.
-        silent: bool,
+        blackhole_first: bool,
     },
 }
 
@@ -163,26 +163,26 @@
     /// The duration in milliseconds; 0 for actions that take effect at once.
     pub fn duration_ms(&self) -> u64 {
         match self {
-            Self::StoreRefuses { for_ms }
-            | Self::StoreSilent { for_ms }
-            | Self::StoreDeaf { for_ms }
+            Self::StoreUnavailable { for_ms }
+            | Self::StoreUnresponsive { for_ms }
+            | Self::StoreHidesChanges { for_ms }
             | Self::StoreCut { for_ms, .. }
             | Self::StoreStalls { for_ms, .. }
-            | Self::StoreSlow { for_ms, .. }
+            | Self::StoreDelayed { for_ms, .. }
             | Self::PeersCut { for_ms, .. }
             | Self::DatagramsLost { for_ms, .. }
-            | Self::Freeze { for_ms, .. } => *for_ms,
+            | Self::Suspend { for_ms, .. } => *for_ms,
             Self::StoreRestored { outage_ms, rewrite_delay_ms, .. } => outage_ms + rewrite_delay_ms,
-            Self::Kill { down_ms, .. } | Self::LoseAll { down_ms, .. } => *down_ms,
+            Self::Kill { down_ms, .. } | Self::KillAll { down_ms, .. } => *down_ms,
             Self::Publish
             | Self::StoreLeavesWatchesUnanswered
-            | Self::StoreForgets
-            | Self::BadEntries
+            | Self::StoreDiscardsHistory
+            | Self::UnreadableEntries
             | Self::ServerRestarts
             | Self::ServerLeaves
-            | Self::ServerRecordSpoilt
-            | Self::StoreLinksDie { .. }
-            | Self::PeerLinksDie { .. } => 0,
+            | Self::ServerRecordCorrupted
+            | Self::StoreConnectionsFail { .. }
+            | Self::PeerConnectionsFail { .. } => 0,
         }
     }
 }
@@ -192,15 +192,15 @@
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Publish => out.write_str("Publish"),
-            Self::StoreRefuses { for_ms } => {
+            Self::StoreUnavailable { for_ms } => {
                 out.debug_struct("StoreRefuses").field("for_ms", for_ms).finish()
             }
-            Self::StoreSilent { for_ms } => {
+            Self::StoreUnresponsive { for_ms } => {
                 out.debug_struct("StoreSilent").field("for_ms", for_ms).finish()
             }
             Self::StoreLeavesWatchesUnanswered => out.write_str("StoreLeavesWatchesUnanswered"),
-            Self::StoreForgets => out.write_str("StoreForgets"),
-            Self::StoreDeaf { for_ms } => {
+            Self::StoreDiscardsHistory => out.write_str("StoreForgets"),
+            Self::StoreHidesChanges { for_ms } => {
                 out.debug_struct("StoreDeaf").field("for_ms", for_ms).finish()
             }
             Self::StoreRestored { backup_age_ms, outage_ms, rewrite_delay_ms, keeps_watches } => {
@@ -209,13 +209,13 @@
                 text.field("rewrite_delay_ms", rewrite_delay_ms);
                 text.field("keeps_watches", keeps_watches).finish()
             }
-            Self::BadEntries => out.write_str("BadEntries"),
+            Self::UnreadableEntries => out.write_str("BadEntries"),
             Self::ServerRestarts => out.write_str("ServerRestarts"),
             Self::ServerLeaves => out.write_str("ServerLeaves"),
-            Self::ServerRecordSpoilt => out.write_str("ServerRecordSpoilt"),
-            Self::StoreLinksDie { routers, dead } => {
+            Self::ServerRecordCorrupted => out.write_str("ServerRecordSpoilt"),
+            Self::StoreConnectionsFail { routers, fault } => {
                 let mut text = out.debug_struct("StoreLinksDie");
-                text.field("routers", routers).field("dead", &format_args!("{dead}")).finish()
+                text.field("routers", routers).field("dead", &format_args!("{fault}")).finish()
             }
             Self::StoreCut { routers, for_ms } => {
                 let mut text = out.debug_struct("StoreCut");
@@ -225,14 +225,14 @@
                 let mut text = out.debug_struct("StoreStalls");
                 text.field("routers", routers).field("for_ms", for_ms).finish()
             }
-            Self::StoreSlow { routers, delay_ms, for_ms } => {
+            Self::StoreDelayed { routers, delay_ms, for_ms } => {
                 let mut text = out.debug_struct("StoreSlow");
                 text.field("routers", routers).field("delay_ms", delay_ms);
                 text.field("for_ms", for_ms).finish()
             }
-            Self::PeerLinksDie { routers, dead } => {
+            Self::PeerConnectionsFail { routers, fault } => {
                 let mut text = out.debug_struct("PeerLinksDie");
-                text.field("routers", routers).field("dead", &format_args!("{dead}")).finish()
+                text.field("routers", routers).field("dead", &format_args!("{fault}")).finish()
             }
             Self::PeersCut { routers, for_ms } => {
                 let mut text = out.debug_struct("PeersCut");
@@ -243,7 +243,7 @@
                 text.field("routers", routers).field("percent", percent);
                 text.field("for_ms", for_ms).finish()
             }
-            Self::Freeze { routers, for_ms } => {
+            Self::Suspend { routers, for_ms } => {
                 let mut text = out.debug_struct("Freeze");
                 text.field("routers", routers).field("for_ms", for_ms).finish()
             }
@@ -251,9 +251,9 @@
                 let mut text = out.debug_struct("Kill");
                 text.field("routers", routers).field("down_ms", down_ms).finish()
             }
-            Self::LoseAll { down_ms, silent } => {
+            Self::KillAll { down_ms, blackhole_first } => {
                 let mut text = out.debug_struct("LoseAll");
-                text.field("down_ms", down_ms).field("silent", silent).finish()
+                text.field("down_ms", down_ms).field("silent", blackhole_first).finish()
             }
         }
     }
@@ -309,9 +309,9 @@
         }
         if generator.rng.random_bool(0.7) {
             let at_ms = generator.rng.random_range(STARTUP_MS + for_ms / 2..last_ms);
-            let (down_ms, silent) =
+            let (down_ms, blackhole_first) =
                 (generator.rng.random_range(200..1_500), generator.rng.random_bool(0.5));
-            generator.push_with_publishes(at_ms, Action::LoseAll { down_ms, silent });
+            generator.push_with_publishes(at_ms, Action::KillAll { down_ms, blackhole_first });
         }
         Self::of(generator.actions)
     }
@@ -324,10 +324,10 @@
         for _ in 0..rng.random_range(2..=8) {
             let at_ms = rng.random_range(STARTUP_MS..STARTUP_MS + for_ms);
             let action = match rng.random_range(0..8) {
-                0 => Action::StoreDeaf { for_ms: rng.random_range(200..1_500) },
-                1 => Action::BadEntries,
+                0 => Action::StoreHidesChanges { for_ms: rng.random_range(200..1_500) },
+                1 => Action::UnreadableEntries,
                 2 | 3 => Action::ServerLeaves,
-                4 => Action::ServerRecordSpoilt,
+                4 => Action::ServerRecordCorrupted,
                 _ => Action::ServerRestarts,
             };
             let during_ms = at_ms + rng.random_range(0..=action.duration_ms());
@@ -373,24 +373,24 @@
     /// The predefined schedule of this name; `None` if there is none.
     pub fn named(name: &str, routers: usize) -> Option<Self> {
         let all_routers: Routers = (0..routers).collect();
-        let kill_all = (5_000, Action::LoseAll { down_ms: 500, silent: true });
+        let kill_all = (5_000, Action::KillAll { down_ms: 500, blackhole_first: true });
         let publishes =
             [8_000, 11_000, 12_000, 13_000, 14_000].map(|at_ms| (at_ms, Action::Publish));
         let actions = match name {
             "loss-of-all" => vec![kill_all],
             "loss-of-all-then-silent-store" => {
-                vec![kill_all, (9_300, Action::StoreSilent { for_ms: 1_500 })]
+                vec![kill_all, (9_300, Action::StoreUnresponsive { for_ms: 1_500 })]
             }
             "loss-of-all-then-one-call-unanswered" => {
                 vec![kill_all, (10_500, Action::StoreLeavesWatchesUnanswered)]
             }
             "loss-of-all-then-one-router-s-connections-silent" => {
                 let routers = vec![routers - 1];
-                let dead = Dead::Silent;
+                let fault = ConnectionFault::Blackholed;
                 vec![
                     kill_all,
-                    (10_500, Action::StoreLinksDie { routers, dead }),
-                    (10_500, Action::PeerLinksDie { routers: all_routers, dead }),
+                    (10_500, Action::StoreConnectionsFail { routers, fault }),
+                    (10_500, Action::PeerConnectionsFail { routers: all_routers, fault }),
                 ]
             }
             _ => return None,
@@ -437,35 +437,35 @@
         all_routers.sample(&mut self.rng, count).copied().collect()
     }
 
-    fn random_connection_fault(&mut self) -> Dead {
+    fn random_connection_fault(&mut self) -> ConnectionFault {
         match self.rng.random_bool(0.5) {
-            true => Dead::Silent,
-            false => Dead::Swallowing,
+            true => ConnectionFault::Blackholed,
+            false => ConnectionFault::Discarding,
         }
     }
 
     fn random_fault(&mut self) -> Action {
         let for_ms = self.rng.random_range(300..=FAULT_DURATION_MAX_MS);
-        let (routers, dead) = (self.random_routers(), self.random_connection_fault());
+        let (routers, fault) = (self.random_routers(), self.random_connection_fault());
         match self.rng.random_range(0..13) {
-            0 => Action::StoreRefuses { for_ms },
-            1 | 2 => Action::StoreSilent { for_ms },
+            0 => Action::StoreUnavailable { for_ms },
+            1 | 2 => Action::StoreUnresponsive { for_ms },
             3 => Action::StoreLeavesWatchesUnanswered,
-            4 => Action::StoreForgets,
-            5 => Action::StoreLinksDie { routers, dead },
+            4 => Action::StoreDiscardsHistory,
+            5 => Action::StoreConnectionsFail { routers, fault },
             6 => Action::StoreCut { routers, for_ms },
             7 => Action::StoreStalls { routers, for_ms },
             8 => {
                 let delay_ms = self.rng.random_range(20..400);
-                Action::StoreSlow { routers, delay_ms, for_ms }
+                Action::StoreDelayed { routers, delay_ms, for_ms }
             }
-            9 => Action::PeerLinksDie { routers, dead },
+            9 => Action::PeerConnectionsFail { routers, fault },
             10 => Action::PeersCut { routers, for_ms },
             11 => {
                 let percent = self.rng.random_range(5..=100);
                 Action::DatagramsLost { routers, percent, for_ms }
             }
-            _ if self.rng.random_bool(0.5) => Action::Freeze { routers, for_ms },
+            _ if self.rng.random_bool(0.5) => Action::Suspend { routers, for_ms },
             _ => Action::Kill { routers, down_ms: for_ms },
         }
     }
--- a/soak/tests/printed_texts.rs
+++ b/soak/tests/printed_texts.rs
@@ -3,7 +3,7 @@
 #![allow(missing_docs)]
 
 use doorswitch_soak::observe::ViolationKind;
-use doorswitch_soak::schedule::{Action, Dead, Schedule};
+use doorswitch_soak::schedule::{Action, ConnectionFault, Schedule};
 
 fn printed(action: Action) -> String {
     let schedule = Schedule::of(vec![(5, action)]);
@@ -13,16 +13,16 @@
 #[test]
 fn every_action_is_printed_under_its_name_with_its_fields() {
     let routers = || vec![0, 2];
-    let silent = Dead::Silent;
-    let swallowing = Dead::Swallowing;
+    let blackholed = ConnectionFault::Blackholed;
+    let discarding = ConnectionFault::Discarding;
     let for_ms = 7;
     let texts = [
         (Action::Publish, "Publish"),
-        (Action::StoreRefuses { for_ms }, "StoreRefuses { for_ms: 7 }"),
-        (Action::StoreSilent { for_ms }, "StoreSilent { for_ms: 7 }"),
+        (Action::StoreUnavailable { for_ms }, "StoreRefuses { for_ms: 7 }"),
+        (Action::StoreUnresponsive { for_ms }, "StoreSilent { for_ms: 7 }"),
         (Action::StoreLeavesWatchesUnanswered, "StoreLeavesWatchesUnanswered"),
-        (Action::StoreForgets, "StoreForgets"),
-        (Action::StoreDeaf { for_ms }, "StoreDeaf { for_ms: 7 }"),
+        (Action::StoreDiscardsHistory, "StoreForgets"),
+        (Action::StoreHidesChanges { for_ms }, "StoreDeaf { for_ms: 7 }"),
         (
             Action::StoreRestored {
                 backup_age_ms: 1,
@@ -32,12 +32,12 @@
             },
             "StoreRestored { backup_age_ms: 1, outage_ms: 2, rewrite_delay_ms: 3, keeps_watches: true }",
         ),
-        (Action::BadEntries, "BadEntries"),
+        (Action::UnreadableEntries, "BadEntries"),
         (Action::ServerRestarts, "ServerRestarts"),
         (Action::ServerLeaves, "ServerLeaves"),
-        (Action::ServerRecordSpoilt, "ServerRecordSpoilt"),
+        (Action::ServerRecordCorrupted, "ServerRecordSpoilt"),
         (
-            Action::StoreLinksDie { routers: routers(), dead: silent },
+            Action::StoreConnectionsFail { routers: routers(), fault: blackholed },
             "StoreLinksDie { routers: [0, 2], dead: Silent }",
         ),
         (
@@ -49,11 +49,11 @@
             "StoreStalls { routers: [0, 2], for_ms: 7 }",
         ),
         (
-            Action::StoreSlow { routers: routers(), delay_ms: 4, for_ms },
+            Action::StoreDelayed { routers: routers(), delay_ms: 4, for_ms },
             "StoreSlow { routers: [0, 2], delay_ms: 4, for_ms: 7 }",
         ),
         (
-            Action::PeerLinksDie { routers: routers(), dead: swallowing },
+            Action::PeerConnectionsFail { routers: routers(), fault: discarding },
             "PeerLinksDie { routers: [0, 2], dead: Swallowing }",
         ),
         (
@@ -64,9 +64,12 @@
             Action::DatagramsLost { routers: routers(), percent: 40, for_ms },
             "DatagramsLost { routers: [0, 2], percent: 40, for_ms: 7 }",
         ),
-        (Action::Freeze { routers: routers(), for_ms }, "Freeze { routers: [0, 2], for_ms: 7 }"),
+        (Action::Suspend { routers: routers(), for_ms }, "Freeze { routers: [0, 2], for_ms: 7 }"),
         (Action::Kill { routers: routers(), down_ms: 8 }, "Kill { routers: [0, 2], down_ms: 8 }"),
-        (Action::LoseAll { down_ms: 8, silent: false }, "LoseAll { down_ms: 8, silent: false }"),
+        (
+            Action::KillAll { down_ms: 8, blackhole_first: false },
+            "LoseAll { down_ms: 8, silent: false }",
+        ),
     ];
     for (action, text) in texts {
         assert_eq!(printed(action), format!("step=0 at_ms=5 action={text}"));
@@ -76,16 +79,16 @@
 #[test]
 fn every_violation_is_printed_under_its_name_and_in_order() {
     let texts = [
-        (ViolationKind::Stale, "Stale"),
-        (ViolationKind::Reverted, "Reverted"),
-        (ViolationKind::Unready, "Unready"),
-        (ViolationKind::EarlierLife, "EarlierLife"),
-        (ViolationKind::PoisonSent, "PoisonSent"),
-        (ViolationKind::InnocentKept, "InnocentKept"),
+        (ViolationKind::ConfigurationStale, "Stale"),
+        (ViolationKind::ConfigurationReverted, "Reverted"),
+        (ViolationKind::RouterUnready, "Unready"),
+        (ViolationKind::RequestToEndedServer, "EarlierLife"),
+        (ViolationKind::PoisonRequestSent, "PoisonSent"),
+        (ViolationKind::HarmlessRequestQuarantined, "InnocentKept"),
         (ViolationKind::LimitExceeded, "LimitExceeded"),
-        (ViolationKind::RefusedBesideFree, "RefusedBesideFree"),
-        (ViolationKind::SentToLeaving, "SentToLeaving"),
-        (ViolationKind::SentInBackoff, "SentInBackoff"),
+        (ViolationKind::RefusedWithFreeServer, "RefusedBesideFree"),
+        (ViolationKind::SentToLeavingServer, "SentToLeaving"),
+        (ViolationKind::SentDuringBackoff, "SentInBackoff"),
     ];
     assert!(texts.is_sorted_by_key(|(kind, _)| *kind));
     for (kind, text) in texts {
