--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -114,7 +114,7 @@
     pub fn start_server(&mut self, name: &str) -> Result<usize, Error> {
         let number = self.lives.len();
         let script: backend::Script =
-            Box::new(move |_, _| vec![backend::whole("200 OK", &format!("{number:04}"))]);
+            Box::new(move |_, _| vec![backend::response("200 OK", &format!("{number:04}"))]);
         let started = backend::Backend::start(script);
         self.lives.push(started.context(IoSnafu { what: "start a backend server" })?);
         self.record_server(name, number, "ready");
--- a/soak/src/limited.rs
+++ b/soak/src/limited.rs
@@ -93,7 +93,11 @@
         if value.is_some() {
             limit.since.get_or_insert_with(Instant::now);
         }
-        vec![backend::whole_with("200 OK", &backend::limit_line(value.as_deref()), "answer")]
+        vec![backend::response_with_headers(
+            "200 OK",
+            &backend::limit_line(value.as_deref()),
+            "answer",
+        )]
     })
 }
 
@@ -184,7 +188,7 @@
     /// Checks the requests that a server received from connected routers against its limits.
     fn check_limits(&mut self, index: usize) {
         let server = &self.servers[index];
-        let arrivals = server.backend.seen().into_iter().zip(server.backend.arrivals());
+        let arrivals = server.backend.requests().into_iter().zip(server.backend.arrivals());
         let arrivals: Vec<(usize, Instant)> = arrivals
             .filter_map(|(request, at)| {
                 let router = self.connected_routers.get(request.id()?)?;
--- a/soak/src/outspoken.rs
+++ b/soak/src/outspoken.rs
@@ -94,7 +94,7 @@
 fn script(replies: Replies) -> backend::Script {
     Box::new(move |_, request| {
         let reply = replies.next(request);
-        vec![backend::whole_with(reply.status, &reply.lines, "answer")]
+        vec![backend::response_with_headers(reply.status, &reply.lines, "answer")]
     })
 }
 
--- a/soak/src/poison.rs
+++ b/soak/src/poison.rs
@@ -66,7 +66,7 @@
     let script = || -> backend::Script {
         Box::new(|_, request| match request.line.contains("poison") {
             true => vec![backend::Step::Crash(RESTART_DELAY)],
-            false => vec![backend::whole("200 OK", "answer")],
+            false => vec![backend::response("200 OK", "answer")],
         })
     };
     let servers: Result<Vec<_>, _> = (0..SERVERS).map(|_| servers::start(script())).collect();
@@ -111,7 +111,7 @@
 
     fn poison_arrivals(&self) -> usize {
         let poison = |server: &backend::Backend| {
-            server.seen().iter().filter(|request| request.line.contains("poison")).count()
+            server.requests().iter().filter(|request| request.line.contains("poison")).count()
         };
         self.servers.iter().map(poison).sum()
     }
--- a/standins/src/backend.rs
+++ b/standins/src/backend.rs
@@ -19,7 +19,7 @@
 
 /// A received request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct ReceivedRequest {
     /// The request line: method, path and version.
     pub line: String,
     /// Header names in lower case, and their values.
@@ -30,7 +30,7 @@
     pub connection: usize,
 }
 
-impl Seen {
+impl ReceivedRequest {
     /// The value of the first header with this lower-case name.
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut headers = self.headers.iter();
@@ -69,7 +69,7 @@
 }
 
 /// Returns the steps of the answer to a request. The number counts the requests of this server from 0.
-pub type Script = Box<dyn FnMut(usize, &Seen) -> Vec<Step> + Send>;
+pub type Script = Box<dyn FnMut(usize, &ReceivedRequest) -> Vec<Step> + Send>;
 
 /// A running scripted server; it stops when dropped.
 pub struct Backend {
@@ -85,7 +85,7 @@
 
 struct State {
     script: Script,
-    requests: Vec<Seen>,
+    requests: Vec<ReceivedRequest>,
     /// When each request of `requests` was received.
     arrivals: Vec<Instant>,
     closed_by_client: usize,
@@ -135,11 +135,11 @@
     }
 
     /// All requests received so far.
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn requests(&self) -> Vec<ReceivedRequest> {
         self.shared.lock().requests.clone()
     }
 
-    /// When each request of [`Self::seen`] was received.
+    /// When each request of [`Self::requests`] was received.
     pub fn arrivals(&self) -> Vec<Instant> {
         self.shared.lock().arrivals.clone()
     }
@@ -256,7 +256,7 @@
 /// Runs a step; `false` ends the connection.
 fn run_step(
     step: Step,
-    request: &Seen,
+    request: &ReceivedRequest,
     writer: &mut net::TcpStream,
     reader: &mut BufReader<net::TcpStream>,
     shared: &Shared,
@@ -352,7 +352,7 @@
 fn read_request(
     reader: &mut BufReader<net::TcpStream>,
     shared: &Shared,
-) -> io::Result<Option<Seen>> {
+) -> io::Result<Option<ReceivedRequest>> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         match read_byte(reader, shared)? {
@@ -367,7 +367,7 @@
         .filter_map(|line| line.split_once(':'))
         .map(|(name, value)| (name.to_ascii_lowercase(), value.trim().to_owned()))
         .collect();
-    let mut request = Seen { line, headers, ..Seen::default() };
+    let mut request = ReceivedRequest { line, headers, ..ReceivedRequest::default() };
     let length = request.header("content-length").and_then(|value| value.parse().ok()).unwrap_or(0);
     while request.body.len() < length {
         match read_byte(reader, shared)? {
@@ -394,12 +394,12 @@
 }
 
 /// A complete answer with a `Content-Length` header.
-pub fn whole(status: &str, body: &str) -> Step {
-    whole_with(status, "", body)
+pub fn response(status: &str, body: &str) -> Step {
+    response_with_headers(status, "", body)
 }
 
 /// A complete answer with further header lines, each of which ends with CRLF.
-pub fn whole_with(status: &str, lines: &str, body: &str) -> Step {
+pub fn response_with_headers(status: &str, lines: &str, body: &str) -> Step {
     Step::Write(format!(
         "HTTP/1.1 {status}\r\nAttempt-Id: {{id}}\r\nServer-Seal: seal\r\n{lines}Content-Length: {}\r\n\r\n{body}",
         body.len()
--- a/standins/src/replies.rs
+++ b/standins/src/replies.rs
@@ -79,7 +79,7 @@
     }
 
     /// Returns and records the reply to a request.
-    pub fn next(&self, request: &backend::Seen) -> Reply {
+    pub fn next(&self, request: &backend::ReceivedRequest) -> Reply {
         let mut state = self.lock();
         let reply = state.reply.clone();
         let given = Given {
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -52,7 +52,7 @@
     eventually("the servers are known", || fleet.dump(0)["servers"]["closing-1"].is_object());
     let answer = fleet.release(0, "hold", "{}").unwrap();
     let calls = |server: &backend::Backend| {
-        server.seen().iter().filter(|seen| seen.line.starts_with("POST")).count()
+        server.requests().iter().filter(|seen| seen.line.starts_with("POST")).count()
     };
     let sent: usize = servers.iter().map(calls).sum();
     assert_eq!(
--- a/tests/fleet/scripted.rs
+++ b/tests/fleet/scripted.rs
@@ -52,10 +52,10 @@
         let pause = backend::Step::Pause(reply.work);
         if !reply.ran() {
             let body = r#"{"error":{"ran":"not_run"}}"#;
-            return vec![pause, backend::whole_with(status, lines, body)];
+            return vec![pause, backend::response_with_headers(status, lines, body)];
         }
         if !seen.line.contains("/v1/") {
-            return vec![pause, backend::whole_with(status, lines, "answer")];
+            return vec![pause, backend::response_with_headers(status, lines, "answer")];
         }
         let answer = serde_json::json!({
             "choices": [{ "index": 0, "delta": { "content": "a" }, "finish_reason": "length" }],
@@ -137,7 +137,7 @@
     /// When requests of callers reached a server.
     pub fn arrivals(&self, server: usize, after: Instant) -> Vec<Instant> {
         let server = &self.servers[server];
-        let seen = server.seen().into_iter().zip(server.arrivals());
+        let seen = server.requests().into_iter().zip(server.arrivals());
         let counted = seen.filter(|(seen, at)| !seen.line.contains("/load ") && *at >= after);
         counted.map(|(_, at)| at).collect()
     }
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -7,7 +7,7 @@
 mod routes;
 
 use doorswitch_platform::configuration::LEDGER_SHARDS;
-use doorswitch_standins::backend::{Script, Step, whole};
+use doorswitch_standins::backend::{Script, Step, response};
 use doorswitch_standins::store;
 use fleet::eventually;
 use routes::{KEY, PREPAID, Request, STREAM_HEAD, World, answers, event, last_chunk, request};
@@ -24,7 +24,7 @@
 }
 
 fn total_seen(world: &World) -> usize {
-    world.backends.iter().map(|backend| backend.seen().len()).sum()
+    world.backends.iter().map(|backend| backend.requests().len()).sum()
 }
 
 #[test]
@@ -65,7 +65,8 @@
 
 #[test]
 fn the_servers_own_failure_is_passed_on_with_its_seal() {
-    let failing = || -> Script { Box::new(|_, _| vec![whole("500 Internal Server Error", "sad")]) };
+    let failing =
+        || -> Script { Box::new(|_, _| vec![response("500 Internal Server Error", "sad")]) };
     let world = World::start("failure", vec![failing(), failing()]);
     let answer = world.ask(0, &request("/read/x", "id-1"));
     assert_eq!((answer.status, answer.text().as_str()), (500, "sad"));
@@ -192,7 +193,7 @@
     assert!(world.ask(0, &request("/stream/x", "before")).whole);
     world.store.set_mode(mode);
     let mut running = world.send(0, &request("/long-stream/x", "running"));
-    eventually("the server has it", || world.backends[0].seen().len() == 2);
+    eventually("the server has it", || world.backends[0].requests().len() == 2);
     world.signal(0, "HUP");
     world.signal(0, "TERM");
     eventually("the balancer is told", || world.ready(0).is_none_or(|status| status == 503));
@@ -223,7 +224,7 @@
     let mut world = World::start("stop", vec![script]);
     let metered = Request { tokens: Some((8_000, 2_000)), ..request("/stream/x", "id-1") };
     let mut client = world.send(0, &metered);
-    eventually("the server has it", || world.backends[0].seen().len() == 1);
+    eventually("the server has it", || world.backends[0].requests().len() == 1);
     world.signal(0, "TERM");
     eventually("the balancer is told", || world.ready(0).is_none_or(|status| status == 503));
     let answer = routes::read_answer(&mut client);
@@ -246,7 +247,7 @@
     let mut world = World::start("outlasted", vec![hangs]);
     let long = Request { tokens: Some((8_000, 2_000)), ..routes::patient("/long/x", "id-1") };
     let _client = world.send(0, &long);
-    eventually("the server has it", || world.backends[0].seen().len() == 1);
+    eventually("the server has it", || world.backends[0].requests().len() == 1);
     world.signal(0, "TERM");
     let granted = || -> u64 {
         let keys = (0..LEDGER_SHARDS).map(doorswitch_core::ledger::key);
@@ -346,7 +347,7 @@
         number += 1;
         world.ask(0, &metered(&format!("rest-{number}"))).status == 402
     });
-    let served = world.backends[0].seen().len() as u64;
+    let served = world.backends[0].requests().len() as u64;
     assert!(served * 8_000 <= PREPAID, "{served} requests ran");
 }
 
--- a/tests/http_ends.rs
+++ b/tests/http_ends.rs
@@ -6,7 +6,7 @@
 mod fleet;
 mod routes;
 
-use doorswitch_standins::backend::{Step, whole};
+use doorswitch_standins::backend::{Step, response};
 use fleet::eventually;
 use routes::{KEY, Request, STREAM_HEAD, World, answers, event, last_chunk, patient, request};
 use std::io::Write;
@@ -28,7 +28,7 @@
     let answer = world.ask(0, &asked);
     assert_eq!((answer.status, answer.text().as_str()), (200, "done"));
     assert_eq!(answer.header("server-seal").as_deref(), Some("seal"));
-    let seen = &world.backends[0].seen()[0];
+    let seen = &world.backends[0].requests()[0];
     assert_eq!(seen.line, "POST /read/a%20b?c=d&e HTTP/1.1");
     assert_eq!(seen.body, b"the body");
     assert_eq!(seen.header("host"), Some(routes::HOST));
@@ -53,11 +53,11 @@
     );
     stream.write_all(head.as_bytes()).unwrap();
     assert_eq!(routes::read_answer(&mut stream).status, 200);
-    assert_eq!(world.backends[0].seen()[0].body, b"four");
+    assert_eq!(world.backends[0].requests()[0].body, b"four");
     let large = "x".repeat(70_000);
     let answer = world.ask(0, &Request { body: &large, ..request("/read/x", "id-2") });
     assert_eq!(answer.status, 413);
-    assert_eq!(world.backends[0].seen().len(), 1);
+    assert_eq!(world.backends[0].requests().len(), 1);
 }
 
 #[test]
@@ -66,7 +66,7 @@
     assert_eq!(world.ask(0, &request("/nowhere/x", "id-1")).status, 404);
     let wrong = Request { key: "another-key", ..request("/read/x", "id-2") };
     assert_eq!(world.ask(0, &wrong).status, 401);
-    assert!(world.backends[0].seen().is_empty());
+    assert!(world.backends[0].requests().is_empty());
 }
 
 #[test]
@@ -86,8 +86,8 @@
 fn a_second_answer_behind_the_first_reaches_nobody() {
     let glued = "HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nContent-Length: 5\r\n\r\nstray";
     let script = Box::new(move |number, _: &_| match number {
-        0 => vec![whole("200 OK", "first"), Step::Write(glued.to_owned())],
-        _ => vec![whole("200 OK", "second")],
+        0 => vec![response("200 OK", "first"), Step::Write(glued.to_owned())],
+        _ => vec![response("200 OK", "second")],
     });
     let world = World::start("surplus", vec![script]);
     assert_eq!(world.ask(0, &request("/read/x", "id-1")).text(), "first");
@@ -108,7 +108,7 @@
     let late = "HTTP/1.1 200 OK\r\nAttempt-Id: other\r\nContent-Length: 4\r\n\r\nlate";
     let script = Box::new(move |number, _: &_| match number {
         0 => vec![Step::Write(late.to_owned())],
-        _ => vec![whole("200 OK", "own")],
+        _ => vec![response("200 OK", "own")],
     });
     let world = World::start("late", vec![script]);
     let once = world.ask(0, &request("/pay/x", "id-1"));
@@ -120,7 +120,7 @@
 fn a_client_that_leaves_frees_its_server() {
     let world = World::start("leaves", vec![Box::new(|_, _| vec![Step::AwaitClose])]);
     let client = world.send(0, &patient("/long/x", "id-1"));
-    eventually("the server has it", || world.backends[0].seen().len() == 1);
+    eventually("the server has it", || world.backends[0].requests().len() == 1);
     drop(client);
     eventually("the server is free", || world.backends[0].closed_by_client() == 1);
 }
@@ -130,10 +130,10 @@
     let world = World::start("pipelined", vec![Box::new(|_, _| vec![Step::AwaitClose])]);
     let mut client = world.send(0, &patient("/long/x", "id-1"));
     client.write_all(patient("/long/x", "id-2").bytes().as_bytes()).unwrap();
-    eventually("the server has it", || world.backends[0].seen().len() == 1);
+    eventually("the server has it", || world.backends[0].requests().len() == 1);
     drop(client);
     eventually("the server is free", || world.backends[0].closed_by_client() == 1);
-    assert_eq!(world.backends[0].seen().len(), 1);
+    assert_eq!(world.backends[0].requests().len(), 1);
 }
 
 #[test]
@@ -142,7 +142,7 @@
     let script = Box::new(move |_, _: &_| vec![head.clone(), event(1), Step::AwaitClose]);
     let world = World::start("quiet", vec![script]);
     let client = world.send(0, &patient("/long-stream/x", "id-1"));
-    eventually("the server has it", || world.backends[0].seen().len() == 1);
+    eventually("the server has it", || world.backends[0].requests().len() == 1);
     std::thread::sleep(Duration::from_millis(50));
     drop(client);
     eventually("the server is free", || world.backends[0].closed_by_client() == 1);
@@ -150,15 +150,15 @@
 
 #[test]
 fn pipelined_requests_are_answered_in_order() {
-    let script = Box::new(|_, seen: &doorswitch_standins::backend::Seen| {
-        vec![whole("200 OK", seen.header("attempt-id").unwrap())]
+    let script = Box::new(|_, seen: &doorswitch_standins::backend::ReceivedRequest| {
+        vec![response("200 OK", seen.header("attempt-id").unwrap())]
     });
     let world = World::start("order", vec![script]);
     let mut client = world.send(0, &request("/read/x", "id-1"));
     client.write_all(request("/read/x", "id-2").bytes().as_bytes()).unwrap();
     let first = routes::read_answer(&mut client);
     assert!(first.text().starts_with("id-1"));
-    eventually("both ran", || world.backends[0].seen().len() == 2);
+    eventually("both ran", || world.backends[0].requests().len() == 2);
 }
 
 #[test]
@@ -183,7 +183,7 @@
     let answer = world.ask(0, &request("/stream/x", "id-1"));
     assert!(!answer.whole);
     assert_eq!(answer.text(), "id: 1\ndata: piece 1\n\n", "no part of an event");
-    assert_eq!(world.backends[0].seen().len(), 1, "it runs at most once");
+    assert_eq!(world.backends[0].requests().len(), 1, "it runs at most once");
 }
 
 #[test]
--- a/tests/leaving_servers.rs
+++ b/tests/leaving_servers.rs
@@ -194,7 +194,7 @@
 /// An answer to another request may be another server's, or an earlier one's.
 #[test]
 fn an_answer_to_another_request_does_not_tell_that_a_server_leaves() {
-    let strange = |_: usize, _: &backend::Seen| {
+    let strange = |_: usize, _: &backend::ReceivedRequest| {
         let text = format!(
             "HTTP/1.1 200 OK\r\nAttempt-Id: other\r\nServer-Seal: seal\r\n{LEAVING_LINE}\
              Content-Length: 0\r\n\r\n"
--- a/tests/poison_calls.rs
+++ b/tests/poison_calls.rs
@@ -46,7 +46,7 @@
             let body = format!("{:x}\r\n{events}\r\n0\r\n\r\n", events.len());
             steps.push(backend::Step::Write(body));
         } else {
-            steps.push(backend::whole("200 OK", "answer"));
+            steps.push(backend::response("200 OK", "answer"));
         }
         steps
     })
@@ -75,7 +75,7 @@
 
     fn arrivals(&self) -> Vec<Instant> {
         let seen = self.servers.iter().flat_map(|server| {
-            server.seen().into_iter().zip(server.arrivals()).collect::<Vec<_>>()
+            server.requests().into_iter().zip(server.arrivals()).collect::<Vec<_>>()
         });
         let poison =
             seen.filter(|(seen, _)| String::from_utf8_lossy(&seen.body).contains("poison"));
--- a/tests/poison_requests.rs
+++ b/tests/poison_requests.rs
@@ -84,7 +84,7 @@
             }
             (false, true) => vec![event(2), last_chunk()],
             (false, false) => {
-                let answer = backend::whole("200 OK", "answer");
+                let answer = backend::response("200 OK", "answer");
                 vec![backend::Step::Pause(Duration::from_millis(40)), answer]
             }
         };
@@ -169,7 +169,7 @@
     fn arrivals(&self, text: &str) -> Vec<Instant> {
         let mut arrivals = Vec::new();
         for backend in &self.world.backends {
-            let seen = backend.seen().into_iter().zip(backend.arrivals());
+            let seen = backend.requests().into_iter().zip(backend.arrivals());
             let with_text =
                 seen.filter(|(seen, _)| String::from_utf8_lossy(&seen.body).contains(text));
             arrivals.extend(with_text.map(|(_, at)| at));
--- a/tests/routes/mod.rs
+++ b/tests/routes/mod.rs
@@ -421,5 +421,5 @@
 
 /// A server that answers every request with this text.
 pub fn answers(text: &'static str) -> backend::Script {
-    Box::new(move |_, _| vec![backend::whole("200 OK", text)])
+    Box::new(move |_, _| vec![backend::response("200 OK", text)])
 }
--- a/tests/routes/replying.rs
+++ b/tests/routes/replying.rs
@@ -14,7 +14,10 @@
         let reply = replies.next(seen);
         let pause = backend::Step::Pause(reply.work);
         if !reply.ran() || !seen.line.contains("stream") {
-            return vec![pause, backend::whole_with(reply.status, &reply.lines, "answer")];
+            return vec![
+                pause,
+                backend::response_with_headers(reply.status, &reply.lines, "answer"),
+            ];
         }
         let head = STREAM_HEAD.replace("\r\n\r\n", &format!("\r\n{}\r\n", reply.lines));
         vec![pause, backend::Step::Write(head), event(1), event(2), last_chunk()]
@@ -47,7 +50,7 @@
     /// The requests that reached a server in a span of time: when they came, and their ids.
     pub fn arrivals(&self, server: usize, from: Instant, to: Instant) -> Vec<(Instant, String)> {
         let server = &self.world.backends[server];
-        let seen = server.arrivals().into_iter().zip(server.seen());
+        let seen = server.arrivals().into_iter().zip(server.requests());
         let seen = seen.map(|(at, seen)| (at, seen.id().unwrap_or_default().to_owned()));
         seen.filter(|(at, _)| (from..to).contains(at)).collect()
     }
--- a/tests/server_limits.rs
+++ b/tests/server_limits.rs
@@ -53,7 +53,7 @@
     Box::new(move |_, seen| {
         let header = named.header();
         if !seen.line.contains("stream") {
-            let answer = backend::whole_with("200 OK", &header, "answer");
+            let answer = backend::response_with_headers("200 OK", &header, "answer");
             return vec![backend::Step::Pause(work), answer];
         }
         let head = routes::STREAM_HEAD.replace("\r\n\r\n", &format!("\r\n{header}\r\n"));
@@ -72,7 +72,7 @@
     Box::new(move |_, _| {
         let header = named.header();
         let lines = format!("Not-Executed: full\r\n{header}");
-        vec![backend::whole_with("503 Busy", &lines, "")]
+        vec![backend::response_with_headers("503 Busy", &lines, "")]
     })
 }
 
--- a/tests/server_lives.rs
+++ b/tests/server_lives.rs
@@ -66,7 +66,7 @@
     let taken = taken.clone();
     Box::new(move |_, _| match taken.fetch_add(1, Ordering::Relaxed) {
         0 => vec![backend::Step::AwaitClose],
-        _ => vec![backend::whole("200 OK", "answer")],
+        _ => vec![backend::response("200 OK", "answer")],
     })
 }
 
@@ -103,12 +103,12 @@
     let world = world("lives-resting", vec![answers("0")]);
     fleet::eventually("it is used", || status(&world, 0) == 200);
     assert_eq!(status(&world, 0), 200);
-    let before = world.backends[0].seen().last().unwrap().connection;
+    let before = world.backends[0].requests().last().unwrap().connection;
     world.record_server_born(0, "ready", LATER);
     world.store.put("servers/mark", b"{");
     fleet::eventually("it is read", || world.log(0).contains("key=\"servers/mark\""));
     assert_eq!(status(&world, 0), 200);
-    let after = world.backends[0].seen().last().unwrap().connection;
+    let after = world.backends[0].requests().last().unwrap().connection;
     assert_ne!(before, after);
 }
 
--- a/tests/unanswered_calls.rs
+++ b/tests/unanswered_calls.rs
@@ -60,7 +60,7 @@
     let taken = taken.clone();
     Box::new(move |_, _| match taken.fetch_add(1, Ordering::Relaxed) {
         0 => vec![backend::Step::AwaitClose],
-        _ => vec![backend::whole("200 OK", "answer")],
+        _ => vec![backend::response("200 OK", "answer")],
     })
 }
 
