--- a/soak/src/outspoken.rs
+++ b/soak/src/outspoken.rs
@@ -2,7 +2,7 @@
 //! a client that sends requests to them through all routers in turn.
 
 use crate::{fleet, observe, prober, servers};
-use doorswitch_standins::replies::{Given, Replies, Reply};
+use doorswitch_standins::replies::{Replies, Reply, SentReply};
 use doorswitch_standins::{backend, store, wire};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -160,7 +160,7 @@
         let reply = match self.rng.random_range(0..4) {
             0 => served,
             1 => served.with(backend::LEAVING_LINE),
-            _ => Reply::turned_away(&backend::retry_after_line(&format!("{backoff_s:.2}"))),
+            _ => Reply::rejected(&backend::retry_after_line(&format!("{backoff_s:.2}"))),
         };
         let server = &mut self.servers[index];
         server.is_leaving = reply.lines.contains(backend::LEAVING_LINE);
@@ -194,8 +194,8 @@
     }
 
     /// All replies of a server, each with its request.
-    fn replies_with_requests(&self, index: usize) -> Vec<(Given, Sent)> {
-        let replies = self.servers[index].replies.given().into_iter();
+    fn replies_with_requests(&self, index: usize) -> Vec<(SentReply, Sent)> {
+        let replies = self.servers[index].replies.sent().into_iter();
         replies.filter_map(|reply| Some((reply.clone(), *self.sent.get(&reply.id)?))).collect()
     }
 
@@ -231,7 +231,7 @@
             let backoff_period = backoff_reply.at + BACKOFF_GRACE
                 ..backoff_reply.at + Duration::from_secs_f64(backoff_s);
             let life = server.life_at(backoff_reply.at);
-            let in_backoff = |(reply, sent): &&(Given, Sent)| {
+            let in_backoff = |(reply, sent): &&(SentReply, Sent)| {
                 let same_processes =
                     sent.router == request.router && server.life_at(reply.at) == life;
                 same_processes && backoff_period.contains(&reply.at)
--- a/standins/src/replies.rs
+++ b/standins/src/replies.rs
@@ -22,7 +22,7 @@
     }
 
     /// A reply of a server that rejects the request without executing it; `lines` as in [`Reply::lines`].
-    pub fn turned_away(lines: &str) -> Self {
+    pub fn rejected(lines: &str) -> Self {
         let lines = format!("Not-Executed: full\r\n{lines}");
         Self { status: "503 Busy", lines, work: Duration::ZERO }
     }
@@ -34,14 +34,14 @@
     }
 
     /// Whether the request was executed.
-    pub fn ran(&self) -> bool {
+    pub fn executed(&self) -> bool {
         self.status.starts_with('2')
     }
 }
 
 /// A reply that was sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Given {
+pub struct SentReply {
     /// The request's `Attempt-Id` header, or else its `Idempotency-Key` header.
     pub id: String,
     /// The server instance for which the request was intended (`Expect-Instance`).
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 struct State {
     reply: Reply,
-    given: Vec<Given>,
+    sent: Vec<SentReply>,
 }
 
 /// The current reply of one server and the replies that it has sent.
@@ -65,7 +65,7 @@
 impl Replies {
     /// Creates the replies of a server that starts with this reply.
     pub fn new(reply: Reply) -> Self {
-        Self(Arc::new(Mutex::new(State { reply, given: Vec::new() })))
+        Self(Arc::new(Mutex::new(State { reply, sent: Vec::new() })))
     }
 
     /// Sets the reply to all further requests.
@@ -74,21 +74,21 @@
     }
 
     /// All replies sent so far.
-    pub fn given(&self) -> Vec<Given> {
-        self.lock().given.clone()
+    pub fn sent(&self) -> Vec<SentReply> {
+        self.lock().sent.clone()
     }
 
     /// Returns and records the reply to a request.
     pub fn next(&self, request: &backend::ReceivedRequest) -> Reply {
         let mut state = self.lock();
         let reply = state.reply.clone();
-        let given = Given {
+        let sent_reply = SentReply {
             id: request.id().or(request.header("idempotency-key")).unwrap_or_default().to_owned(),
             expected: request.header("expect-instance").map(str::to_owned),
             at: Instant::now() + reply.work,
             reply: reply.clone(),
         };
-        state.given.push(given);
+        state.sent.push(sent_reply);
         reply
     }
 
--- a/tests/fleet/scripted.rs
+++ b/tests/fleet/scripted.rs
@@ -50,7 +50,7 @@
         let reply = if load { Reply::served(Duration::ZERO) } else { replies.next(seen) };
         let (status, lines) = (reply.status, &reply.lines);
         let pause = backend::Step::Pause(reply.work);
-        if !reply.ran() {
+        if !reply.executed() {
             let body = r#"{"error":{"ran":"not_run"}}"#;
             return vec![pause, backend::response_with_headers(status, lines, body)];
         }
--- a/tests/leaving_servers.rs
+++ b/tests/leaving_servers.rs
@@ -7,7 +7,7 @@
 mod routes;
 
 use doorswitch_standins::backend::{self, LEAVING_LINE};
-use doorswitch_standins::replies::{Given, Reply};
+use doorswitch_standins::replies::{Reply, SentReply};
 use routes::load::{self, Got, check_served, router_of};
 use routes::replying::Replying;
 use std::collections::HashMap;
@@ -28,9 +28,9 @@
 /// The requests that reached a server under an id though their client sent them too late.
 fn late(replying: &Replying, server: usize, vm: &str, got: &[Got]) -> Vec<Duration> {
     let by_id: HashMap<&str, &Got> = got.iter().map(|one| (one.id.as_str(), one)).collect();
-    let given = replying.servers[server].given();
-    let meant = |given: &&Given| given.expected.as_deref() == Some(vm);
-    let given: Vec<&Given> = given.iter().filter(meant).collect();
+    let given = replying.servers[server].sent();
+    let meant = |given: &&SentReply| given.expected.as_deref() == Some(vm);
+    let given: Vec<&SentReply> = given.iter().filter(meant).collect();
     let mut told: HashMap<usize, Instant> = HashMap::new();
     for one in given.iter().filter(|one| one.reply.lines.contains(LEAVING_LINE)) {
         let Some(got) = by_id.get(one.id.as_str()) else { continue };
--- a/tests/routes/replying.rs
+++ b/tests/routes/replying.rs
@@ -13,7 +13,7 @@
     Box::new(move |_, seen| {
         let reply = replies.next(seen);
         let pause = backend::Step::Pause(reply.work);
-        if !reply.ran() || !seen.line.contains("stream") {
+        if !reply.executed() || !seen.line.contains("stream") {
             return vec![
                 pause,
                 backend::response_with_headers(reply.status, &reply.lines, "answer"),
--- a/tests/server_backoff.rs
+++ b/tests/server_backoff.rs
@@ -7,7 +7,7 @@
 mod routes;
 
 use doorswitch_standins::backend::retry_after_line;
-use doorswitch_standins::replies::{Given, Reply};
+use doorswitch_standins::replies::{Reply, SentReply};
 use routes::load::{Got, check_served, router_of};
 use routes::replying::Replying;
 use std::time::{Duration, Instant, SystemTime};
@@ -26,18 +26,18 @@
 const WINDOW: Duration = Duration::from_secs(4);
 
 fn asks_for(value: &str) -> Reply {
-    Reply::turned_away(&retry_after_line(value))
+    Reply::rejected(&retry_after_line(value))
 }
 
 /// The seconds that a reply asks for.
-fn asked(given: &Given) -> Option<Duration> {
+fn asked(given: &SentReply) -> Option<Duration> {
     let line = given.reply.lines.lines().find_map(|line| line.strip_prefix("Retry-After: "))?;
     Some(Duration::from_secs_f64(line.parse().ok()?))
 }
 
 /// The most requests from one router that reached a server in a backoff that it had asked that router for.
 fn most_in_a_backoff(replying: &Replying, server: usize) -> usize {
-    let given = replying.servers[server].given();
+    let given = replying.servers[server].sent();
     let backoffs = given.iter().filter_map(|one| Some((router_of(&one.id)?, one.at, asked(one)?)));
     let within = |(router, at, backoff): (usize, Instant, Duration)| {
         let arrivals = replying.arrivals(server, at + FREE, at + backoff);
--- a/tests/server_word_calls.rs
+++ b/tests/server_word_calls.rs
@@ -29,7 +29,7 @@
 fn backoffs(name: &str, work: Work) {
     let scripted = Scripted::start(name);
     scripted.send(work, Duration::from_secs(1));
-    let asks = Reply::turned_away(&retry_after_line(&BACKOFF.as_secs().to_string()));
+    let asks = Reply::rejected(&retry_after_line(&BACKOFF.as_secs().to_string()));
     scripted.replies.set(asks);
     let since = Instant::now();
     let got = scripted.send(work, Duration::from_secs(5));
@@ -65,7 +65,7 @@
 fn calls_are_refused_at_once_when_the_only_servers_back_off() {
     let scripted = Scripted::with_servers("backoff-all-calls", 1);
     scripted.send(Work::Release, Duration::from_secs(1));
-    scripted.replies.set(Reply::turned_away(&retry_after_line("5")));
+    scripted.replies.set(Reply::rejected(&retry_after_line("5")));
     let got = scripted.send(Work::Release, Duration::from_secs(3));
     let refused: Vec<_> = got.iter().filter(|one| one.sent > got[0].sent + SETTLED).collect();
     assert!(!refused.is_empty());
