--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -134,12 +134,12 @@
 
     /// Overwrites a server's record with an unreadable value, as a faulty writer would.
     pub fn corrupt_record(&self, name: &str) {
-        self.store.spoil_server(name);
+        self.store.corrupt_server_record(name);
     }
 
     /// Adds unreadable entries under every prefix that routers follow, as a faulty writer would.
     pub fn put_bad_entries(&self) {
-        self.store.put_bad_entries(UNREADABLE_VALUES);
+        self.store.put_unreadable_entries(UNREADABLE_VALUES);
     }
 
     fn new_router(&self, index: usize, net: [u8; 2]) -> io::Result<Router> {
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -187,10 +187,10 @@
                 self.begin_fault(&self.all_routers());
                 self.fleet.store().leave_open_watches_unanswered();
             }
-            Action::StoreDiscardsHistory => self.fleet.store().forget(),
+            Action::StoreDiscardsHistory => self.fleet.store().discard_history(),
             Action::StoreHidesChanges { .. } => {
                 self.begin_fault(&self.all_routers());
-                self.fleet.store().go_deaf();
+                self.fleet.store().hide_changes();
             }
             Action::UnreadableEntries => self.fleet.put_bad_entries(),
             Action::ServerRestarts => {
@@ -279,7 +279,7 @@
         if *rewrite_delay_ms == 0 {
             self.repeat_lost_writes();
         }
-        self.fleet.store().set_mode(store::Mode::Well);
+        self.fleet.store().set_mode(store::Mode::Normal);
     }
 
     /// Repeats the writes of the operator and the servers that restores lost.
@@ -314,11 +314,11 @@
             | Action::ServerLeaves
             | Action::ServerRecordCorrupted => {}
             Action::StoreHidesChanges { .. } => {
-                self.fleet.store().forget();
+                self.fleet.store().discard_history();
                 self.end_fault(&self.all_routers());
             }
             Action::StoreUnavailable { .. } | Action::StoreUnresponsive { .. } => {
-                self.fleet.store().set_mode(store::Mode::Well);
+                self.fleet.store().set_mode(store::Mode::Normal);
                 self.end_fault(&self.all_routers());
             }
             Action::StoreRestored { .. } => {
--- a/standins/src/store.rs
+++ b/standins/src/store.rs
@@ -23,7 +23,7 @@
 pub enum Mode {
     /// No fault.
     #[default]
-    Well,
+    Normal,
     /// Every call is answered with 503 and has no effect.
     Down,
     /// Writes take effect, but their answers are never sent.
@@ -37,7 +37,7 @@
 pub enum EraHeader {
     /// The header contains the current era.
     #[default]
-    Named,
+    Current,
     /// The header is not sent.
     Absent,
     /// The header contains this text.
@@ -153,7 +153,7 @@
     fn answer(&self, status: StatusCode) -> HttpResponseBuilder {
         let mut response = HttpResponse::build(status);
         match self.era_header {
-            EraHeader::Named => response.insert_header(("Store-Era", self.era.to_string())),
+            EraHeader::Current => response.insert_header(("Store-Era", self.era.to_string())),
             EraHeader::Absent => &mut response,
             EraHeader::Text(text) => response.insert_header(("Store-Era", text)),
         };
@@ -230,13 +230,13 @@
     }
 
     /// Overwrites a server's record with a value that cannot be decoded, as a faulty writer would.
-    pub fn spoil_server(&self, name: &str) {
+    pub fn corrupt_server_record(&self, name: &str) {
         self.put_undecodable(&format!("servers/{name}"));
     }
 
     /// Writes these values, and one that cannot be decoded, under every prefix that routers follow, as a faulty writer
     /// would.
-    pub fn put_bad_entries(&self, values: &[&[u8]]) {
+    pub fn put_unreadable_entries(&self, values: &[&[u8]]) {
         for prefix in ["op/", "servers/", "doorswitch/routers/"] {
             for (place, value) in values.iter().enumerate() {
                 self.put(&format!("{prefix}bad-{place}"), value);
@@ -252,7 +252,7 @@
 
     /// Discards the history so far: watches from earlier revisions are answered with 410. Hidden changes are visible
     /// again.
-    pub fn forget(&self) {
+    pub fn discard_history(&self) {
         let mut state = self.shared.lock();
         state.compacted_revision = state.revision;
         state.changes.clear();
@@ -290,7 +290,7 @@
     }
 
     /// Hides all later changes from watches until the history is discarded or a backup is restored.
-    pub fn go_deaf(&self) {
+    pub fn hide_changes(&self) {
         let mut state = self.shared.lock();
         state.last_visible_revision = Some(state.revision);
     }
@@ -326,7 +326,7 @@
         (state.mode, state.answer(StatusCode::SERVICE_UNAVAILABLE))
     };
     match mode {
-        Mode::Well | Mode::LoseAnswers => None,
+        Mode::Normal | Mode::LoseAnswers => None,
         Mode::Down => Some(refusal.finish()),
         Mode::Silent => std::future::pending().await,
     }
--- a/tests/bad_entries.rs
+++ b/tests/bad_entries.rs
@@ -26,7 +26,7 @@
 }
 
 fn put_bad_entries(world: &World) {
-    world.store.put_bad_entries(UNREADABLE);
+    world.store.put_unreadable_entries(UNREADABLE);
 }
 
 fn new_configuration_is_heard(world: &mut World, place: usize) {
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -101,7 +101,7 @@
 fn a_key_that_was_taken_away_is_refused_also_after_the_history_was_forgotten() {
     let mut world = World::start("revoked", vec![answers("done")]);
     assert_eq!(world.ask(0, &request("/read/x", "id-1")).status, 200);
-    world.store.forget();
+    world.store.discard_history();
     world.publish(&["new-key"], PREPAID);
     let refused = || world.ask(0, &request("/read/x", "id-2")).status == 401;
     eventually("the old key is refused", refused);
@@ -134,7 +134,7 @@
     let missed = || world.log(0).contains("event=watch_failed prefix=servers/");
     eventually("the router misses the store", missed);
     world.store.remove("servers/i-0");
-    world.store.set_mode(store::Mode::Well);
+    world.store.set_mode(store::Mode::Normal);
     eventually("the record is missed", || world.log(0).contains("event=item_lapsed"));
     assert_eq!(world.ask(0, &request("/read/x", "lapsed")).status, 200, "{}", world.log(0));
     eventually("it is taken as gone", || world.ask(0, &request("/read/x", "gone")).status == 503);
@@ -150,7 +150,7 @@
     let missed = || world.log(0).contains("event=watch_failed prefix=servers/");
     eventually("the router misses the store", missed);
     world.store.put("servers/another", b"{}");
-    world.store.set_mode(store::Mode::Well);
+    world.store.set_mode(store::Mode::Normal);
     let told = || world.log(0).matches("event=store_changed prefix=servers/").count() == 2;
     eventually("the store is back", told);
     world.store.remove("servers/i-0");
@@ -176,7 +176,7 @@
     eventually("the router misses the store", missed);
     assert!((0..8).all(|_| ask() == "one"), "in the outage");
     world.store.remove("servers/i-0");
-    world.store.set_mode(store::Mode::Well);
+    world.store.set_mode(store::Mode::Normal);
     eventually("the record is missed", || world.log(0).contains("event=item_lapsed"));
     assert!((0..8).all(|_| ask() == "one"), "while it may be back");
 }
@@ -340,7 +340,7 @@
     for number in 0..10 {
         world.ask(0, &metered(&format!("lost-{number}")));
     }
-    world.store.set_mode(store::Mode::Well);
+    world.store.set_mode(store::Mode::Normal);
     // A call whose answer was lost holds the ledger up until it is given up: 503 until then.
     let mut number = 0;
     eventually("the budget is spent", || {
--- a/tests/restored_budgets.rs
+++ b/tests/restored_budgets.rs
@@ -63,7 +63,7 @@
         (0..self.routers).for_each(|router| self.replying.world.kill(router));
         thread::sleep(OUTAGE);
         self.replying.world.store.restore(&backup, OpenWatches::Ended);
-        self.replying.world.store.set_mode(Mode::Well);
+        self.replying.world.store.set_mode(Mode::Normal);
         (0..self.routers).for_each(|router| self.replying.world.spawn(router));
         for router in 0..self.routers {
             self.replying.world.wait_ready(router);
--- a/tests/restored_store.rs
+++ b/tests/restored_store.rs
@@ -60,7 +60,7 @@
     thread::sleep(OUTAGE);
     store.restore(backup, open);
     before_answers();
-    store.set_mode(Mode::Well);
+    store.set_mode(Mode::Normal);
 }
 
 /// Sends requests to all routers while `action` runs; returns the responses and the result of `action`.
@@ -333,7 +333,7 @@
         store.set_mode(Mode::Down);
         thread::sleep(OUTAGE);
         store.restore(&backup, OpenWatches::Ended);
-        store.set_mode(Mode::Well);
+        store.set_mode(Mode::Normal);
         between(&mut replying);
         thread::sleep(Duration::from_millis(1_500));
     }
@@ -372,7 +372,7 @@
     load::send(&replying.world, &[0, 1], "/read/x", Duration::from_millis(50), STALE_BOUND);
     replying.world.store.set_era_header(EraHeader::Text("0"));
     thread::sleep(Duration::from_millis(300));
-    replying.world.store.set_era_header(EraHeader::Named);
+    replying.world.store.set_era_header(EraHeader::Current);
     let (got, left) = send_while(&replying, 5_000, || drain(&replying));
     check_server_left(&replying, left, &got);
 }
