--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -296,8 +296,8 @@
         thread::sleep(Duration::from_millis(self.rng.random_range(0..40)));
         for index in self.all_routers() {
             if blackhole_first {
-                self.fleet.store_network(index).silence_connections();
-                self.fleet.peer_network(index).silence_connections();
+                self.fleet.store_network(index).blackhole_connections();
+                self.fleet.peer_network(index).blackhole_connections();
             }
             self.fleet.kill(index)?;
         }
@@ -392,8 +392,8 @@
 
 fn fail_connections(network: &network::Proxy, fault: schedule::ConnectionFault) {
     match fault {
-        schedule::ConnectionFault::Blackholed => network.silence_connections(),
-        schedule::ConnectionFault::Discarding => network.swallow_connections(),
+        schedule::ConnectionFault::Blackholed => network.blackhole_connections(),
+        schedule::ConnectionFault::Discarding => network.discard_connection_data(),
     }
 }
 
--- a/standins/src/network.rs
+++ b/standins/src/network.rs
@@ -102,13 +102,13 @@
 
     /// Blackholes all open connections for good: no data passes, nothing is acknowledged and nothing is closed. New
     /// connections work.
-    pub fn silence_connections(&self) {
+    pub fn blackhole_connections(&self) {
         self.shared.blackhole_count.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Discards all further data on open connections: it is acknowledged but not forwarded, and nothing is closed. New
     /// connections work.
-    pub fn swallow_connections(&self) {
+    pub fn discard_connection_data(&self) {
         self.shared.discard_count.fetch_add(1, Ordering::Relaxed);
     }
 
--- a/tests/peer_links.rs
+++ b/tests/peer_links.rs
@@ -88,6 +88,6 @@
 }
 
 links_are_replaced! {
-    a_link_that_goes_silent_is_replaced_while_messages_are_sent: network::Proxy::silence_connections;
-    a_link_whose_messages_stay_unanswered_is_replaced: network::Proxy::swallow_connections;
+    a_link_that_goes_silent_is_replaced_while_messages_are_sent: network::Proxy::blackhole_connections;
+    a_link_whose_messages_stay_unanswered_is_replaced: network::Proxy::discard_connection_data;
 }
