--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -97,7 +97,7 @@
     let named = matches.get_one::<String>("named");
     let named = named.and_then(|name| schedule::Schedule::named(name, routers));
     let mut schedule = named.unwrap_or_else(|| {
-        schedule::Schedule::drawn(seed, routers, number(matches, "for") * 1_000)
+        schedule::Schedule::generate(seed, routers, number(matches, "for") * 1_000)
     });
     if matches.get_flag("writers") {
         schedule = schedule.with_writers(seed, number(matches, "for") * 1_000);
--- a/soak/src/schedule.rs
+++ b/soak/src/schedule.rs
@@ -287,7 +287,7 @@
 
 impl Schedule {
     /// Creates a schedule with the actions in order of time, numbered from 0.
-    pub fn of(mut actions: Vec<(u64, Action)>) -> Self {
+    pub fn from_actions(mut actions: Vec<(u64, Action)>) -> Self {
         actions.sort_by_key(|(at_ms, _)| *at_ms);
         let end_times_ms = actions.iter().map(|(at_ms, action)| at_ms + action.duration_ms());
         let ends_ms = end_times_ms.max().unwrap_or(STARTUP_MS) + OBSERVATION_MS;
@@ -298,7 +298,7 @@
 
     /// Generates the schedule of a seed: faults over `for_ms` that may overlap, configuration changes during and after each
     /// of them, and in most schedules a kill of all routers.
-    pub fn drawn(seed: u64, routers: usize, for_ms: u64) -> Self {
+    pub fn generate(seed: u64, routers: usize, for_ms: u64) -> Self {
         let mut generator =
             Generator { rng: StdRng::seed_from_u64(seed), routers, actions: Vec::new() };
         let last_ms = STARTUP_MS + for_ms;
@@ -313,7 +313,7 @@
                 (generator.rng.random_range(200..1_500), generator.rng.random_bool(0.5));
             generator.push_with_publishes(at_ms, Action::KillAll { down_ms, blackhole_first });
         }
-        Self::of(generator.actions)
+        Self::from_actions(generator.actions)
     }
 
     /// Adds actions of other writers and of a server over `for_ms`, drawn from a separate generator.
@@ -334,7 +334,7 @@
             actions.push((at_ms, action));
             actions.push((during_ms, Action::Publish));
         }
-        Self::of(actions)
+        Self::from_actions(actions)
     }
 
     /// Adds restores of the store over `for_ms`, drawn from a separate generator. They may overlap.
@@ -367,7 +367,7 @@
                 actions.push((leaves_ms + 3_500, Action::ServerRestarts));
             }
         }
-        Self::of(actions)
+        Self::from_actions(actions)
     }
 
     /// The predefined schedule of this name; `None` if there is none.
@@ -395,7 +395,7 @@
             }
             _ => return None,
         };
-        Some(Self::of(actions.into_iter().chain(publishes).collect()))
+        Some(Self::from_actions(actions.into_iter().chain(publishes).collect()))
     }
 
     /// Removes all steps except those with these numbers.
--- a/soak/tests/printed_texts.rs
+++ b/soak/tests/printed_texts.rs
@@ -6,7 +6,7 @@
 use doorswitch_soak::schedule::{Action, ConnectionFault, Schedule};
 
 fn printed(action: Action) -> String {
-    let schedule = Schedule::of(vec![(5, action)]);
+    let schedule = Schedule::from_actions(vec![(5, action)]);
     schedule.steps.iter().map(ToString::to_string).collect()
 }
 
--- a/tests/older_configuration.rs
+++ b/tests/older_configuration.rs
@@ -34,7 +34,7 @@
     ($($test:ident: $seed:literal;)*) => { $(
         #[test]
         fn $test() {
-            let schedule = schedule::Schedule::drawn($seed, ROUTERS, SEED_MS);
+            let schedule = schedule::Schedule::generate($seed, ROUTERS, SEED_MS);
             nothing_is_broken(stringify!($test), $seed, &schedule);
         }
     )* };
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -17,7 +17,7 @@
     ($($test:ident: $seed:literal;)*) => { $(
         #[test]
         fn $test() {
-            let drawn = schedule::Schedule::drawn($seed, ROUTERS, SEED_MS);
+            let drawn = schedule::Schedule::generate($seed, ROUTERS, SEED_MS);
             let schedule = drawn.with_writers($seed, SEED_MS);
             nothing_is_broken(stringify!($test), $seed, &schedule);
         }
@@ -27,7 +27,7 @@
 /// Adds restores of the store from backups to the other faults.
 #[test]
 fn soak_with_restores_of_seed_5002() {
-    let drawn = schedule::Schedule::drawn(5002, ROUTERS, SEED_MS);
+    let drawn = schedule::Schedule::generate(5002, ROUTERS, SEED_MS);
     let schedule = drawn.with_writers(5002, SEED_MS).with_restores(5002, SEED_MS);
     nothing_is_broken("soak_with_restores_of_seed_5002", 5002, &schedule);
 }
