--- a/soak/src/outspoken.rs
+++ b/soak/src/directives.rs
@@ -143,7 +143,7 @@
         server.lives.push(Instant::now());
         let started_ms = FIRST_START_MS + server.lives.len() as u64;
         let name = format!("i-outspoken-{index}");
-        let service = fleet::OUTSPOKEN_SERVICE;
+        let service = fleet::DIRECTIVES_SERVICE;
         servers::record(&self.store, service, &name, &server.backend, started_ms);
     }
 
@@ -175,7 +175,7 @@
             let observations = self.shared.observations();
             (observations.is_connected(router), observations.restarts(router))
         };
-        let path = format!("{}x", fleet::OUTSPOKEN_PATH);
+        let path = format!("{}x", fleet::DIRECTIVES_PATH);
         let answer = wire::get(self.routers[router], fleet::HOST, &path, &id, ANSWER_TIMEOUT).ok();
         let answered = Instant::now();
         self.sent.insert(id, Sent { router: (router, restarts), at, answered });
--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -24,9 +24,9 @@
 /// The path of the route to [`LIMITED_SERVICE`].
 pub const LIMITED_PATH: &str = "/limited/";
 /// The service whose servers announce in their answers that they are leaving, or request backoffs.
-pub const OUTSPOKEN_SERVICE: &str = "outspoken";
-/// The path of the route to [`OUTSPOKEN_SERVICE`].
-pub const OUTSPOKEN_PATH: &str = "/outspoken/";
+pub const DIRECTIVES_SERVICE: &str = "outspoken";
+/// The path of the route to [`DIRECTIVES_SERVICE`].
+pub const DIRECTIVES_PATH: &str = "/outspoken/";
 /// The number of failure domains among which the routers are spread.
 const FAILURE_DOMAINS: usize = 3;
 /// The number of other routers that each router has as seeds.
@@ -176,11 +176,11 @@
         let fixed_routes = [
             (FRAGILE_PATH, FRAGILE_SERVICE),
             (LIMITED_PATH, LIMITED_SERVICE),
-            (OUTSPOKEN_PATH, OUTSPOKEN_SERVICE),
+            (DIRECTIVES_PATH, DIRECTIVES_SERVICE),
         ];
         let routes =
             added_routes.chain(fixed_routes.map(|(path, service)| (path.to_owned(), service)));
-        let services = [SERVICE, FRAGILE_SERVICE, LIMITED_SERVICE, OUTSPOKEN_SERVICE];
+        let services = [SERVICE, FRAGILE_SERVICE, LIMITED_SERVICE, DIRECTIVES_SERVICE];
         self.store.publish(&wire::configuration(self.version, HOST, &services, routes));
         self.version
     }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -5,10 +5,10 @@
 //! exists only in the newest acknowledged configuration. Steps can be selected by their numbers, so that a failing schedule
 //! can be reduced to the steps that cause the failure.
 
+pub mod directives;
 pub mod fleet;
 pub mod limited;
 pub mod observe;
-pub mod outspoken;
 pub mod poison;
 pub mod prober;
 pub mod run;
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -136,7 +136,7 @@
         report.statuses,
         report.poison,
         report.limited,
-        report.outspoken,
+        report.directives,
     )];
     if !sound {
         lines.extend(schedule.steps.iter().map(ToString::to_string));
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,6 +1,6 @@
 //! Runs a schedule against a fleet and reports the results.
 
-use crate::{fleet, limited, observe, outspoken, poison, prober, schedule};
+use crate::{directives, fleet, limited, observe, poison, prober, schedule};
 use doorswitch_standins::{network, store};
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
@@ -43,7 +43,7 @@
     /// Results of the servers that announce rate limits.
     pub limited: limited::Summary,
     /// Results of the servers that announce that they are leaving, or request backoffs.
-    pub outspoken: outspoken::Summary,
+    pub directives: directives::Summary,
 }
 
 /// A timed event of a run.
@@ -87,7 +87,7 @@
     let clients: Vec<SocketAddr> =
         (0..*routers).map(|index| run.fleet.clients_address(index)).collect();
     let limited = limited::start(&store, clients.clone(), run.shared.clone(), *seed)?;
-    let outspoken = outspoken::start(store.clone(), clients.clone(), run.shared.clone(), *seed)?;
+    let directives = directives::start(store.clone(), clients.clone(), run.shared.clone(), *seed)?;
     let poison = poison::start(store, clients, run.shared.clone())?;
     let began = Instant::now();
     let executed = run.execute(schedule, began);
@@ -97,7 +97,7 @@
     }
     let poison = poison.join().unwrap_or_default();
     let limited = limited.join().unwrap_or_default();
-    let outspoken = outspoken.join().unwrap_or_default();
+    let directives = directives.join().unwrap_or_default();
     let ended = run.fleet.unexpectedly_ended().into_iter().collect();
     executed?;
     let observations = run.shared.observations();
@@ -108,7 +108,7 @@
         ended,
         poison,
         limited,
-        outspoken,
+        directives,
     })
 }
 
