--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -158,7 +158,7 @@
         })
     }
 
-    /// The number of routers.
+    /// The number of routers, whether or not they run.
     pub fn routers(&self) -> usize {
         self.routers.len()
     }
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs real routers under random faults: `doorswitch-soak --binary target/release/doorswitch --seeds 0..50`.
+//! Runs real routers under random faults: `doorswitch-soak --binary target/release/doorswitch --seed 0 --seeds 50`.
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use doorswitch_soak::{observe, run, schedule};
--- a/soak/src/observe.rs
+++ b/soak/src/observe.rs
@@ -80,7 +80,7 @@
 pub struct Violation {
     /// The kind of the violation.
     pub kind: ViolationKind,
-    /// The answer.
+    /// The answer that shows the violation.
     pub answer: Answer,
     /// The time from the acknowledgement of the configuration to the request.
     pub after_ack: Duration,
@@ -211,7 +211,7 @@
         }
     }
 
-    /// All violations so far.
+    /// All violations that were recorded so far.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -30,11 +30,11 @@
 /// The results of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// All violations of guarantees.
+    /// All violations of guarantees that clients have observed.
     pub violations: Vec<observe::Violation>,
     /// The number of probes by status of their answers; 0 stands for no answer.
     pub statuses: Vec<(u16, u64)>,
-    /// When the run began.
+    /// When the run of the schedule began, after the fleet was started.
     pub began: Instant,
     /// Routers whose processes ended unexpectedly.
     pub ended: Vec<usize>,
--- a/soak/src/schedule.rs
+++ b/soak/src/schedule.rs
@@ -5,7 +5,7 @@
 use rand::{RngExt, SeedableRng};
 use std::fmt;
 
-/// The time that a fleet has to start before the first fault.
+/// The time that a fleet has to start before the first fault can begin.
 const STARTUP_MS: u64 = 4_000;
 /// How long the fleet is observed after the last step.
 const OBSERVATION_MS: u64 = 8_000;
@@ -47,12 +47,12 @@
     Publish,
     /// The store answers every call with 503.
     StoreUnavailable {
-        /// The duration.
+        /// How long the fault lasts, in milliseconds.
         for_ms: u64,
     },
     /// The store accepts calls, but never answers those that arrive or wait meanwhile.
     StoreUnresponsive {
-        /// The duration.
+        /// How long the fault lasts, in milliseconds.
         for_ms: u64,
     },
     /// The long polls that are open now are never answered; all other calls are.
@@ -61,7 +61,7 @@
     StoreDiscardsHistory,
     /// Changes are hidden from watches for a while; then the store discards its history.
     StoreHidesChanges {
-        /// The duration.
+        /// How long the fault lasts, in milliseconds.
         for_ms: u64,
     },
     /// The store becomes unavailable and is restored from a backup; the operator and the servers repeat lost writes.
@@ -92,25 +92,25 @@
     },
     /// The network between these routers and the store is cut, and open connections are closed.
     StoreCut {
-        /// The affected routers.
+        /// The routers that the fault affects.
         routers: Routers,
-        /// The duration.
+        /// How long the fault lasts, in milliseconds.
         for_ms: u64,
     },
     /// Data between these routers and the store is held and arrives afterwards.
     StoreStalls {
-        /// The affected routers.
+        /// The routers that the fault affects.
         routers: Routers,
-        /// The duration.
+        /// How long the fault lasts, in milliseconds.
         for_ms: u64,
     },
     /// Data between these routers and the store is delayed.
     StoreDelayed {
-        /// The affected routers.
+        /// The routers that the fault affects.
         routers: Routers,
-        /// The delay that is added in each direction.
+        /// The delay that is added in each direction, in milliseconds.
         delay_ms: u64,
-        /// The duration.
+        /// How long the fault lasts, in milliseconds.
         for_ms: u64,
     },
     /// Open connections from peers to these routers fail.
@@ -122,37 +122,37 @@
     },
     /// The network from peers to these routers is cut.
     PeersCut {
-        /// The affected routers.
+        /// The routers that the fault affects.
         routers: Routers,
-        /// The duration.
+        /// How long the fault lasts, in milliseconds.
         for_ms: u64,
     },
     /// Some datagrams to these routers are lost.
     DatagramsLost {
-        /// The affected routers.
+        /// The routers that the fault affects.
         routers: Routers,
-        /// The percentage that is lost.
+        /// The percentage of datagrams that are lost.
         percent: u64,
-        /// The duration.
+        /// How long the fault lasts, in milliseconds.
         for_ms: u64,
     },
     /// The processes of these routers are suspended, while their kernel still acknowledges data.
     Suspend {
-        /// The affected routers.
+        /// The routers that the fault affects.
         routers: Routers,
-        /// The duration.
+        /// How long the fault lasts, in milliseconds.
         for_ms: u64,
     },
     /// The processes of these routers are killed and restarted.
     Kill {
-        /// The affected routers.
+        /// The routers that the fault affects.
         routers: Routers,
-        /// The time until the processes are restarted.
+        /// The time until the processes are restarted, in milliseconds.
         down_ms: u64,
     },
     /// All routers are killed right after a configuration was acknowledged, and restarted in random order.
     KillAll {
-        /// The time until the processes are restarted.
+        /// The time until the processes are restarted, in milliseconds.
         down_ms: u64,
         /// Whether open connections are blackholed first, as in a loss of power.
         blackhole_first: bool,
@@ -264,9 +264,9 @@
 pub struct Step {
     /// Identifies the step within its schedule.
     pub number: usize,
-    /// When the action begins, from the start of the run.
+    /// When the action begins, in milliseconds from the start of the run.
     pub at_ms: u64,
-    /// The fault or change.
+    /// The fault or change that begins with this step.
     pub action: Action,
 }
 
@@ -281,7 +281,7 @@
 pub struct Schedule {
     /// The steps in order of time.
     pub steps: Vec<Step>,
-    /// When the run ends, from its start.
+    /// When the run ends, in milliseconds from its start.
     pub ends_ms: u64,
 }
 
--- a/standins/src/backend.rs
+++ b/standins/src/backend.rs
@@ -17,14 +17,14 @@
 /// By this time after a crash, the acceptor has closed the listener.
 const LISTENER_CLOSE_TIME: Duration = Duration::from_millis(15);
 
-/// A received request.
+/// A request as the server received it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReceivedRequest {
     /// The request line: method, path and version.
     pub line: String,
     /// Header names in lower case, and their values.
     pub headers: Vec<(String, String)>,
-    /// The request body.
+    /// The body of `Content-Length` bytes; empty without that header.
     pub body: Vec<u8>,
     /// The number of the connection on which it was received, counted from 0.
     pub connection: usize,
@@ -48,7 +48,7 @@
 pub enum Step {
     /// Writes this text, in which `{id}` is replaced by the request's id.
     Write(String),
-    /// Waits for this time.
+    /// Waits for this time before the next step.
     Pause(Duration),
     /// Waits until the client has closed the connection, then ends it.
     AwaitClose,
--- a/standins/src/engine.rs
+++ b/standins/src/engine.rs
@@ -51,12 +51,12 @@
     }
 }
 
-/// Counters of the engine.
+/// Counters of what the engine has done since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Requests started.
+    /// The number of requests that got a slot.
     pub started: u64,
-    /// Tokens generated.
+    /// The number of tokens that were generated.
     pub made_tokens: u64,
     /// Requests that were cancelled because the caller closed the stream, and streams that were broken off.
     pub cancelled: u64,
@@ -125,7 +125,7 @@
         self.shared.lock().mode = mode;
     }
 
-    /// The counters so far.
+    /// The counters since the start of the engine.
     pub fn counts(&self) -> Counts {
         self.shared.lock().counts
     }
--- a/standins/src/network.rs
+++ b/standins/src/network.rs
@@ -95,7 +95,7 @@
         *self.shared.target.lock().unwrap_or_else(PoisonError::into_inner) = Some(target);
     }
 
-    /// Replaces the faults.
+    /// Replaces all faults of the proxy.
     pub fn set_faults(&self, faults: Faults) {
         *self.shared.faults() = faults;
     }
--- a/standins/src/platform.rs
+++ b/standins/src/platform.rs
@@ -40,11 +40,11 @@
 /// The numbers of calls received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Calls {
-    /// Reads, including watches.
+    /// The number of reads, including watches.
     pub reads: u64,
-    /// Writes and deletes.
+    /// The number of writes and deletes.
     pub writes: u64,
-    /// Calls that were rejected by a rate limit.
+    /// The number of calls that were rejected by a rate limit.
     pub limited: u64,
 }
 
@@ -146,7 +146,7 @@
         self.server.address
     }
 
-    /// Replaces the simulated faults.
+    /// Replaces all faults that the platform simulates.
     pub fn set_mode(&self, mode: Mode) {
         self.shared.lock().mode = mode;
     }
--- a/standins/src/service.rs
+++ b/standins/src/service.rs
@@ -59,7 +59,7 @@
         self.server.address
     }
 
-    /// Replaces the simulated faults.
+    /// Replaces all faults that the service simulates.
     pub fn set_mode(&self, mode: Mode) {
         self.shared.lock().mode = mode;
     }
--- a/standins/src/store.rs
+++ b/standins/src/store.rs
@@ -21,7 +21,7 @@
 /// The fault that the store simulates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// No fault.
+    /// The store works without faults.
     #[default]
     Normal,
     /// Every call is answered with 503 and has no effect.
@@ -89,7 +89,7 @@
     unanswered_until_call: u64,
     /// If set, watches report no change after this revision.
     last_visible_revision: Option<u64>,
-    /// The number of restores.
+    /// The number of restores so far.
     era: u64,
     era_header: EraHeader,
     /// Watches that were opened up to this call, the last one before a restore, are answered with 503.
@@ -245,7 +245,7 @@
         }
     }
 
-    /// Removes a key.
+    /// Removes a key in a revision of its own.
     pub fn remove(&self, key: &str) {
         self.shared.lock().write(key, None);
     }
--- a/standins/src/wire.rs
+++ b/standins/src/wire.rs
@@ -11,7 +11,7 @@
 pub struct Record<'a> {
     /// The name of the service.
     pub service: &'a str,
-    /// The server's address.
+    /// The address on which the server accepts requests.
     pub address: SocketAddr,
     /// The state, as the platform writes it.
     pub state: &'a str,
@@ -63,9 +63,9 @@
 /// An HTTP answer as a client received it.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// The HTTP status code.
+    /// The HTTP status code of the answer.
     pub status: u16,
-    /// The response body.
+    /// The body, without decoding a transfer encoding.
     pub body: String,
 }
 
