--- a/soak/src/schedule.rs
+++ b/soak/src/schedule.rs
@@ -1,51 +1,67 @@
-//! What is done to a fleet, and when: one list of steps, drawn from a seed.
+//! Schedules of faults and changes: a list of timed steps, generated from a seed.
 
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
 use std::fmt;
 
-/// Faults begin after this time, when the fleet has started.
-const SETTLED_MS: u64 = 4_000;
-/// After the last step the fleet is watched for this long.
-const WATCHED_MS: u64 = 8_000;
-/// No fault lasts longer.
-const FAULT_LONGEST_MS: u64 = 5_000;
+/// The time that a fleet has to start before the first fault can begin.
+const STARTUP_MS: u64 = 4_000;
+/// How long the fleet is observed after the last step.
+const OBSERVATION_MS: u64 = 8_000;
+/// The longest duration of a fault.
+const FAULT_DURATION_MAX_MS: u64 = 5_000;
 
-/// Routers by their places.
+/// Routers by their indexes in the fleet.
 pub type Routers = Vec<usize>;
 
-/// How connections stop passing on what they carry; new ones work.
+/// How open connections fail without being closed; new connections work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dead {
-    /// Nothing arrives and nothing is acknowledged.
-    Silent,
-    /// What is sent is acknowledged and passed on to nobody.
-    Swallowing,
+pub enum ConnectionFault {
+    /// No data arrives and nothing is acknowledged.
+    Blackholed,
+    /// Data is acknowledged and discarded.
+    Discarding,
 }
 
-/// What is done.
+impl ConnectionFault {
+    /// The text in the output of a run.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Blackholed => "Silent",
+            Self::Discarding => "Swallowing",
+        }
+    }
+}
+
+impl fmt::Display for ConnectionFault {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        out.write_str(self.as_str())
+    }
+}
+
+/// A fault or a change of a schedule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// The operator publishes a configuration with one route more.
+    /// The operator publishes a configuration with an additional route.
     Publish,
     /// The store answers every call with 503.
-    StoreRefuses {
-        /// For how long.
+    StoreUnavailable {
+        /// How long the fault lasts, in milliseconds.
         for_ms: u64,
     },
-    /// The store takes calls and never answers those that come or wait meanwhile.
-    StoreSilent {
-        /// For how long.
+    /// The store accepts calls, but never answers those that arrive or wait meanwhile.
+    StoreUnresponsive {
+        /// How long the fault lasts, in milliseconds.
         for_ms: u64,
     },
-    /// The calls for news that wait now are never answered; all others are.
+    /// The long polls that are open now are never answered; all other calls are.
     StoreLeavesWatchesUnanswered,
-    /// The store forgets its history.
-    StoreForgets,
-    /// Watches hear nothing while changes are made; then the store forgets its history.
-    StoreDeaf {
-        /// For how long.
+    /// The store discards its history.
+    StoreDiscardsHistory,
+    /// Changes are hidden from watches for a while; then the store discards its history.
+    StoreHidesChanges {
+        /// How long the fault lasts, in milliseconds.
         for_ms: u64,
     },
     /// The store becomes unavailable and is restored from a backup; the operator and the servers repeat lost writes.
@@ -59,114 +75,186 @@
         /// Whether open watches continue after the restore.
         keeps_watches: bool,
     },
-    /// Another writer puts entries that cannot be read beside those that routers follow.
-    BadEntries,
-    /// The second server starts again under its name, at another address.
+    /// Another writer adds unreadable entries under the prefixes that routers follow.
+    UnreadableEntries,
+    /// The second server restarts under the same name at another address.
     ServerRestarts,
-    /// The second server leaves.
+    /// The second server announces in its record that it is leaving.
     ServerLeaves,
-    /// Another writer spoils the record of the second server.
-    ServerRecordSpoilt,
-    /// Open connections of these routers to the store die.
-    StoreLinksDie {
-        /// Whose.
+    /// Another writer overwrites the record of the second server with an unreadable value.
+    ServerRecordCorrupted,
+    /// Open connections of these routers to the store fail.
+    StoreConnectionsFail {
+        /// The routers whose connections fail.
         routers: Routers,
-        /// How.
-        dead: Dead,
+        /// How the connections fail.
+        fault: ConnectionFault,
     },
-    /// Nothing passes between these routers and the store, and connections are reset.
+    /// The network between these routers and the store is cut, and open connections are closed.
     StoreCut {
-        /// Which.
+        /// The routers that the fault affects.
         routers: Routers,
-        /// For how long.
+        /// How long the fault lasts, in milliseconds.
         for_ms: u64,
     },
-    /// What passes between these routers and the store waits and arrives afterwards.
+    /// Data between these routers and the store is held and arrives afterwards.
     StoreStalls {
-        /// Which.
+        /// The routers that the fault affects.
         routers: Routers,
-        /// For how long.
+        /// How long the fault lasts, in milliseconds.
         for_ms: u64,
     },
-    /// What passes between these routers and the store takes longer.
-    StoreSlow {
-        /// Which.
+    /// Data between these routers and the store is delayed.
+    StoreDelayed {
+        /// The routers that the fault affects.
         routers: Routers,
-        /// Added one way.
+        /// The delay that is added in each direction, in milliseconds.
         delay_ms: u64,
-        /// For how long.
+        /// How long the fault lasts, in milliseconds.
         for_ms: u64,
     },
-    /// Open connections from peers to these routers die.
-    PeerLinksDie {
-        /// To whom.
+    /// Open connections from peers to these routers fail.
+    PeerConnectionsFail {
+        /// The routers whose connections fail.
         routers: Routers,
-        /// How.
-        dead: Dead,
+        /// How the connections fail.
+        fault: ConnectionFault,
     },
-    /// Nothing passes from peers to these routers.
+    /// The network from peers to these routers is cut.
     PeersCut {
-        /// Which.
+        /// The routers that the fault affects.
         routers: Routers,
-        /// For how long.
+        /// How long the fault lasts, in milliseconds.
         for_ms: u64,
     },
-    /// Datagrams to these routers are lost.
+    /// Some datagrams to these routers are lost.
     DatagramsLost {
-        /// Which.
+        /// The routers that the fault affects.
         routers: Routers,
-        /// Of a hundred, so many.
+        /// The percentage of datagrams that are lost.
         percent: u64,
-        /// For how long.
+        /// How long the fault lasts, in milliseconds.
         for_ms: u64,
     },
-    /// These processes stand still, while their kernel acknowledges.
-    Freeze {
-        /// Which.
+    /// The processes of these routers are suspended, while their kernel still acknowledges data.
+    Suspend {
+        /// The routers that the fault affects.
         routers: Routers,
-        /// For how long.
+        /// How long the fault lasts, in milliseconds.
         for_ms: u64,
     },
-    /// These processes are killed and started again.
+    /// The processes of these routers are killed and restarted.
     Kill {
-        /// Which.
+        /// The routers that the fault affects.
         routers: Routers,
-        /// After how long they start again.
+        /// The time until the processes are restarted, in milliseconds.
         down_ms: u64,
     },
-    /// Every router is killed at once and started again, in any order; right after a configuration was acknowledged.
-    LoseAll {
-        /// After how long they start again.
+    /// All routers are killed right after a configuration was acknowledged, and restarted in random order.
+    KillAll {
+        /// The time until the processes are restarted, in milliseconds.
         down_ms: u64,
-        /// Whether open connections fall silent first, as by a loss of power.
-        silent: bool,
+        /// Whether open connections are blackholed first, as in a loss of power.
+        blackhole_first: bool,
     },
 }
 
 impl Action {
-    /// How long it lasts, in milliseconds; 0 for what happens at once.
-    pub fn lasts_ms(&self) -> u64 {
+    /// The duration in milliseconds; 0 for actions that take effect at once.
+    pub fn duration_ms(&self) -> u64 {
         match self {
-            Self::StoreRefuses { for_ms }
-            | Self::StoreSilent { for_ms }
-            | Self::StoreDeaf { for_ms }
+            Self::StoreUnavailable { for_ms }
+            | Self::StoreUnresponsive { for_ms }
+            | Self::StoreHidesChanges { for_ms }
             | Self::StoreCut { for_ms, .. }
             | Self::StoreStalls { for_ms, .. }
-            | Self::StoreSlow { for_ms, .. }
+            | Self::StoreDelayed { for_ms, .. }
             | Self::PeersCut { for_ms, .. }
             | Self::DatagramsLost { for_ms, .. }
-            | Self::Freeze { for_ms, .. } => *for_ms,
+            | Self::Suspend { for_ms, .. } => *for_ms,
             Self::StoreRestored { outage_ms, rewrite_delay_ms, .. } => outage_ms + rewrite_delay_ms,
-            Self::Kill { down_ms, .. } | Self::LoseAll { down_ms, .. } => *down_ms,
+            Self::Kill { down_ms, .. } | Self::KillAll { down_ms, .. } => *down_ms,
             Self::Publish
             | Self::StoreLeavesWatchesUnanswered
-            | Self::StoreForgets
-            | Self::BadEntries
+            | Self::StoreDiscardsHistory
+            | Self::UnreadableEntries
             | Self::ServerRestarts
             | Self::ServerLeaves
-            | Self::ServerRecordSpoilt
-            | Self::StoreLinksDie { .. }
-            | Self::PeerLinksDie { .. } => 0,
+            | Self::ServerRecordCorrupted
+            | Self::StoreConnectionsFail { .. }
+            | Self::PeerConnectionsFail { .. } => 0,
+        }
+    }
+}
+
+/// The text in the output of a run: a name and its fields.
+impl fmt::Display for Action {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Publish => out.write_str("Publish"),
+            Self::StoreUnavailable { for_ms } => {
+                out.debug_struct("StoreRefuses").field("for_ms", for_ms).finish()
+            }
+            Self::StoreUnresponsive { for_ms } => {
+                out.debug_struct("StoreSilent").field("for_ms", for_ms).finish()
+            }
+            Self::StoreLeavesWatchesUnanswered => out.write_str("StoreLeavesWatchesUnanswered"),
+            Self::StoreDiscardsHistory => out.write_str("StoreForgets"),
+            Self::StoreHidesChanges { for_ms } => {
+                out.debug_struct("StoreDeaf").field("for_ms", for_ms).finish()
+            }
+            Self::StoreRestored { backup_age_ms, outage_ms, rewrite_delay_ms, keeps_watches } => {
+                let mut text = out.debug_struct("StoreRestored");
+                text.field("backup_age_ms", backup_age_ms).field("outage_ms", outage_ms);
+                text.field("rewrite_delay_ms", rewrite_delay_ms);
+                text.field("keeps_watches", keeps_watches).finish()
+            }
+            Self::UnreadableEntries => out.write_str("BadEntries"),
+            Self::ServerRestarts => out.write_str("ServerRestarts"),
+            Self::ServerLeaves => out.write_str("ServerLeaves"),
+            Self::ServerRecordCorrupted => out.write_str("ServerRecordSpoilt"),
+            Self::StoreConnectionsFail { routers, fault } => {
+                let mut text = out.debug_struct("StoreLinksDie");
+                text.field("routers", routers).field("dead", &format_args!("{fault}")).finish()
+            }
+            Self::StoreCut { routers, for_ms } => {
+                let mut text = out.debug_struct("StoreCut");
+                text.field("routers", routers).field("for_ms", for_ms).finish()
+            }
+            Self::StoreStalls { routers, for_ms } => {
+                let mut text = out.debug_struct("StoreStalls");
+                text.field("routers", routers).field("for_ms", for_ms).finish()
+            }
+            Self::StoreDelayed { routers, delay_ms, for_ms } => {
+                let mut text = out.debug_struct("StoreSlow");
+                text.field("routers", routers).field("delay_ms", delay_ms);
+                text.field("for_ms", for_ms).finish()
+            }
+            Self::PeerConnectionsFail { routers, fault } => {
+                let mut text = out.debug_struct("PeerLinksDie");
+                text.field("routers", routers).field("dead", &format_args!("{fault}")).finish()
+            }
+            Self::PeersCut { routers, for_ms } => {
+                let mut text = out.debug_struct("PeersCut");
+                text.field("routers", routers).field("for_ms", for_ms).finish()
+            }
+            Self::DatagramsLost { routers, percent, for_ms } => {
+                let mut text = out.debug_struct("DatagramsLost");
+                text.field("routers", routers).field("percent", percent);
+                text.field("for_ms", for_ms).finish()
+            }
+            Self::Suspend { routers, for_ms } => {
+                let mut text = out.debug_struct("Freeze");
+                text.field("routers", routers).field("for_ms", for_ms).finish()
+            }
+            Self::Kill { routers, down_ms } => {
+                let mut text = out.debug_struct("Kill");
+                text.field("routers", routers).field("down_ms", down_ms).finish()
+            }
+            Self::KillAll { down_ms, blackhole_first } => {
+                let mut text = out.debug_struct("LoseAll");
+                text.field("down_ms", down_ms).field("silent", blackhole_first).finish()
+            }
         }
     }
 }
@@ -174,77 +262,79 @@
 /// One step of a schedule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// Tells it from the others.
+    /// Identifies the step within its schedule.
     pub number: usize,
-    /// When it begins.
+    /// When the action begins, in milliseconds from the start of the run.
     pub at_ms: u64,
-    /// What is done.
+    /// The fault or change that begins with this step.
     pub action: Action,
 }
 
 impl fmt::Display for Step {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "step={} at_ms={} action={:?}", self.number, self.at_ms, self.action)
+        write!(out, "step={} at_ms={} action={}", self.number, self.at_ms, self.action)
     }
 }
 
-/// What is done to a fleet of some routers.
+/// The steps of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Schedule {
     /// The steps in order of time.
     pub steps: Vec<Step>,
-    /// When the run ends.
+    /// When the run ends, in milliseconds from its start.
     pub ends_ms: u64,
 }
 
 impl Schedule {
-    /// Numbers steps in order of time.
-    pub fn of(mut actions: Vec<(u64, Action)>) -> Self {
+    /// Creates a schedule with the actions in order of time, numbered from 0.
+    pub fn from_actions(mut actions: Vec<(u64, Action)>) -> Self {
         actions.sort_by_key(|(at_ms, _)| *at_ms);
-        let ends = actions.iter().map(|(at_ms, action)| at_ms + action.lasts_ms());
-        let ends_ms = ends.max().unwrap_or(SETTLED_MS) + WATCHED_MS;
+        let end_times_ms = actions.iter().map(|(at_ms, action)| at_ms + action.duration_ms());
+        let ends_ms = end_times_ms.max().unwrap_or(STARTUP_MS) + OBSERVATION_MS;
         let steps = actions.into_iter().enumerate();
         let steps = steps.map(|(number, (at_ms, action))| Step { number, at_ms, action });
         Self { steps: steps.collect(), ends_ms }
     }
 
-    /// Draws the schedule of a seed: faults over `for_ms` that may overlap, changes during and after each of them, and
-    /// most often a loss of all.
-    pub fn drawn(seed: u64, routers: usize, for_ms: u64) -> Self {
-        let mut draw = Draw { rng: StdRng::seed_from_u64(seed), routers, actions: Vec::new() };
-        let last_ms = SETTLED_MS + for_ms;
-        for _ in 0..draw.rng.random_range(2..=6) {
-            let at_ms = draw.rng.random_range(SETTLED_MS..last_ms);
-            let action = draw.fault();
-            draw.push_with_changes(at_ms, action);
+    /// Generates the schedule of a seed: faults over `for_ms` that may overlap, configuration changes during and after each
+    /// of them, and in most schedules a kill of all routers.
+    pub fn generate(seed: u64, routers: usize, for_ms: u64) -> Self {
+        let mut generator =
+            Generator { rng: StdRng::seed_from_u64(seed), routers, actions: Vec::new() };
+        let last_ms = STARTUP_MS + for_ms;
+        for _ in 0..generator.rng.random_range(2..=6) {
+            let at_ms = generator.rng.random_range(STARTUP_MS..last_ms);
+            let action = generator.random_fault();
+            generator.push_with_publishes(at_ms, action);
         }
-        if draw.rng.random_bool(0.7) {
-            let at_ms = draw.rng.random_range(SETTLED_MS + for_ms / 2..last_ms);
-            let (down_ms, silent) = (draw.rng.random_range(200..1_500), draw.rng.random_bool(0.5));
-            draw.push_with_changes(at_ms, Action::LoseAll { down_ms, silent });
+        if generator.rng.random_bool(0.7) {
+            let at_ms = generator.rng.random_range(STARTUP_MS + for_ms / 2..last_ms);
+            let (down_ms, blackhole_first) =
+                (generator.rng.random_range(200..1_500), generator.rng.random_bool(0.5));
+            generator.push_with_publishes(at_ms, Action::KillAll { down_ms, blackhole_first });
         }
-        Self::of(draw.actions)
+        Self::from_actions(generator.actions)
     }
 
-    /// Adds what other writers and a server do over `for_ms`, drawn apart from the rest.
+    /// Adds actions of other writers and of a server over `for_ms`, drawn from a separate generator.
     pub fn with_writers(self, seed: u64, for_ms: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(!seed);
         let mut actions: Vec<(u64, Action)> =
             self.steps.into_iter().map(|step| (step.at_ms, step.action)).collect();
         for _ in 0..rng.random_range(2..=8) {
-            let at_ms = rng.random_range(SETTLED_MS..SETTLED_MS + for_ms);
+            let at_ms = rng.random_range(STARTUP_MS..STARTUP_MS + for_ms);
             let action = match rng.random_range(0..8) {
-                0 => Action::StoreDeaf { for_ms: rng.random_range(200..1_500) },
-                1 => Action::BadEntries,
+                0 => Action::StoreHidesChanges { for_ms: rng.random_range(200..1_500) },
+                1 => Action::UnreadableEntries,
                 2 | 3 => Action::ServerLeaves,
-                4 => Action::ServerRecordSpoilt,
+                4 => Action::ServerRecordCorrupted,
                 _ => Action::ServerRestarts,
             };
-            let during_ms = at_ms + rng.random_range(0..=action.lasts_ms());
+            let during_ms = at_ms + rng.random_range(0..=action.duration_ms());
             actions.push((at_ms, action));
             actions.push((during_ms, Action::Publish));
         }
-        Self::of(actions)
+        Self::from_actions(actions)
     }
 
     /// Adds restores of the store over `for_ms`, drawn from a separate generator. They may overlap.
@@ -253,7 +343,7 @@
         let mut actions: Vec<(u64, Action)> =
             self.steps.into_iter().map(|step| (step.at_ms, step.action)).collect();
         for _ in 0..rng.random_range(1..=4) {
-            let at_ms = rng.random_range(SETTLED_MS..SETTLED_MS + for_ms);
+            let at_ms = rng.random_range(STARTUP_MS..STARTUP_MS + for_ms);
             let action = Action::StoreRestored {
                 backup_age_ms: rng.random_range(100..4_000),
                 outage_ms: rng.random_range(100..2_500),
@@ -264,7 +354,7 @@
                 },
                 keeps_watches: rng.random_bool(0.5),
             };
-            let end_ms = at_ms + action.lasts_ms();
+            let end_ms = at_ms + action.duration_ms();
             actions.push((at_ms, action));
             for _ in 0..rng.random_range(1..=3) {
                 let published_ms = at_ms.saturating_sub(rng.random_range(0..2_000));
@@ -277,53 +367,54 @@
                 actions.push((leaves_ms + 3_500, Action::ServerRestarts));
             }
         }
-        Self::of(actions)
+        Self::from_actions(actions)
     }
 
-    /// A schedule that is written down; `None` if none has this name.
+    /// The predefined schedule of this name; `None` if there is none.
     pub fn named(name: &str, routers: usize) -> Option<Self> {
-        let all: Routers = (0..routers).collect();
-        let lose_all = (5_000, Action::LoseAll { down_ms: 500, silent: true });
-        let changes = [8_000, 11_000, 12_000, 13_000, 14_000].map(|at_ms| (at_ms, Action::Publish));
-        let faults = match name {
-            "loss-of-all" => vec![lose_all],
+        let all_routers: Routers = (0..routers).collect();
+        let kill_all = (5_000, Action::KillAll { down_ms: 500, blackhole_first: true });
+        let publishes =
+            [8_000, 11_000, 12_000, 13_000, 14_000].map(|at_ms| (at_ms, Action::Publish));
+        let actions = match name {
+            "loss-of-all" => vec![kill_all],
             "loss-of-all-then-silent-store" => {
-                vec![lose_all, (9_300, Action::StoreSilent { for_ms: 1_500 })]
+                vec![kill_all, (9_300, Action::StoreUnresponsive { for_ms: 1_500 })]
             }
             "loss-of-all-then-one-call-unanswered" => {
-                vec![lose_all, (10_500, Action::StoreLeavesWatchesUnanswered)]
+                vec![kill_all, (10_500, Action::StoreLeavesWatchesUnanswered)]
             }
             "loss-of-all-then-one-router-s-connections-silent" => {
                 let routers = vec![routers - 1];
-                let dead = Dead::Silent;
+                let fault = ConnectionFault::Blackholed;
                 vec![
-                    lose_all,
-                    (10_500, Action::StoreLinksDie { routers, dead }),
-                    (10_500, Action::PeerLinksDie { routers: all, dead }),
+                    kill_all,
+                    (10_500, Action::StoreConnectionsFail { routers, fault }),
+                    (10_500, Action::PeerConnectionsFail { routers: all_routers, fault }),
                 ]
             }
             _ => return None,
         };
-        Some(Self::of(faults.into_iter().chain(changes).collect()))
+        Some(Self::from_actions(actions.into_iter().chain(publishes).collect()))
     }
 
-    /// Leaves out all steps but those with these numbers.
+    /// Removes all steps except those with these numbers.
     pub fn only(mut self, numbers: &[usize]) -> Self {
         self.steps.retain(|step| numbers.contains(&step.number));
         self
     }
 }
 
-/// A schedule while it is drawn.
-struct Draw {
+/// A schedule while it is generated.
+struct Generator {
     rng: StdRng,
     routers: usize,
     actions: Vec<(u64, Action)>,
 }
 
-impl Draw {
-    fn push_with_changes(&mut self, at_ms: u64, action: Action) {
-        let end_ms = at_ms + action.lasts_ms();
+impl Generator {
+    fn push_with_publishes(&mut self, at_ms: u64, action: Action) {
+        let end_ms = at_ms + action.duration_ms();
         self.actions.push((at_ms, action));
         if self.rng.random_bool(0.4) {
             let during_ms = self.rng.random_range(at_ms..=end_ms);
@@ -335,46 +426,46 @@
         }
     }
 
-    /// Some routers: all of them, one, or a part.
-    fn some(&mut self) -> Routers {
-        let all: Routers = (0..self.routers).collect();
+    /// Draws a set of routers: all, one, or a random number of them.
+    fn random_routers(&mut self) -> Routers {
+        let all_routers: Routers = (0..self.routers).collect();
         let count = match self.rng.random_range(0..3) {
             0 => self.routers,
             1 => 1,
             _ => self.rng.random_range(1..=self.routers),
         };
-        all.sample(&mut self.rng, count).copied().collect()
+        all_routers.sample(&mut self.rng, count).copied().collect()
     }
 
-    fn dead(&mut self) -> Dead {
+    fn random_connection_fault(&mut self) -> ConnectionFault {
         match self.rng.random_bool(0.5) {
-            true => Dead::Silent,
-            false => Dead::Swallowing,
+            true => ConnectionFault::Blackholed,
+            false => ConnectionFault::Discarding,
         }
     }
 
-    fn fault(&mut self) -> Action {
-        let for_ms = self.rng.random_range(300..=FAULT_LONGEST_MS);
-        let (routers, dead) = (self.some(), self.dead());
+    fn random_fault(&mut self) -> Action {
+        let for_ms = self.rng.random_range(300..=FAULT_DURATION_MAX_MS);
+        let (routers, fault) = (self.random_routers(), self.random_connection_fault());
         match self.rng.random_range(0..13) {
-            0 => Action::StoreRefuses { for_ms },
-            1 | 2 => Action::StoreSilent { for_ms },
+            0 => Action::StoreUnavailable { for_ms },
+            1 | 2 => Action::StoreUnresponsive { for_ms },
             3 => Action::StoreLeavesWatchesUnanswered,
-            4 => Action::StoreForgets,
-            5 => Action::StoreLinksDie { routers, dead },
+            4 => Action::StoreDiscardsHistory,
+            5 => Action::StoreConnectionsFail { routers, fault },
             6 => Action::StoreCut { routers, for_ms },
             7 => Action::StoreStalls { routers, for_ms },
             8 => {
                 let delay_ms = self.rng.random_range(20..400);
-                Action::StoreSlow { routers, delay_ms, for_ms }
+                Action::StoreDelayed { routers, delay_ms, for_ms }
             }
-            9 => Action::PeerLinksDie { routers, dead },
+            9 => Action::PeerConnectionsFail { routers, fault },
             10 => Action::PeersCut { routers, for_ms },
             11 => {
                 let percent = self.rng.random_range(5..=100);
                 Action::DatagramsLost { routers, percent, for_ms }
             }
-            _ if self.rng.random_bool(0.5) => Action::Freeze { routers, for_ms },
+            _ if self.rng.random_bool(0.5) => Action::Suspend { routers, for_ms },
             _ => Action::Kill { routers, down_ms: for_ms },
         }
     }
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -7,7 +7,7 @@
 mod routes;
 
 use doorswitch_platform::configuration::LEDGER_SHARDS;
-use doorswitch_standins::backend::{Script, Step, whole};
+use doorswitch_standins::backend::{Script, Step, response};
 use doorswitch_standins::store;
 use fleet::eventually;
 use routes::{KEY, PREPAID, Request, STREAM_HEAD, World, answers, event, last_chunk, request};
@@ -24,7 +24,7 @@
 }
 
 fn total_seen(world: &World) -> usize {
-    world.backends.iter().map(|backend| backend.seen().len()).sum()
+    world.backends.iter().map(|backend| backend.requests().len()).sum()
 }
 
 #[test]
@@ -65,7 +65,8 @@
 
 #[test]
 fn the_servers_own_failure_is_passed_on_with_its_seal() {
-    let failing = || -> Script { Box::new(|_, _| vec![whole("500 Internal Server Error", "sad")]) };
+    let failing =
+        || -> Script { Box::new(|_, _| vec![response("500 Internal Server Error", "sad")]) };
     let world = World::start("failure", vec![failing(), failing()]);
     let answer = world.ask(0, &request("/read/x", "id-1"));
     assert_eq!((answer.status, answer.text().as_str()), (500, "sad"));
@@ -100,7 +101,7 @@
 fn a_key_that_was_taken_away_is_refused_also_after_the_history_was_forgotten() {
     let mut world = World::start("revoked", vec![answers("done")]);
     assert_eq!(world.ask(0, &request("/read/x", "id-1")).status, 200);
-    world.store.forget();
+    world.store.discard_history();
     world.publish(&["new-key"], PREPAID);
     let refused = || world.ask(0, &request("/read/x", "id-2")).status == 401;
     eventually("the old key is refused", refused);
@@ -133,7 +134,7 @@
     let missed = || world.log(0).contains("event=watch_failed prefix=servers/");
     eventually("the router misses the store", missed);
     world.store.remove("servers/i-0");
-    world.store.set_mode(store::Mode::Well);
+    world.store.set_mode(store::Mode::Normal);
     eventually("the record is missed", || world.log(0).contains("event=item_lapsed"));
     assert_eq!(world.ask(0, &request("/read/x", "lapsed")).status, 200, "{}", world.log(0));
     eventually("it is taken as gone", || world.ask(0, &request("/read/x", "gone")).status == 503);
@@ -149,7 +150,7 @@
     let missed = || world.log(0).contains("event=watch_failed prefix=servers/");
     eventually("the router misses the store", missed);
     world.store.put("servers/another", b"{}");
-    world.store.set_mode(store::Mode::Well);
+    world.store.set_mode(store::Mode::Normal);
     let told = || world.log(0).matches("event=store_changed prefix=servers/").count() == 2;
     eventually("the store is back", told);
     world.store.remove("servers/i-0");
@@ -175,7 +176,7 @@
     eventually("the router misses the store", missed);
     assert!((0..8).all(|_| ask() == "one"), "in the outage");
     world.store.remove("servers/i-0");
-    world.store.set_mode(store::Mode::Well);
+    world.store.set_mode(store::Mode::Normal);
     eventually("the record is missed", || world.log(0).contains("event=item_lapsed"));
     assert!((0..8).all(|_| ask() == "one"), "while it may be back");
 }
@@ -192,7 +193,7 @@
     assert!(world.ask(0, &request("/stream/x", "before")).whole);
     world.store.set_mode(mode);
     let mut running = world.send(0, &request("/long-stream/x", "running"));
-    eventually("the server has it", || world.backends[0].seen().len() == 2);
+    eventually("the server has it", || world.backends[0].requests().len() == 2);
     world.signal(0, "HUP");
     world.signal(0, "TERM");
     eventually("the balancer is told", || world.ready(0).is_none_or(|status| status == 503));
@@ -223,7 +224,7 @@
     let mut world = World::start("stop", vec![script]);
     let metered = Request { tokens: Some((8_000, 2_000)), ..request("/stream/x", "id-1") };
     let mut client = world.send(0, &metered);
-    eventually("the server has it", || world.backends[0].seen().len() == 1);
+    eventually("the server has it", || world.backends[0].requests().len() == 1);
     world.signal(0, "TERM");
     eventually("the balancer is told", || world.ready(0).is_none_or(|status| status == 503));
     let answer = routes::read_answer(&mut client);
@@ -246,7 +247,7 @@
     let mut world = World::start("outlasted", vec![hangs]);
     let long = Request { tokens: Some((8_000, 2_000)), ..routes::patient("/long/x", "id-1") };
     let _client = world.send(0, &long);
-    eventually("the server has it", || world.backends[0].seen().len() == 1);
+    eventually("the server has it", || world.backends[0].requests().len() == 1);
     world.signal(0, "TERM");
     let granted = || -> u64 {
         let keys = (0..LEDGER_SHARDS).map(doorswitch_core::ledger::key);
@@ -339,14 +340,14 @@
     for number in 0..10 {
         world.ask(0, &metered(&format!("lost-{number}")));
     }
-    world.store.set_mode(store::Mode::Well);
+    world.store.set_mode(store::Mode::Normal);
     // A call whose answer was lost holds the ledger up until it is given up: 503 until then.
     let mut number = 0;
     eventually("the budget is spent", || {
         number += 1;
         world.ask(0, &metered(&format!("rest-{number}"))).status == 402
     });
-    let served = world.backends[0].seen().len() as u64;
+    let served = world.backends[0].requests().len() as u64;
     assert!(served * 8_000 <= PREPAID, "{served} requests ran");
 }
 
--- a/tests/leaving_servers.rs
+++ b/tests/leaving_servers.rs
@@ -7,7 +7,7 @@
 mod routes;
 
 use doorswitch_standins::backend::{self, LEAVING_LINE};
-use doorswitch_standins::replies::{Given, Reply};
+use doorswitch_standins::replies::{Reply, SentReply};
 use routes::load::{self, Got, check_served, router_of};
 use routes::replying::Replying;
 use std::collections::HashMap;
@@ -28,9 +28,9 @@
 /// The requests that reached a server under an id though their client sent them too late.
 fn late(replying: &Replying, server: usize, vm: &str, got: &[Got]) -> Vec<Duration> {
     let by_id: HashMap<&str, &Got> = got.iter().map(|one| (one.id.as_str(), one)).collect();
-    let given = replying.servers[server].given();
-    let meant = |given: &&Given| given.expected.as_deref() == Some(vm);
-    let given: Vec<&Given> = given.iter().filter(meant).collect();
+    let given = replying.servers[server].sent();
+    let meant = |given: &&SentReply| given.expected.as_deref() == Some(vm);
+    let given: Vec<&SentReply> = given.iter().filter(meant).collect();
     let mut told: HashMap<usize, Instant> = HashMap::new();
     for one in given.iter().filter(|one| one.reply.lines.contains(LEAVING_LINE)) {
         let Some(got) = by_id.get(one.id.as_str()) else { continue };
@@ -194,7 +194,7 @@
 /// An answer to another request may be another server's, or an earlier one's.
 #[test]
 fn an_answer_to_another_request_does_not_tell_that_a_server_leaves() {
-    let strange = |_: usize, _: &backend::Seen| {
+    let strange = |_: usize, _: &backend::ReceivedRequest| {
         let text = format!(
             "HTTP/1.1 200 OK\r\nAttempt-Id: other\r\nServer-Seal: seal\r\n{LEAVING_LINE}\
              Content-Length: 0\r\n\r\n"
