--- a/core/src/servers.rs
+++ b/core/src/servers.rs
@@ -1,30 +1,30 @@
-//! Backend servers as one router sees them, and the choice among them.
+//! Backend servers as one router sees them, and the choice of a server for a request.
 //!
-//! Reports of load come late. The router knows its own requests exactly and takes from the reports
-//! only what others have there, on average. Of two candidates drawn at random the better one is taken:
-//! routers with the same old view then do not all pick the same server.
+//! Load reports are delayed. The router counts its own requests exactly and takes only the average
+//! number of other routers' requests from the reports. It samples servers at random and takes the
+//! cheapest one, so that routers with the same outdated view do not all pick the same server.
 
 mod affinity;
+mod answer_time;
 mod backoff;
 mod by_prompt;
+mod directives;
 mod health;
+mod limit_checks;
 mod limits;
-mod lives;
-mod pace;
 mod permits;
-mod said;
-mod sharing;
+mod restarts;
 mod vm;
 mod warm_up;
 
 pub use backoff::Backoff;
 pub use by_prompt::{Choice, Part, chain};
+pub use directives::{AnswerAge, Header, Said, Stated};
 pub use limits::{AnswerId, Known, LimitChange, LimitNews, LimitReport, Limits};
-pub use lives::Restarted;
 pub use permits::{
-    KEPT_MS as PERMIT_KEPT_MS, PermitsGranted, PermitsWanted, TRIAL_EVERY_MAX_MS, trial_every_ms,
+    PERMIT_TTL_MS, PermitsGranted, PermitsWanted, TRIAL_INTERVAL_MAX_MS, trial_every_ms,
 };
-pub use said::{AnswerAge, Header, Said, Stated};
+pub use restarts::Restarted;
 pub use vm::{Load, Vm, VmState};
 pub use warm_up::{ColdLimit, Fleet};
 
@@ -33,53 +33,56 @@
 use rand::seq::IndexedRandom;
 use std::collections;
 
-/// Requests at once on a server that has not reported its slots.
+/// Assumed number of concurrent requests of a server that has not reported its slots.
 const DEFAULT_SLOTS: u64 = 8;
-/// A report counts for one part in so many of the average load.
-const REPORT_WEIGHT: u64 = 16;
-/// Of a hundred servers with room, so many are compared; at least two.
-const DRAWN_PERCENT: usize = 50;
-const DRAWN_MIN: usize = 2;
+/// Weight of a load report in the moving average of the load: one part in this many.
+const REPORT_AVERAGE_DIVISOR: u64 = 16;
+/// Share of the open servers that is sampled and compared, in percent, and the minimum sample.
+const SAMPLE_PERCENT: usize = 50;
+const SAMPLE_MIN: usize = 2;
 
-/// One backend server.
+/// A backend server, with the load and the failures that this router observed.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// The VM that it runs on.
+    /// VM on which the server runs.
     pub vm: Vm,
-    /// Whether a later life of it was heard of: only what still runs on this one keeps it here.
-    over: bool,
-    /// Whether the last list had it. Its record may lapse and come back while requests run on it.
+    /// Whether a later incarnation of the server is known. The slot then stays only for requests
+    /// that still run.
+    superseded: bool,
+    /// Whether the last list contained the server. Its record may expire and reappear while
+    /// requests run on it.
     listed: bool,
     /// Whether its failure domain is evacuated.
     evacuated: bool,
     warm_up: Option<warm_up::WarmUp>,
-    /// Its last report.
+    /// Last load report of the server.
     pub load: Option<Load>,
-    /// This router's requests on it.
+    /// Number of this router's requests on the server.
     pub in_flight: u64,
-    /// All requests on it, averaged over reports, in thousandths.
-    all_milli: u64,
-    /// This router's requests on it when reports came, averaged alike.
-    own_milli: u64,
-    pace: pace::Pace,
-    /// Tokens of prompts that this router sent and that are not read yet.
+    /// Moving average of all requests on the server, in thousandths.
+    total_load_milli: u64,
+    /// Moving average of this router's requests on the server at the times of the reports, in
+    /// thousandths.
+    own_load_milli: u64,
+    answer_time: answer_time::AnswerTime,
+    /// Prompt tokens that this router sent and that the server has not processed yet.
     unread_tokens: u64,
     name_hash: u64,
     failures: u32,
     ejected_until_ms: u64,
     probing: bool,
-    /// What it asked this router for, until it has its part again.
+    /// Backoff that the server requested, kept until its normal share of requests is restored.
     backoff: Option<Backoff>,
-    /// When it last turned a request away, of those that count.
-    turned_away_ms: Option<u64>,
-    /// Its headers that could not be read: told once each.
-    unreadable: collections::BTreeSet<Header>,
+    /// Time of the last rejection that counted as a failure.
+    rejected_ms: Option<u64>,
+    /// Headers of the server that were unreadable; each is logged once.
+    unreadable_headers: collections::BTreeSet<Header>,
 }
 
 impl Server {
     fn new(vm: Vm) -> Self {
         Self {
-            over: false,
+            superseded: false,
             listed: true,
             evacuated: false,
             warm_up: None,
@@ -88,29 +91,30 @@
             vm,
             load: None,
             in_flight: 0,
-            all_milli: 0,
-            own_milli: 0,
-            pace: pace::Pace::default(),
+            total_load_milli: 0,
+            own_load_milli: 0,
+            answer_time: answer_time::AnswerTime::default(),
             failures: 0,
             ejected_until_ms: 0,
             probing: false,
             backoff: None,
-            turned_away_ms: None,
-            unreadable: Default::default(),
+            rejected_ms: None,
+            unreadable_headers: Default::default(),
         }
     }
 
-    /// Whether a later life of it was heard of; its slot stays for what still runs on it.
+    /// Whether a later incarnation of the server is known. The slot then stays only for requests
+    /// that still run.
     pub fn is_over(&self) -> bool {
-        self.over
+        self.superseded
     }
 
-    /// A digest of its VM's name.
+    /// Hash of the VM's name.
     pub fn name_hash(&self) -> u64 {
         self.name_hash
     }
 
-    /// Places in the server's batch.
+    /// Number of requests that the server processes at once.
     pub fn slots(&self) -> u64 {
         match (self.load, self.vm.slots) {
             (Some(load), _) => load.slots.max(1),
@@ -119,20 +123,20 @@
         }
     }
 
-    /// Requests that are on the server now, as far as can be told: this router's own, which it knows,
-    /// and those of others, which late reports show only on average.
+    /// Estimated number of requests on the server: this router's exact count, plus the average
+    /// number of other routers' requests from the delayed load reports.
     pub fn estimated_load(&self) -> u64 {
-        self.in_flight + self.all_milli.saturating_sub(self.own_milli) / 1_000
+        self.in_flight + self.total_load_milli.saturating_sub(self.own_load_milli) / 1_000
     }
 
-    /// Whether it may get new work.
+    /// Whether the server may receive new requests.
     pub fn is_live(&self) -> bool {
-        !self.over && self.listed && !self.evacuated && self.vm.state == VmState::Live
+        !self.superseded && self.listed && !self.evacuated && self.vm.state == VmState::Live
     }
 
-    /// Whether it is listed and leaves.
+    /// Whether the server is listed and leaving.
     pub fn leaves(&self) -> bool {
-        !self.over && self.listed && self.vm.state == VmState::Leaving
+        !self.superseded && self.listed && self.vm.state == VmState::Leaving
     }
 
     fn has_room(&self, now_ms: u64) -> bool {
@@ -141,47 +145,51 @@
         self.estimated_load() < self.slots() && !held_back
     }
 
-    /// Whether it is live and of a class that is wanted.
-    fn fits(&self, wanted: &Wanted<'_>) -> bool {
-        let class = wanted.classes.is_empty() || wanted.classes.contains(&self.vm.class);
+    /// Whether the server is live and its class is allowed.
+    fn matches(&self, criteria: &Wanted<'_>) -> bool {
+        let class = criteria.classes.is_empty() || criteria.classes.contains(&self.vm.class);
         class && self.is_live()
     }
 
-    /// The time that one more request would take, in microseconds: the server's pace, stretched by its load.
-    fn cost_us(&self, service: pace::ServicePace, now_ms: u64) -> u64 {
-        (self.estimated_load() + 1) * self.pace.answer_us(service, now_ms).max(1) / self.slots()
+    /// Estimated time for one more request, in microseconds: the server's answer time scaled by its
+    /// load.
+    fn cost_us(&self, service: answer_time::ServiceAnswerTime, now_ms: u64) -> u64 {
+        (self.estimated_load() + 1) * self.answer_time.answer_us(service, now_ms).max(1)
+            / self.slots()
     }
 }
 
-/// What to look for.
+/// Criteria by which a server is chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct Wanted<'a> {
-    /// The service.
+    /// Name of the service.
     pub service: &'a str,
-    /// The classes of VM that the policy allows; empty allows all.
+    /// Allowed classes of VM; empty allows all.
     pub classes: &'a [String],
-    /// A digest of the prompt's beginning.
+    /// Hash of the beginning of the prompt.
     pub prefix_hash: Option<u64>,
-    /// The parts of the prompt, where they are known.
+    /// Parts of the prompt; empty if they are not known.
     pub parts: &'a [Part],
-    /// Servers that failed this request already.
+    /// Servers on which this request already failed.
     pub not: &'a [ids::ServerSlot],
 }
 
-/// Why there is no server for a request.
+/// Reason why no server can be chosen for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lack {
-    /// Every fitting server is full, or limited.
+    /// Every matching server that does not back off is full or limited, and at least one is not
+    /// limited.
     Full,
-    /// Every fitting server is limited, and this router may send to none of them now.
+    /// Every matching server that does not back off is limited, and this router may send to none of
+    /// them now.
     Limited,
-    /// Every fitting server asked this router to send it nothing now.
+    /// Every matching server requested a backoff that still lasts.
     Backoff,
-    /// No fitting server is live.
+    /// No matching server is live.
     None,
 }
 
-/// All servers that this router knows.
+/// All servers that are known to this router, with the state on which the choice depends.
 #[derive(Debug, Default)]
 pub struct Table {
     servers: slotmap::SlotMap<ids::ServerSlot, Server>,
@@ -189,7 +197,7 @@
     by_service: collections::HashMap<String, Vec<ids::ServerSlot>>,
     prefixes: collections::HashMap<u64, ids::ServerSlot>,
     prefix_order: collections::VecDeque<u64>,
-    sent: by_prompt::Sent,
+    sent_parts: by_prompt::SentParts,
     evacuated: collections::BTreeSet<String>,
     cold_limits: collections::HashMap<String, ColdLimit>,
     fleet: Fleet,
@@ -197,36 +205,37 @@
     limits: Limits,
     /// Servers with a backoff.
     backing_off: collections::BTreeSet<ids::ServerSlot>,
-    /// Requests that a limited server did not get, by service.
+    /// Number of requests that a limited server did not get because of its limit, by service.
     held_back: collections::BTreeMap<String, u64>,
-    /// How fast services answer.
-    paces: collections::HashMap<String, pace::ServicePace>,
+    /// Average answer time of each service.
+    service_answer_times: collections::HashMap<String, answer_time::ServiceAnswerTime>,
 }
 
 impl Table {
-    /// Follows the platform's list. A server that is gone stays until its last request ends.
+    /// Applies the platform's list of VMs. A server that is no longer listed stays until its last
+    /// request ends.
     pub fn follow(&mut self, vms: &[Vm], now_ms: u64) {
         let listed: collections::HashSet<&str> = vms.iter().map(|vm| vm.vm.as_str()).collect();
         for server in self.servers.values_mut() {
             server.listed = listed.contains(server.vm.vm.as_str());
         }
         for vm in vms {
-            self.follow_vm(vm, now_ms);
+            self.apply_vm(vm, now_ms);
         }
-        self.forget_gone(&listed, now_ms);
+        self.remove_unlisted(&listed, now_ms);
     }
 
-    /// The server in a slot.
+    /// Returns the server in a slot.
     pub fn get(&self, slot: ids::ServerSlot) -> Option<&Server> {
         self.servers.get(slot)
     }
 
-    /// The slot of a VM's server.
+    /// Returns the slot of a VM's server.
     pub fn find(&self, vm: &str) -> Option<ids::ServerSlot> {
         self.by_vm.get(vm).copied()
     }
 
-    /// All servers.
+    /// Iterates over all servers with their slots.
     pub fn iter(&self) -> impl Iterator<Item = (ids::ServerSlot, &Server)> {
         self.servers.iter()
     }
@@ -234,59 +243,60 @@
     /// Chooses a server with room and counts the request on it.
     pub fn choose(
         &mut self,
-        wanted: &Wanted<'_>,
+        criteria: &Wanted<'_>,
         now_ms: u64,
         rng: &mut rngs::StdRng,
     ) -> Result<Choice, Lack> {
-        if !wanted.parts.is_empty() {
-            return self.choose_for_prompt(wanted, now_ms);
+        if !criteria.parts.is_empty() {
+            return self.choose_for_prompt(criteria, now_ms);
         }
-        let fitting = self.fitting(wanted, now_ms);
-        if fitting.is_empty() {
+        let matching = self.matching(criteria, now_ms);
+        if matching.is_empty() {
             return Err(Lack::None);
         }
-        let open = fitting.iter().copied().filter(|slot| self.is_open(*slot, now_ms));
+        let open = matching.iter().copied().filter(|slot| self.is_open(*slot, now_ms));
         let open: Vec<ids::ServerSlot> = open.collect();
         let trial = open.iter().copied().find(|slot| self.wants_trial(*slot, now_ms));
         let chosen = match trial {
             Some(slot) => slot,
             None => {
-                let better = self.best_of_some(&open, now_ms, rng);
-                let better = better.ok_or_else(|| self.lack(&fitting, now_ms))?;
-                self.with_affinity(better, &open, wanted.prefix_hash, now_ms)
+                let cheapest = self.cheapest_of_sample(&open, now_ms, rng);
+                let cheapest = cheapest.ok_or_else(|| self.unavailability(&matching, now_ms))?;
+                self.with_affinity(cheapest, &open, criteria.prefix_hash, now_ms)
             }
         };
-        self.count_held_back(wanted.service, &fitting, now_ms);
-        self.started(chosen, now_ms);
-        if let Some(hash) = wanted.prefix_hash {
+        self.count_held_back(criteria.service, &matching, now_ms);
+        self.count_sent(chosen, now_ms);
+        if let Some(hash) = criteria.prefix_hash {
             self.remember_prefix(hash, chosen);
         }
         Ok(Choice { slot: chosen, unread_tokens: 0 })
     }
 
-    /// Whether a header of a server could not be read for the first time.
+    /// Records that a header of a server was unreadable; returns whether this is the first time.
     pub fn note_unreadable(&mut self, slot: ids::ServerSlot, header: Header) -> bool {
-        self.servers.get_mut(slot).is_some_and(|server| server.unreadable.insert(header))
+        self.servers.get_mut(slot).is_some_and(|server| server.unreadable_headers.insert(header))
     }
 
-    /// Counts a request off a server again.
+    /// Counts a request on a server as ended.
     pub fn ended(&mut self, slot: ids::ServerSlot) {
         if let Some(server) = self.servers.get_mut(slot) {
             server.in_flight = server.in_flight.saturating_sub(1);
         }
     }
 
-    /// Takes in a load report of a server.
+    /// Records a load report of a server.
     pub fn reported(&mut self, slot: ids::ServerSlot, load: Load) {
         if let Some(server) = self.servers.get_mut(slot) {
             server.load = Some(load);
-            server.all_milli = averaged(server.all_milli, load.running + load.queued);
-            server.own_milli = averaged(server.own_milli, server.in_flight);
+            server.total_load_milli =
+                moving_average(server.total_load_milli, load.running + load.queued);
+            server.own_load_milli = moving_average(server.own_load_milli, server.in_flight);
         }
     }
 
-    /// The servers whose load this router asks for: at most `most` of each service, a subset that
-    /// is its own and stays the same while the servers do.
+    /// Servers whose load this router polls: at most `most` per service. The subset differs between
+    /// routers and stays the same while the servers do.
     pub fn subset(
         &self,
         own: ids::Incarnation,
@@ -312,11 +322,12 @@
         chosen
     }
 
-    /// A server that is gone stays while requests run on it, and while it backs off: its record may be back before.
-    fn forget_gone(&mut self, listed: &collections::HashSet<&str>, now_ms: u64) {
+    /// Removes servers that are no longer listed, except those with running requests or with a
+    /// backoff that still lasts: their records may reappear before it ends.
+    fn remove_unlisted(&mut self, listed: &collections::HashSet<&str>, now_ms: u64) {
         self.servers.retain(|_, server| {
-            let stays = !server.over && listed.contains(server.vm.vm.as_str());
-            let backs_off = !server.over && server.backs_off(now_ms);
+            let stays = !server.superseded && listed.contains(server.vm.vm.as_str());
+            let backs_off = !server.superseded && server.backs_off(now_ms);
             server.in_flight > 0 || stays || backs_off
         });
         let servers = &self.servers;
@@ -327,14 +338,14 @@
         }
     }
 
-    fn fitting(&self, wanted: &Wanted<'_>, now_ms: u64) -> Vec<ids::ServerSlot> {
-        let Some(slots) = self.by_service.get(wanted.service) else { return Vec::new() };
-        let fits = |slot: &&ids::ServerSlot| {
-            self.servers[**slot].fits(wanted) && !wanted.not.contains(slot)
+    fn matching(&self, criteria: &Wanted<'_>, now_ms: u64) -> Vec<ids::ServerSlot> {
+        let Some(slots) = self.by_service.get(criteria.service) else { return Vec::new() };
+        let matches = |slot: &&ids::ServerSlot| {
+            self.servers[**slot].matches(criteria) && !criteria.not.contains(slot)
         };
-        let live: Vec<ids::ServerSlot> = slots.iter().filter(fits).copied().collect();
-        // Ejection is this router's guess, a backoff the server's word: where all others were ejected, one that failed
-        // lately is better than none, but one that backs off is not.
+        let live: Vec<ids::ServerSlot> = slots.iter().filter(matches).copied().collect();
+        // An ejection is this router's own estimate, a backoff is a directive of the server. If all
+        // other servers are ejected, an ejected one is used, but never one that backs off.
         let backs_off = |slot: &ids::ServerSlot| self.servers[*slot].backs_off(now_ms);
         let usable = |slot: &ids::ServerSlot| self.servers[*slot].usable(now_ms);
         match live.iter().any(|slot| usable(slot) && !backs_off(slot)) {
@@ -343,25 +354,28 @@
         }
     }
 
-    /// The cheapest of some that are drawn at random.
-    fn best_of_some(
+    /// The cheapest server of a random sample.
+    fn cheapest_of_sample(
         &self,
         open: &[ids::ServerSlot],
         now_ms: u64,
         rng: &mut rngs::StdRng,
     ) -> Option<ids::ServerSlot> {
-        let service = self.service_pace(open);
-        let drawn = open.sample(rng, (open.len() * DRAWN_PERCENT).div_ceil(100).max(DRAWN_MIN));
-        drawn.min_by_key(|slot| self.servers[**slot].cost_us(service, now_ms)).copied()
+        let service = self.service_answer_time(open);
+        let sample = open.sample(rng, (open.len() * SAMPLE_PERCENT).div_ceil(100).max(SAMPLE_MIN));
+        sample.min_by_key(|slot| self.servers[**slot].cost_us(service, now_ms)).copied()
     }
 
-    /// How fast the service of these servers answers.
-    fn service_pace(&self, slots: &[ids::ServerSlot]) -> pace::ServicePace {
+    /// Average answer time of the service to which these servers belong.
+    fn service_answer_time(&self, slots: &[ids::ServerSlot]) -> answer_time::ServiceAnswerTime {
         let service = slots.first().map(|slot| &self.servers[*slot].vm.service);
-        service.and_then(|service| self.paces.get(service)).copied().unwrap_or_default()
+        service
+            .and_then(|service| self.service_answer_times.get(service))
+            .copied()
+            .unwrap_or_default()
     }
 
-    fn started(&mut self, slot: ids::ServerSlot, now_ms: u64) {
+    fn count_sent(&mut self, slot: ids::ServerSlot, now_ms: u64) {
         let server = &mut self.servers[slot];
         if let Some(warm_up) = &mut server.warm_up {
             warm_up.count(now_ms);
@@ -371,10 +385,10 @@
         }
         server.in_flight += 1;
         self.limits.count(slot, now_ms);
-        server.note_probing();
+        server.mark_probed();
     }
 }
 
-fn averaged(average_milli: u64, requests: u64) -> u64 {
-    (average_milli * (REPORT_WEIGHT - 1) + requests * 1_000) / REPORT_WEIGHT
+fn moving_average(average_milli: u64, requests: u64) -> u64 {
+    (average_milli * (REPORT_AVERAGE_DIVISOR - 1) + requests * 1_000) / REPORT_AVERAGE_DIVISOR
 }
--- a/core/src/servers/affinity.rs
+++ b/core/src/servers/affinity.rs
@@ -1,27 +1,30 @@
-//! Servers that saw a prompt's beginning before, where its parts are not named: the last one is chosen unless it is much busier.
+//! Cache affinity for prompts without named parts: the server that last received the same prefix is
+//! chosen again unless it is much busier than the alternative.
 
 use super::Table;
 use crate::ids;
 
-/// How much busier than the better choice the server with the cached prefix may be, in percent.
+/// Maximum cost of the server with the cached prefix, in percent of the cost of the alternative.
 const AFFINITY_MARGIN_PERCENT: u64 = 150;
-/// Prefixes remembered, over all servers.
+/// Maximum number of remembered prefixes over all servers.
 const PREFIXES_REMEMBERED: usize = 4_096;
 
 impl Table {
     pub(super) fn with_affinity(
         &self,
-        better: ids::ServerSlot,
+        cheapest: ids::ServerSlot,
         open: &[ids::ServerSlot],
         prefix_hash: Option<u64>,
         now_ms: u64,
     ) -> ids::ServerSlot {
-        let service = self.service_pace(open);
+        let service = self.service_answer_time(open);
         let cost_us = |slot: ids::ServerSlot| self.servers[slot].cost_us(service, now_ms);
         let cached = prefix_hash.and_then(|hash| self.prefixes.get(&hash)).copied();
         match cached.filter(|slot| open.contains(slot)) {
-            Some(slot) if cost_us(slot) * 100 <= cost_us(better) * AFFINITY_MARGIN_PERCENT => slot,
-            _ => better,
+            Some(slot) if cost_us(slot) * 100 <= cost_us(cheapest) * AFFINITY_MARGIN_PERCENT => {
+                slot
+            }
+            _ => cheapest,
         }
     }
 
--- a/core/src/servers/said.rs
+++ b/core/src/servers/directives.rs
@@ -1,50 +1,51 @@
-//! What a server says of itself in the head of an answer.
+//! Directives that a server sends in the headers of its answers.
 
-/// What one header says.
+/// Value of one directive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Stated<T> {
-    /// It is not there.
+    /// The header is absent.
     #[default]
     Nothing,
-    /// It says this.
+    /// The header is present with this value.
     Value(T),
-    /// It is there, and what it says is not understood.
+    /// The header is present, but its value cannot be parsed.
     Unreadable,
 }
 
-/// What the head of one answer says of the server that gave it.
+/// Directives in the headers of one answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Said {
-    /// Requests a second that the server takes from all routers together, in thousandths.
+    /// Rate of requests that the server accepts from all routers together, in thousandths per
+    /// second.
     pub limit_milli_per_s: Stated<u64>,
-    /// Whether the server leaves.
+    /// Whether the server is leaving.
     pub leaves: Stated<bool>,
-    /// For how long the server wants no more requests from this router, in milliseconds.
+    /// Time for which the server requests a backoff from this router, in milliseconds.
     pub backoff_ms: Stated<u64>,
 }
 
-/// How long ago an answer's request was sent and its head came, in milliseconds.
+/// Ages of an answer's request and of its headers, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AnswerAge {
-    /// Since the request was sent.
+    /// Time since the request was sent.
     pub sent_ms: u64,
-    /// Since the head of the answer came.
+    /// Time since the headers of the answer were received.
     pub heard_ms: u64,
 }
 
-/// A header of which [`Said`] tells.
+/// Header that carries one of the [`Said`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Header {
-    /// [`Said::limit_milli_per_s`].
+    /// Carries [`Said::limit_milli_per_s`].
     Limit,
-    /// [`Said::leaves`].
+    /// Carries [`Said::leaves`].
     Leaving,
-    /// [`Said::backoff_ms`].
+    /// Carries [`Said::backoff_ms`].
     Backoff,
 }
 
 impl Header {
-    /// The value of the key `header` in log lines.
+    /// Value of the key `header` in log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Limit => "Limit",
@@ -55,12 +56,12 @@
 }
 
 impl Said {
-    /// Whether none of these headers is there.
+    /// Whether all directives are absent.
     pub fn is_silent(&self) -> bool {
         *self == Self::default()
     }
 
-    /// The headers that are not understood.
+    /// Headers whose values cannot be parsed.
     pub fn unreadable(&self) -> impl Iterator<Item = Header> {
         let headers = [
             (Header::Limit, self.limit_milli_per_s == Stated::Unreadable),
--- a/core/src/servers/sharing.rs
+++ b/core/src/servers/limit_checks.rs
@@ -1,42 +1,44 @@
-//! What the choice of a server has to do with limits.
+//! Limit checks in the choice of a server.
 //!
-//! Every send is chosen here, so that no way around it exceeds what a server takes: a router that kept to a limit by itself,
-//! or only on some of its ways, would add to what the others send.
+//! Every send passes these checks, so that no other code path exceeds a server's limit. Requests of
+//! a router that applied the limit on its own, or only on some paths, would add to those of the
+//! other routers.
 
 use super::{Lack, LimitReport, Limits, Server, Table};
 use crate::ids;
 use std::collections;
 
 impl Table {
-    /// What is known of servers' limits.
+    /// Limits of all servers.
     pub fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// The same, to be changed.
+    /// Mutable limits of all servers.
     pub fn limits_mut(&mut self) -> &mut Limits {
         &mut self.limits
     }
 
-    /// What the next datagram tells of limits.
+    /// Takes the limit reports for the next datagram.
     pub fn take_limit_news(&mut self) -> Vec<(ids::ServerSlot, LimitReport)> {
         let Self { limits, servers, .. } = self;
         limits.take_news(|slot| servers.get(slot).map_or(0, |server| server.vm.vm.len()))
     }
 
-    /// The slot of a life of a VM's server.
+    /// Slot of one incarnation of a VM's server.
     pub fn find_life(&self, vm: &str, life: ids::ServerLife) -> Option<ids::ServerSlot> {
         self.find(vm).filter(|slot| self.servers[*slot].vm.life == life)
     }
 
-    /// Forgets how fast a server is: what is known is that of a few requests while it was in need, or old.
+    /// Resets the estimated answer time of a server: it is outdated or comes from a few requests
+    /// under overload.
     pub fn forget_pace(&mut self, slot: ids::ServerSlot) {
         if let Some(server) = self.servers.get_mut(slot) {
-            server.pace = Default::default();
+            server.answer_time = Default::default();
         }
     }
 
-    /// The limited servers that are live, with their services.
+    /// Live servers that are limited, by service.
     pub fn limited_services(&self) -> collections::BTreeMap<&str, Vec<ids::ServerSlot>> {
         let mut services: collections::BTreeMap<&str, Vec<ids::ServerSlot>> = Default::default();
         for (slot, _) in self.limits.iter_limited() {
@@ -47,62 +49,62 @@
         services
     }
 
-    /// Whether every server of a service that may get new work is limited.
+    /// Whether every server of a service that may receive new requests is limited.
     pub fn all_limited(&self, service: &str, now_ms: u64) -> bool {
         let slots = self.by_service.get(service).into_iter().flatten();
-        let takes = |slot: &&ids::ServerSlot| {
+        let accepts = |slot: &&ids::ServerSlot| {
             let server = &self.servers[**slot];
             server.is_live() && !server.backs_off(now_ms)
         };
-        let mut takers = slots.filter(takes).peekable();
-        takers.peek().is_some() && takers.all(|slot| self.limits.limited(*slot).is_some())
+        let mut accepting = slots.filter(accepts).peekable();
+        accepting.peek().is_some() && accepting.all(|slot| self.limits.limited(*slot).is_some())
     }
 
-    /// Requests that a limited server did not get, by service.
+    /// Number of requests that a limited server did not get because of its limit, by service.
     pub fn held_back(&self) -> &collections::BTreeMap<String, u64> {
         &self.held_back
     }
 
-    /// Whether a request may still go to the server that was chosen for it a while ago.
+    /// Whether a request may still be sent to the server that was chosen for it at `chosen_ms`.
     pub fn may_still_send(&self, slot: ids::ServerSlot, chosen_ms: u64, now_ms: u64) -> bool {
         let limit_holds = self.limits.limited(slot).is_none_or(|known| {
-            known.since_ms < chosen_ms && now_ms < chosen_ms + super::PERMIT_KEPT_MS
+            known.since_ms < chosen_ms && now_ms < chosen_ms + super::PERMIT_TTL_MS
         });
-        let takes = |server: &Server| server.is_live() && !server.backs_off(now_ms);
-        limit_holds && self.servers.get(slot).is_some_and(takes)
+        let accepts = |server: &Server| server.is_live() && !server.backs_off(now_ms);
+        limit_holds && self.servers.get(slot).is_some_and(accepts)
     }
 
-    /// Whether a server has room and this router may send to it.
+    /// Whether a server has room and its limit permits a request of this router now.
     pub(super) fn is_open(&self, slot: ids::ServerSlot, now_ms: u64) -> bool {
         self.limits.may_send(slot, now_ms) && self.servers[slot].has_room(now_ms)
     }
 
-    /// Whether a request is to go to a limited server so that its limit is heard.
+    /// Whether a trial request is to be sent to a limited server now.
     pub(super) fn wants_trial(&self, slot: ids::ServerSlot, now_ms: u64) -> bool {
         self.limits.limited(slot).is_some_and(|known| known.share.trial(now_ms))
     }
 
-    /// Why none of these servers is open.
-    pub(super) fn lack(&self, fitting: &[ids::ServerSlot], now_ms: u64) -> Lack {
-        let takes = |slot: &&ids::ServerSlot| !self.servers[**slot].backs_off(now_ms);
-        let mut takers = fitting.iter().filter(takes).peekable();
-        if takers.peek().is_none() {
+    /// Reason why none of these servers can take the request.
+    pub(super) fn unavailability(&self, matching: &[ids::ServerSlot], now_ms: u64) -> Lack {
+        let accepts = |slot: &&ids::ServerSlot| !self.servers[**slot].backs_off(now_ms);
+        let mut accepting = matching.iter().filter(accepts).peekable();
+        if accepting.peek().is_none() {
             return Lack::Backoff;
         }
-        match takers.all(|slot| self.limits.limited(*slot).is_some()) {
+        match accepting.all(|slot| self.limits.limited(*slot).is_some()) {
             true => Lack::Limited,
             false => Lack::Full,
         }
     }
 
-    /// Counts a request that limited servers did not get.
+    /// Counts a request for which a limited server was skipped.
     pub(super) fn count_held_back(
         &mut self,
         service: &str,
-        fitting: &[ids::ServerSlot],
+        matching: &[ids::ServerSlot],
         now_ms: u64,
     ) {
-        if fitting.iter().any(|slot| !self.limits.may_send(*slot, now_ms)) {
+        if matching.iter().any(|slot| !self.limits.may_send(*slot, now_ms)) {
             *self.held_back.entry(service.to_owned()).or_default() += 1;
         }
     }
--- a/core/src/servers/limits.rs
+++ b/core/src/servers/limits.rs
@@ -1,46 +1,49 @@
-//! Servers in need: what they say of how many requests a second they take from all routers together.
+//! Limits that overloaded servers report: the rate of requests that a server accepts from all
+//! routers together.
 //!
-//! Answers overtake each other, at one router and between routers. What is known of a server rests on one answer, the one
-//! whose request was sent last; the end of a limit only on an answer whose request was sent after the limit was heard.
+//! Answers can overtake each other, at one router and between routers. The known state of a server
+//! therefore comes from one answer, the one whose request was sent last. A limit ends only with an
+//! answer to a request that was sent after the limit was received.
 
 use super::permits;
 use crate::{ids, rotation};
 use serde::{Deserialize, Serialize};
 use std::collections;
 
-/// A limit that no answer confirms any more runs out after this time: long enough for a trial where few requests come.
-const KEPT_MS: u64 = 120_000;
-/// A limit that ended is remembered for so long, so that late news of it do not begin it again.
-const ENDED_KEPT_MS: u64 = 10_000;
-/// What a peer heard longer ago says nothing: here the end of it may be forgotten already.
-const NEWS_OLDEST_MS: u64 = ENDED_KEPT_MS;
-/// Changes of a limit by less than one part in so many are no news.
-const NOTABLE_PART: u64 = 10;
+/// Time after which a limit expires that no answer confirms. Long enough for a trial request where
+/// there are few requests.
+const LIMIT_TTL_MS: u64 = 120_000;
+/// Time for which an ended limit is remembered, so that delayed updates do not start it again.
+const ENDED_LIMIT_TTL_MS: u64 = 10_000;
+/// Maximum age of updates from peers: the end of an older limit may already be forgotten here.
+const UPDATE_AGE_MAX_MS: u64 = ENDED_LIMIT_TTL_MS;
+/// Changes of a limit by at most one part in this many are not sent to peers.
+const NOTABLE_CHANGE_DIVISOR: u64 = 10;
 
-/// The answer by which something is known.
+/// Identifies the answer that reported a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerId {
-    /// The router that got it.
+    /// Router that received the answer.
     pub router: ids::Incarnation,
-    /// The router's count of such answers.
+    /// The router's sequence number of such answers.
     pub number: u64,
 }
 
-/// What is known of a server's limit, and by which answer.
+/// Limit of a server as one answer reported it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitReport {
-    /// Requests a second in thousandths; `None` if the answer named no limit.
+    /// Limit in thousandths of a request per second; `None` if the answer reported no limit.
     pub limit_milli_per_s: Option<u64>,
-    /// The answer.
+    /// Answer that reported the limit.
     pub answer: AnswerId,
-    /// When the request was sent that it answers.
+    /// When the request of the answer was sent.
     pub sent_ms: u64,
-    /// When it came.
+    /// When the answer was received.
     pub heard_ms: u64,
 }
 
 impl LimitReport {
-    /// Whether this one is the later word of the server.
+    /// Whether this report replaces the known one.
     fn supersedes(&self, known: &Self) -> bool {
         match (self.limit_milli_per_s, known.limit_milli_per_s) {
             (None, Some(_)) => self.sent_ms > known.heard_ms,
@@ -52,20 +55,21 @@
     }
 }
 
-/// The same as routers tell it to each other: they share no clock, so times are ages.
+/// Gossip form of a limit report. Routers share no clock, so times are sent as ages.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitNews {
-    /// The server's VM.
+    /// VM of the server.
     pub vm: String,
-    /// The server's life.
+    /// Incarnation of the server.
     pub life: ids::ServerLife,
-    /// Requests a second in thousandths; `None` if it names no limit any more.
+    /// Limit in thousandths of a request per second; `None` if the server reports no limit any
+    /// more.
     pub limit_milli_per_s: Option<u64>,
-    /// The answer that said so.
+    /// Answer that reported the limit.
     pub answer: AnswerId,
-    /// How long ago the request was sent that it answers, in milliseconds.
+    /// Time since the request of the answer was sent, in milliseconds.
     pub sent_age_ms: u64,
-    /// How long ago it came, in milliseconds.
+    /// Time since the answer was received, in milliseconds.
     pub heard_age_ms: u64,
 }
 
@@ -76,9 +80,9 @@
         self.heard_age_ms = self.heard_age_ms.saturating_add(queued_ms);
     }
 
-    /// What a peer's news mean here; `None` for what is too old to say anything.
+    /// Converts a peer's update to a report in this router's time; `None` if the update is too old.
     pub fn report(&self, now_ms: u64) -> Option<LimitReport> {
-        (self.heard_age_ms < NEWS_OLDEST_MS).then(|| LimitReport {
+        (self.heard_age_ms < UPDATE_AGE_MAX_MS).then(|| LimitReport {
             limit_milli_per_s: self.limit_milli_per_s,
             answer: self.answer,
             sent_ms: now_ms.saturating_sub(self.sent_age_ms.max(self.heard_age_ms)),
@@ -87,34 +91,34 @@
     }
 }
 
-/// What a report changed.
+/// Effect of a report on the known limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitChange {
-    /// Nothing worth telling.
+    /// No change that is worth sending to peers.
     Nothing,
-    /// The server is limited to so many thousandths of a request a second from now on.
+    /// The server is now limited to this many thousandths of a request per second.
     Limited(u64),
-    /// It is limited no more.
+    /// The limit of the server has ended.
     Ended,
 }
 
-/// One server's limit.
+/// Limit of one server, with this router's permits for it.
 #[derive(Clone, Debug)]
 pub struct Known {
-    /// What is known.
+    /// Report that is currently valid.
     pub report: LimitReport,
-    /// Since when it is limited without a break.
+    /// Start of the uninterrupted time in which the server is limited.
     pub since_ms: u64,
-    /// The last value that was told.
-    told_milli_per_s: Option<u64>,
+    /// Limit that was last queued for gossip.
+    queued_milli_per_s: Option<u64>,
     news_left: u32,
-    /// What this router may send.
+    /// Permits that this router holds for the server.
     pub share: permits::Share,
-    /// What this router hands out, if that is its work.
+    /// Scheduler of permits, used if this router is the server's pacer.
     pub pacer: permits::Pacer,
 }
 
-/// The limits of all servers.
+/// Limits of all servers.
 #[derive(Debug, Default)]
 pub struct Limits {
     known: collections::BTreeMap<ids::ServerSlot, Known>,
@@ -122,27 +126,27 @@
 }
 
 impl Limits {
-    /// Whether nothing is known of any server's limit.
+    /// Whether no limits are known, also none that ended.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// What is known of a server, which may be that its limit ended.
+    /// Current report on a server, which may be that its limit ended.
     pub fn report(&self, slot: ids::ServerSlot) -> Option<LimitReport> {
         self.known.get(&slot).map(|known| known.report)
     }
 
-    /// What is known of a server that is limited.
+    /// State of a server that is limited.
     pub fn limited(&self, slot: ids::ServerSlot) -> Option<&Known> {
         self.known.get(&slot).filter(|known| known.report.limit_milli_per_s.is_some())
     }
 
-    /// The same, to be changed.
+    /// Mutable state of a server that is limited.
     pub fn limited_mut(&mut self, slot: ids::ServerSlot) -> Option<&mut Known> {
         self.known.get_mut(&slot).filter(|known| known.report.limit_milli_per_s.is_some())
     }
 
-    /// All servers that are limited.
+    /// Iterates over the servers that are limited.
     pub fn iter_limited(&self) -> impl Iterator<Item = (ids::ServerSlot, &Known)> {
         let known = self.known.iter().map(|(slot, known)| (*slot, known));
         known.filter(|(_, known)| known.report.limit_milli_per_s.is_some())
@@ -160,13 +164,13 @@
         }
     }
 
-    /// Takes a report in, in any order and any number of times.
+    /// Merges a report. Reports may arrive in any order and repeatedly.
     pub fn hear(&mut self, slot: ids::ServerSlot, report: LimitReport, now_ms: u64) -> LimitChange {
         let Some(known) = self.known.get_mut(&slot) else {
-            return self.begin(slot, report, now_ms);
+            return self.insert(slot, report, now_ms);
         };
         if known.report.answer == report.answer {
-            // Each router on the way makes an answer seem younger.
+            // Each hop between routers makes an answer seem younger.
             known.report.sent_ms = known.report.sent_ms.min(report.sent_ms);
             known.report.heard_ms = known.report.heard_ms.min(report.heard_ms);
             return LimitChange::Nothing;
@@ -183,58 +187,59 @@
             }
             (Some(earlier), Some(limit)) if earlier != limit => {
                 known.pacer.change_rate(earlier, limit, now_ms);
-                known.share.forget_refusal();
+                known.share.clear_refusal();
             }
             _ => {}
         }
-        known.tell()
+        known.enqueue_if_changed()
     }
 
-    fn begin(&mut self, slot: ids::ServerSlot, report: LimitReport, now_ms: u64) -> LimitChange {
+    fn insert(&mut self, slot: ids::ServerSlot, report: LimitReport, now_ms: u64) -> LimitChange {
         let Some(limit_milli_per_s) = report.limit_milli_per_s else { return LimitChange::Nothing };
         let mut known = Known {
             report,
             since_ms: now_ms,
-            told_milli_per_s: None,
+            queued_milli_per_s: None,
             news_left: 0,
             share: permits::Share::default(),
             pacer: permits::Pacer::new(limit_milli_per_s, now_ms),
         };
-        let change = known.tell();
+        let change = known.enqueue_if_changed();
         self.known.insert(slot, known);
         change
     }
 
-    /// Ends limits that nothing confirms, and forgets those that ended long ago; returns the former.
+    /// Removes limits that no answer confirmed in time and forgets those that ended long ago;
+    /// returns the servers of the former.
     pub fn expire(&mut self, now_ms: u64) -> Vec<ids::ServerSlot> {
-        let mut lapsed = Vec::new();
+        let mut expired = Vec::new();
         self.known.retain(|slot, known| {
             let age_ms = now_ms.saturating_sub(known.report.heard_ms);
             let limited = known.report.limit_milli_per_s.is_some();
-            if limited && age_ms >= KEPT_MS {
-                lapsed.push(*slot);
+            if limited && age_ms >= LIMIT_TTL_MS {
+                expired.push(*slot);
             }
-            age_ms < if limited { KEPT_MS } else { ENDED_KEPT_MS }
+            age_ms < if limited { LIMIT_TTL_MS } else { ENDED_LIMIT_TTL_MS }
         });
-        lapsed
+        expired
     }
 
-    /// Forgets a server whose life is over.
+    /// Forgets the limit of a server whose incarnation has ended.
     pub fn forget(&mut self, slot: ids::ServerSlot) {
         self.known.remove(&slot);
     }
 
-    /// Forgets servers that are gone.
+    /// Forgets the limits of removed servers.
     pub fn retain(&mut self, stays: impl Fn(ids::ServerSlot) -> bool) {
         self.known.retain(|slot, _| stays(*slot));
     }
 
-    /// Whether something is to be told at once.
+    /// Whether an update is queued that was not sent yet.
     pub fn has_news(&self) -> bool {
         rotation::has_news(&self.known)
     }
 
-    /// What the next datagram tells.
+    /// Takes the reports for the next datagram; `name_bytes` is the length of a server's name.
     pub fn take_news(
         &mut self,
         name_bytes: impl Fn(ids::ServerSlot) -> usize,
@@ -255,17 +260,17 @@
 }
 
 impl Known {
-    /// Makes news of what is known, if it differs enough from what was told.
-    fn tell(&mut self) -> LimitChange {
-        let (told, now) = (self.told_milli_per_s, self.report.limit_milli_per_s);
-        let notable = match (told, now) {
-            (Some(told), Some(now)) => told.abs_diff(now) > told / NOTABLE_PART,
-            (told, now) => told.is_some() != now.is_some(),
+    /// Queues the limit for gossip if it differs enough from the one that was queued last.
+    fn enqueue_if_changed(&mut self) -> LimitChange {
+        let (queued, now) = (self.queued_milli_per_s, self.report.limit_milli_per_s);
+        let notable = match (queued, now) {
+            (Some(queued), Some(now)) => queued.abs_diff(now) > queued / NOTABLE_CHANGE_DIVISOR,
+            (queued, now) => queued.is_some() != now.is_some(),
         };
         if !notable {
             return LimitChange::Nothing;
         }
-        self.told_milli_per_s = now;
+        self.queued_milli_per_s = now;
         self.news_left = rotation::REPEATS;
         now.map_or(LimitChange::Ended, LimitChange::Limited)
     }
--- a/core/src/servers/permits.rs
+++ b/core/src/servers/permits.rs
@@ -1,118 +1,121 @@
-//! Permits to send to a server that is limited.
+//! Permits to send requests to a limited server.
 //!
-//! One router paces the requests of all routers to such a server: it hands out permits, each with the time from which it
-//! may be used, spaced by the limit. A permit that is not used lapses, so that routers save nothing up.
+//! One router, the pacer, schedules the requests of all routers to such a server: it grants
+//! permits, each valid from a certain time, spaced by the limit. Unused permits expire, so that
+//! routers accumulate none.
 
 use serde::{Deserialize, Serialize};
 
-/// A permit that is not used by then lapses: it was asked for by a request that waits.
-pub const KEPT_MS: u64 = 250;
-/// The same for one that no request waits for.
-const TRIAL_KEPT_MS: u64 = 2_000;
-/// A question to which no answer came by then is asked again.
-const ANSWER_MAX_MS: u64 = 200;
-/// Permits that may be used at once after a pause.
-const BURST: u64 = 2;
-/// Permits for so long may go to one router at once.
-const BATCH_MS: u64 = 100;
-/// However little a server takes, a request tries it this often, or nobody would hear that it takes more again.
-pub const TRIAL_EVERY_MAX_MS: u64 = 5_000;
-/// However much it takes, no more often than this.
-const TRIAL_EVERY_MIN_MS: u64 = 1_000;
+/// Validity of a permit that was requested for a waiting request.
+pub const PERMIT_TTL_MS: u64 = 250;
+/// Validity of a permit for a trial, for which no request waits.
+const TRIAL_TTL_MS: u64 = 2_000;
+/// Time after which an unanswered permit request is repeated.
+const REPLY_TIMEOUT_MS: u64 = 200;
+/// Number of permits that are valid at once after an idle time.
+const BURST_PERMITS: u64 = 2;
+/// Maximum batch of permits for one router, as the time that it covers at the limit's rate.
+const BATCH_MAX_MS: u64 = 100;
+/// Maximum interval of trial requests: however low the limit, requests have to detect that it
+/// rises.
+pub const TRIAL_INTERVAL_MAX_MS: u64 = 5_000;
+/// Minimum interval of trial requests, however high the limit.
+const TRIAL_INTERVAL_MIN_MS: u64 = 1_000;
 
 const US_PER_MS: u64 = 1_000;
 
-/// How often a server that takes so many thousandths of a request a second is tried, if nothing else is sent to it.
+/// Interval of trial requests to a server with this limit if nothing else is sent to it.
 pub fn trial_every_ms(limit_milli_per_s: u64) -> u64 {
-    (interval_us(limit_milli_per_s) / US_PER_MS).clamp(TRIAL_EVERY_MIN_MS, TRIAL_EVERY_MAX_MS)
+    (interval_us(limit_milli_per_s) / US_PER_MS).clamp(TRIAL_INTERVAL_MIN_MS, TRIAL_INTERVAL_MAX_MS)
 }
 
-/// What is asked for.
+/// A request for permits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitsWanted {
-    /// How many permits are of use.
+    /// Number of permits that can be used.
     pub permits: u64,
-    /// A permit that may be used only after this time is of no use, in milliseconds.
+    /// Permits that are valid only after this time are of no use, in milliseconds from now.
     pub within_ms: u64,
-    /// Whether it is to hear what the server takes now.
+    /// Whether the permit is for a trial request that only detects the current limit.
     pub trial: bool,
 }
 
-/// The answer.
+/// Reply to a request for permits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitsGranted {
-    /// How many permits; 0 if none is to be had in time.
+    /// Number of granted permits; 0 if none is available in time.
     pub permits: u64,
-    /// From when on they may be used, or asked for again, in milliseconds from now.
+    /// Time until the permits are valid, or until the next request makes sense, in milliseconds.
     pub in_ms: u64,
 }
 
 impl PermitsGranted {
-    /// None, and when to ask again.
+    /// A refusal with the time until the next request makes sense, in milliseconds.
     pub fn none(in_ms: u64) -> Self {
         Self { permits: 0, in_ms }
     }
 }
 
-/// What one router may send to a server.
+/// Permits of one router for a limited server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Share {
     permits: u64,
-    from_ms: u64,
-    lapses_ms: u64,
+    valid_from_ms: u64,
+    expires_ms: u64,
     trial: bool,
-    /// A question that is not answered: its number, when it was asked, and for what.
-    asked: Option<(u64, u64, PermitsWanted)>,
-    /// Until when there is nothing to be had.
+    /// Unanswered permit request: its number, when it was sent, and its content.
+    pending: Option<(u64, u64, PermitsWanted)>,
+    /// Time until which no permits are available.
     refused_until_ms: u64,
 }
 
 impl Share {
     /// Whether a request may be sent now.
     pub fn usable(&self, now_ms: u64) -> bool {
-        self.permits > 0 && (self.from_ms..self.lapses_ms).contains(&now_ms)
+        self.permits > 0 && (self.valid_from_ms..self.expires_ms).contains(&now_ms)
     }
 
-    /// Whether a request is to be sent now in order to hear the server.
+    /// Whether a trial request is to be sent now.
     pub fn trial(&self, now_ms: u64) -> bool {
         self.trial && self.usable(now_ms)
     }
 
-    /// Counts a request.
+    /// Uses one permit for a request.
     pub fn take(&mut self, now_ms: u64) {
         if self.usable(now_ms) {
             self.permits -= 1;
         }
     }
 
-    /// There may be permits sooner than was said.
-    pub fn forget_refusal(&mut self) {
+    /// Clears the last refusal, because permits may be available earlier than it stated.
+    pub fn clear_refusal(&mut self) {
         self.refused_until_ms = 0;
     }
 
-    /// Permits that are there or may come.
+    /// Number of permits that are granted or requested.
     pub fn expected(&self, now_ms: u64) -> u64 {
-        let held = if now_ms < self.lapses_ms { self.permits } else { 0 };
-        held + self.open_question(now_ms).map_or(0, |wanted| wanted.permits)
+        let granted = if now_ms < self.expires_ms { self.permits } else { 0 };
+        granted + self.pending_request(now_ms).map_or(0, |wanted| wanted.permits)
     }
 
-    /// Whether it is of use to ask now.
+    /// Whether permits may be requested now.
     pub fn may_ask(&self, now_ms: u64) -> bool {
         self.expected(now_ms) == 0 && now_ms >= self.refused_until_ms
     }
 
-    /// When there may be a permit, as far as that is known.
+    /// Earliest known time at which a permit may be valid.
     pub fn next_ms(&self, now_ms: u64) -> u64 {
-        if self.expected(now_ms) > 0 { self.from_ms } else { self.refused_until_ms }
+        if self.expected(now_ms) > 0 { self.valid_from_ms } else { self.refused_until_ms }
     }
 
-    /// Notes a question.
+    /// Records a permit request that was sent.
     pub fn ask(&mut self, number: u64, wanted: PermitsWanted, now_ms: u64) {
-        self.asked = Some((number, now_ms, wanted));
+        self.pending = Some((number, now_ms, wanted));
     }
 
-    /// Takes the answer to a question; `None` stands for what this router grants itself. An answer is another router's word:
-    /// it is never taken for more than was asked, nor for longer than a server is left alone.
+    /// Applies a reply to a permit request; `number` is `None` for permits that this router grants
+    /// itself. The reply of another router is not trusted: permits are capped at the requested
+    /// number and delays at the maximum interval of trials.
     pub fn answered(
         &mut self,
         number: Option<u64>,
@@ -120,47 +123,48 @@
         trial: bool,
         now_ms: u64,
     ) {
-        let asked = self.asked.filter(|(asked, ..)| number.is_none_or(|number| number == *asked));
-        let in_ms = granted.in_ms.min(TRIAL_EVERY_MAX_MS);
-        if number.is_some() && asked.is_none() {
+        let pending =
+            self.pending.filter(|(pending, ..)| number.is_none_or(|number| number == *pending));
+        let in_ms = granted.in_ms.min(TRIAL_INTERVAL_MAX_MS);
+        if number.is_some() && pending.is_none() {
             return;
         }
-        self.asked = None;
+        self.pending = None;
         if granted.permits == 0 {
             self.refused_until_ms = now_ms + in_ms;
             return;
         }
-        let most = asked.map_or(granted.permits, |(_, _, wanted)| wanted.permits);
-        let kept_ms = if trial { TRIAL_KEPT_MS } else { KEPT_MS };
+        let most = pending.map_or(granted.permits, |(_, _, wanted)| wanted.permits);
+        let ttl_ms = if trial { TRIAL_TTL_MS } else { PERMIT_TTL_MS };
         self.permits = granted.permits.min(most);
-        self.from_ms = now_ms + in_ms;
-        self.lapses_ms = self.from_ms + kept_ms;
+        self.valid_from_ms = now_ms + in_ms;
+        self.expires_ms = self.valid_from_ms + ttl_ms;
         self.trial = trial;
     }
 
-    fn open_question(&self, now_ms: u64) -> Option<PermitsWanted> {
-        let (_, asked_ms, wanted) = self.asked?;
-        (now_ms < asked_ms + ANSWER_MAX_MS).then_some(wanted)
+    fn pending_request(&self, now_ms: u64) -> Option<PermitsWanted> {
+        let (_, requested_ms, wanted) = self.pending?;
+        (now_ms < requested_ms + REPLY_TIMEOUT_MS).then_some(wanted)
     }
 }
 
-/// Spaces the requests of all routers to a server.
+/// Schedules the requests of all routers to a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Pacer {
-    /// When the next permit may be used.
+    /// When the next permit is valid.
     next_us: u64,
     /// When the last trial was granted.
     trial_ms: u64,
 }
 
 impl Pacer {
-    /// Nothing is saved up at first.
+    /// Creates a scheduler without accumulated permits.
     pub fn new(limit_milli_per_s: u64, now_ms: u64) -> Self {
         Self { next_us: now_ms * US_PER_MS + interval_us(limit_milli_per_s), trial_ms: now_ms }
     }
 
-    /// The server takes another number than before: the permits that are handed out already count as so many of the new,
-    /// but one that takes much less now is not left alone for longer than until its next request.
+    /// Changes the rate. Permits that are already granted count as the same number at the new rate,
+    /// but a much lower rate delays the next request by at most one interval.
     pub fn change_rate(&mut self, earlier_milli_per_s: u64, milli_per_s: u64, now_ms: u64) {
         let now_us = now_ms * US_PER_MS;
         let ahead_us = self.next_us.saturating_sub(now_us);
@@ -175,7 +179,7 @@
         self.trial_ms
     }
 
-    /// Hands out permits, or says when to ask again.
+    /// Grants permits, or refuses with the time until the next request makes sense.
     pub fn grant(
         &mut self,
         milli_per_s: u64,
@@ -184,12 +188,12 @@
     ) -> PermitsGranted {
         let now_us = now_ms * US_PER_MS;
         let interval_us = interval_us(milli_per_s);
-        let next_us = self.next_us.max(now_us.saturating_sub((BURST - 1) * interval_us));
+        let next_us = self.next_us.max(now_us.saturating_sub((BURST_PERMITS - 1) * interval_us));
         let in_ms = next_us.saturating_sub(now_us).div_ceil(US_PER_MS);
         if in_ms >= wanted.within_ms.max(1) {
             return PermitsGranted::none((in_ms - wanted.within_ms / 2).max(1));
         }
-        let batch = (BATCH_MS * US_PER_MS / interval_us).max(1);
+        let batch = (BATCH_MAX_MS * US_PER_MS / interval_us).max(1);
         let permits = wanted.permits.clamp(1, batch);
         self.next_us = next_us + permits * interval_us;
         if wanted.trial {
@@ -199,8 +203,8 @@
     }
 }
 
-/// The time between two requests at a rate in thousandths of a request a second.
+/// Time between two requests at a rate in thousandths of a request per second, in microseconds.
 fn interval_us(milli_per_s: u64) -> u64 {
     let interval_us = 1_000_000_000_u64.checked_div(milli_per_s).unwrap_or(u64::MAX);
-    interval_us.clamp(1, TRIAL_EVERY_MAX_MS * US_PER_MS)
+    interval_us.clamp(1, TRIAL_INTERVAL_MAX_MS * US_PER_MS)
 }
--- a/core/src/servers/lives.rs
+++ b/core/src/servers/restarts.rs
@@ -1,40 +1,40 @@
-//! Servers that start again under their names. Each life has a slot of its own, so that nothing that was learned of one is
-//! put to another's account.
+//! Restarts of servers under the same name. Each incarnation has its own slot, so that nothing that
+//! was learned about one is attributed to another.
 
 use super::{Server, Table, Vm, VmState};
 use crate::ids;
 use std::cmp::Ordering;
 
-/// A server that started again under its name.
+/// A restart of a server under the same name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Restarted {
-    /// Its VM.
+    /// VM of the server.
     pub vm: String,
-    /// Its life from now on.
+    /// Incarnation of the server after the restart.
     pub life: ids::ServerLife,
-    /// Requests of this router that were open at the life before.
+    /// Number of this router's requests that were open at the previous incarnation.
     pub open_requests: u64,
 }
 
 impl Table {
-    /// Notes that a life of a server is leaving; it gets nothing new from here on.
+    /// Marks an incarnation of a server as leaving; it receives no new requests from now on.
     pub fn leaving(&mut self, vm: &str, life: ids::ServerLife) {
         if let Some(slot) = self.find_life(vm, life) {
             self.servers[slot].vm.state = VmState::Leaving;
         }
     }
 
-    /// Takes the servers that started again under their names since the last call.
+    /// Takes the restarts that were detected since the last call.
     pub fn take_restarted(&mut self) -> Vec<Restarted> {
         std::mem::take(&mut self.restarted)
     }
 
-    pub(super) fn follow_vm(&mut self, vm: &Vm, now_ms: u64) {
+    pub(super) fn apply_vm(&mut self, vm: &Vm, now_ms: u64) {
         if let Some(slot) = self.find(&vm.vm) {
             match vm.life.cmp(&self.servers[slot].vm.life) {
                 Ordering::Less => return,
-                Ordering::Equal => return self.follow_life(slot, vm, now_ms),
-                Ordering::Greater => self.end_life(slot, vm.life),
+                Ordering::Equal => return self.update_incarnation(slot, vm, now_ms),
+                Ordering::Greater => self.end_incarnation(slot, vm.life),
             }
         }
         let slot = self.servers.insert(Server::new(vm.clone()));
@@ -42,13 +42,14 @@
         self.start_warm_up(slot, now_ms);
         self.by_vm.insert(vm.vm.clone(), slot);
         self.by_service.entry(vm.service.clone()).or_default().push(slot);
-        self.paces.entry(vm.service.clone()).or_default();
+        self.service_answer_times.entry(vm.service.clone()).or_default();
     }
 
-    /// A later life of a server begins. Nothing that was learned of this one holds for it: it gets a slot of its own.
-    fn end_life(&mut self, slot: ids::ServerSlot, next: ids::ServerLife) {
+    /// Ends an incarnation of a server. The next one gets its own slot, because nothing that was
+    /// learned about this one applies to it.
+    fn end_incarnation(&mut self, slot: ids::ServerSlot, next: ids::ServerLife) {
         let server = &mut self.servers[slot];
-        server.over = true;
+        server.superseded = true;
         let (vm, open_requests) = (server.vm.vm.clone(), server.in_flight);
         self.restarted.push(Restarted { vm, life: next, open_requests });
         self.limits.forget(slot);
@@ -57,10 +58,10 @@
         }
     }
 
-    /// Follows what the list says of a life that is known.
-    fn follow_life(&mut self, slot: ids::ServerSlot, vm: &Vm, now_ms: u64) {
+    /// Applies the listed state of an incarnation that is already known.
+    fn update_incarnation(&mut self, slot: ids::ServerSlot, vm: &Vm, now_ms: u64) {
         let server = &mut self.servers[slot];
-        // The list lags: what peers said of a leaving VM stays true.
+        // The list is delayed: a VM that was reported as leaving stays so.
         let leaving = server.vm.state == VmState::Leaving;
         let cold_again = vm.cold_ms > 0 && vm.cold_ms != server.vm.cold_ms;
         server.vm = vm.clone();
--- a/core/src/servers/vm.rs
+++ b/core/src/servers/vm.rs
@@ -1,4 +1,4 @@
-//! What the platform's list and a server itself say of it.
+//! Records of VMs in the platform's list, and load reports of servers.
 
 use crate::ids;
 use serde::{Deserialize, Serialize};
@@ -6,37 +6,38 @@
 /// A VM in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// Its name.
+    /// Name of the VM.
     pub vm: String,
-    /// What runs on it: a service's name, or `doorswitch`.
+    /// Service that runs on it, or `doorswitch` for a router.
     pub service: String,
-    /// Where it is reached.
+    /// Network address of the service.
     pub address: String,
-    /// Its class of hardware.
+    /// Hardware class.
     pub class: String,
-    /// Its failure domain.
+    /// Failure domain of the VM.
     pub failure_domain: String,
-    /// Whether it stays.
+    /// Lifecycle state.
     pub state: VmState,
-    /// Requests that its server works on at once; 0 if the list does not say.
+    /// Number of requests that its server processes at once; 0 if unknown.
     #[serde(default)]
     pub slots: u64,
-    /// The life of its server.
+    /// Incarnation of its server.
     #[serde(default)]
     pub life: ids::ServerLife,
-    /// How long its server is cold, counted from when that was said, in milliseconds.
+    /// Remaining time in which its server is cold, counted from the report, in milliseconds.
     #[serde(default)]
     pub cold_ms: u64,
 }
 
 impl Vm {
-    /// The bytes of the texts in it.
+    /// Total length of the strings in the record, in bytes.
     pub fn text_bytes(&self) -> usize {
         let texts = [&self.vm, &self.service, &self.address, &self.class, &self.failure_domain];
         texts.into_iter().map(String::len).sum()
     }
 
-    /// What was heard, unless a later life of the same server is known: then that is late news, and what is known stays.
+    /// Returns the known record instead if it is of a later incarnation of the server, because this
+    /// one is outdated then.
     pub fn unless_over(self, known: Option<&Self>) -> Self {
         match known {
             Some(known) if known.life > self.life => known.clone(),
@@ -45,23 +46,23 @@
     }
 }
 
-/// Whether a VM stays.
+/// Lifecycle state of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// It runs.
+    /// Accepts new requests.
     Live,
-    /// It will go: it gets nothing new.
+    /// Is about to stop and receives no new requests.
     Leaving,
 }
 
-/// What a server says of its load.
+/// Load that a server reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests in its batch.
+    /// Number of requests in its batch.
     pub running: u64,
-    /// Requests that wait for a place in it.
+    /// Number of requests that wait for a place in the batch.
     pub queued: u64,
-    /// Places in its batch.
+    /// Size of its batch.
     pub slots: u64,
 }
--- a/core/src/servers/warm_up.rs
+++ b/core/src/servers/warm_up.rs
@@ -1,62 +1,65 @@
-//! Cold servers: for some seconds after a start a server bears a few requests a second only, from all routers
-//! together.
+//! Warm-up of cold servers: for some seconds after its start a server can process only a few
+//! requests per second from all routers together.
 //!
-//! Routers share that out without a message: the first few of them, in a rendezvous order for each server, send to it,
-//! each an equal part. Routers that do not hear each other order fewer, and take so much less.
+//! Routers divide this rate without a message: the first few in a rendezvous order for each server
+//! send to it, each with an equal part. Routers in a network partition see fewer members and use
+//! proportionally less.
 
 use super::{Server, Table};
 use crate::{ids, limiter, rendezvous};
 use std::collections;
 
-/// Of what a cold server bears, so much is used, in percent: routers whose views of the fleet differ for a moment may send
-/// beside each other.
-const USED_PERCENT: u64 = 60;
-/// One router more sends to a cold server for so many thousandths of a request a second that it bears: each may have saved
-/// up a request, and all of these together are to stay small beside what it bears.
-const ROUTER_FOR_MILLI_PER_S: u64 = 2_000;
-/// A server that says that it is cold for longer is taken for cold for so long.
+/// Share of a cold server's capacity that is used, in percent. Routers whose views of the fleet
+/// differ for a moment may send at the same time.
+const USED_CAPACITY_PERCENT: u64 = 60;
+/// Capacity of a cold server per sending router, in thousandths of a request per second. Each
+/// router may have accumulated one request, and the sum of these has to stay small compared to the
+/// capacity.
+const CAPACITY_PER_ROUTER_MILLI_PER_S: u64 = 2_000;
+/// Maximum warm-up time; longer reported times are cut to it.
 const COLD_MAX_MS: u64 = 60_000;
 
-/// What cold servers of a service bear.
+/// Limit for cold servers of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ColdLimit {
-    /// Requests a second from all routers together, in thousandths; 0 for no limit.
+    /// Rate of requests from all routers together, in thousandths per second; 0 for no limit.
     pub milli_per_s: u64,
-    /// How long a server is cold after its start, in milliseconds.
+    /// Warm-up time after the start of a server, in milliseconds.
     pub start_ms: u64,
 }
 
-/// What the share of one router rests on.
+/// View of the fleet from which this router's share is computed.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    /// This router.
+    /// Incarnation of this router.
     pub own: ids::Incarnation,
-    /// The routers that share, with this one.
+    /// Routers that share the limit, including this one.
     pub members: Vec<ids::Incarnation>,
-    /// The most routers that were known at once.
+    /// Largest number of routers that were known at once.
     pub routers: u64,
-    /// Whether the fleet had time to get known: before that a router sends nothing to cold servers.
+    /// Whether membership has had time to converge. Before that, the router sends nothing to cold
+    /// servers.
     pub settled: bool,
 }
 
 impl Default for Fleet {
-    /// A router that knows nobody yet.
+    /// The view of a router that has no known peers.
     fn default() -> Self {
         let own = ids::Incarnation(0);
         Self { own, members: vec![own], routers: 1, settled: false }
     }
 }
 
-/// How a server warms up.
+/// Warm-up of one server.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmUp {
     until_ms: u64,
-    /// What this router may send; `None` if that is nothing.
+    /// Rate limit of this router for the server; `None` if it may send nothing.
     limiter: Option<limiter::Limiter>,
 }
 
 impl WarmUp {
-    /// A server that is cold for `cold_ms` from now on; `None` if it needs no care.
+    /// Starts a warm-up of `cold_ms`; `None` if the server needs no limit.
     pub fn start(
         cold_ms: u64,
         limit: ColdLimit,
@@ -73,12 +76,12 @@
         Some(Self { until_ms: now_ms + cold_ms.min(COLD_MAX_MS), limiter })
     }
 
-    /// Whether this router must not send it a request now.
+    /// Whether this router must not send a request to the server now.
     pub fn holds_back(&self, now_ms: u64) -> bool {
         now_ms < self.until_ms && !self.limiter.is_some_and(|limiter| limiter.has_one(now_ms))
     }
 
-    /// Counts a request.
+    /// Counts a request that is sent to the server.
     pub fn count(&mut self, now_ms: u64) {
         if let Some(limiter) = &mut self.limiter {
             limiter.try_take(now_ms);
@@ -86,32 +89,34 @@
     }
 }
 
-/// The thousandths of a request a second that a router may send to a cold server; `None` if other routers may.
+/// This router's rate for a cold server, in thousandths of a request per second; `None` if only
+/// other routers may send.
 fn rate_milli_per_s(limit: ColdLimit, fleet: &Fleet, name_hash: u64) -> Option<u64> {
     if !fleet.settled {
         return None;
     }
     let members = fleet.members.len() as u64;
-    let used = limit.milli_per_s.saturating_mul(USED_PERCENT) / 100;
+    let used = limit.milli_per_s.saturating_mul(USED_CAPACITY_PERCENT) / 100;
     let share = used.saturating_mul(members.min(fleet.routers)) / fleet.routers.max(1);
-    let senders = (share / ROUTER_FOR_MILLI_PER_S + 1).min(members.max(1));
+    let senders = (share / CAPACITY_PER_ROUTER_MILLI_PER_S + 1).min(members.max(1));
     let weight = |router: ids::Incarnation| rendezvous::weight(name_hash, router.0);
     let own = weight(fleet.own);
-    let before = fleet.members.iter().filter(|router| weight(**router) > own).count() as u64;
-    (before < senders).then_some(share / senders)
+    let ranked_before = fleet.members.iter().filter(|router| weight(**router) > own).count() as u64;
+    (ranked_before < senders).then_some(share / senders)
 }
 
 impl Table {
-    /// The failure domains whose servers get nothing new.
+    /// Failure domains whose servers receive no new requests.
     pub fn evacuated(&self) -> &collections::BTreeSet<String> {
         &self.evacuated
     }
 
-    /// Gives nothing new to servers of these failure domains. Servers of one that is taken back are cold.
+    /// Sets the evacuated failure domains, whose servers receive no new requests. Servers of a
+    /// domain that is no longer evacuated start cold.
     pub fn evacuate(&mut self, domains: collections::BTreeSet<String>, now_ms: u64) {
-        let back =
+        let returning =
             |server: &&mut Server| server.evacuated && !domains.contains(&server.vm.failure_domain);
-        for server in self.servers.values_mut().filter(back) {
+        for server in self.servers.values_mut().filter(returning) {
             let limit = self.cold_limits.get(&server.vm.service).copied().unwrap_or_default();
             server.warm_up =
                 WarmUp::start(limit.start_ms, limit, &self.fleet, server.name_hash, now_ms);
@@ -122,7 +127,8 @@
         self.evacuated = domains;
     }
 
-    /// Says what cold servers bear, by service. A router that starts may hear of a cold server before it knows that.
+    /// Sets the limits for cold servers by service. A starting router may receive the record of a
+    /// cold server before these limits, so the first call starts the warm-ups.
     pub fn set_cold_limits(
         &mut self,
         limits: impl Iterator<Item = (String, ColdLimit)>,
@@ -136,12 +142,12 @@
         }
     }
 
-    /// Says with whom this router shares what cold servers bear.
+    /// Sets the view of the fleet from which this router's share is computed.
     pub fn set_fleet(&mut self, fleet: Fleet) {
         self.fleet = fleet;
     }
 
-    /// A server said that it is cold.
+    /// Starts the warm-up of a server that reported itself cold.
     pub(super) fn start_warm_up(&mut self, slot: ids::ServerSlot, now_ms: u64) {
         let server = &mut self.servers[slot];
         let limit = self.cold_limits.get(&server.vm.service).copied().unwrap_or_default();
