--- a/core/src/evacuation.rs
+++ b/core/src/evacuation.rs
@@ -1,33 +1,34 @@
-//! Failure domains that the operator evacuates: nothing new goes to their servers until that is taken back.
+//! Failure domains that an operator evacuates: their servers receive no new requests until the
+//! evacuation is revoked.
 
 use crate::store;
 use serde::{Deserialize, Serialize};
 use std::collections;
 
-/// The failure domains that are evacuated, as a router knows them.
+/// The evacuated failure domains in a router's copy.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuations {
-    /// The position in the store's history that this stands for.
+    /// Position in the store's history to which the copy corresponds.
     pub position: store::Position,
-    /// The evacuated failure domains.
+    /// Names of the evacuated failure domains.
     pub domains: collections::BTreeSet<String>,
 }
 
-/// A failure domain is evacuated, or that is taken back.
+/// Start or end of the evacuation of a failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// The position of the change in the store's history.
+    /// Position of the change in the store's history.
     pub position: store::Position,
-    /// The failure domain.
+    /// Name of the failure domain.
     pub domain: String,
-    /// Whether it is evacuated from then on.
+    /// Whether the failure domain is evacuated after the change.
     pub evacuated: bool,
 }
 
-/// What the store says of evacuations.
+/// Evacuations in an answer of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum News {
-    /// What changed since the revision that was asked for.
+    /// Changes since the requested revision.
     Changes(Vec<Change>),
     /// All evacuated failure domains.
     All(collections::BTreeSet<String>),
@@ -40,7 +41,7 @@
 }
 
 impl News {
-    /// Whether there is any.
+    /// Whether the update contains any change or domain.
     pub fn any(&self) -> bool {
         match self {
             Self::Changes(changes) => !changes.is_empty(),
@@ -50,7 +51,8 @@
 }
 
 impl Evacuations {
-    /// Takes in an answer of the store that stands for `position`; what is older than the copy is passed over.
+    /// Applies an answer of the store that corresponds to `position`. Changes older than the copy
+    /// are ignored.
     pub fn take(&mut self, position: store::Position, news: News) {
         match news {
             News::Changes(changes) => {
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Takes over a copy that is newer.
+    /// Replaces the copy with another one if that is newer.
     pub fn take_over(&mut self, other: &Self) {
         if other.position > self.position {
             self.clone_from(other);
--- a/core/src/limiter.rs
+++ b/core/src/limiter.rs
@@ -1,9 +1,9 @@
 //! Token buckets that keep a router within its share of the platform's rates.
 
-/// One call, in what a bucket counts: millionths of a call, so that slow rates stay exact.
+/// One call in the unit of the bucket's level: millionths of a call, so that slow rates stay exact.
 const CALL_MICRO: u64 = 1_000_000;
 
-/// A token bucket.
+/// A token bucket that limits the rate of calls.
 #[derive(Clone, Copy, Debug)]
 pub struct Limiter {
     rate_milli_per_s: u64,
@@ -13,29 +13,30 @@
 }
 
 impl Limiter {
-    /// A full bucket that refills at `rate_per_s` and holds `burst` calls.
+    /// Creates a full bucket that refills at `rate_per_s` calls per second and holds `burst` calls.
     pub fn new(rate_per_s: u64, burst: u64, now_ms: u64) -> Self {
         Self::with_milli_rate(rate_per_s.max(1).saturating_mul(1_000), burst, now_ms)
     }
 
-    /// The same at a rate in thousandths of a call a second.
+    /// Creates a full bucket with a rate in thousandths of a call per second.
     pub fn with_milli_rate(rate_milli_per_s: u64, burst: u64, now_ms: u64) -> Self {
         let burst = burst.max(1);
         let level_micro = burst.saturating_mul(CALL_MICRO);
         Self { rate_milli_per_s, burst, level_micro, updated_ms: now_ms }
     }
 
-    /// Changes the rate, as when the number of routers that share the platform's rate changes.
+    /// Changes the rate, for example when the number of routers that share the platform's rate
+    /// changes.
     pub fn set_rate(&mut self, rate_per_s: u64) {
         self.rate_milli_per_s = rate_per_s.max(1).saturating_mul(1_000);
     }
 
-    /// Whether there is a call in the bucket.
+    /// Whether the bucket holds at least one call.
     pub fn has_one(mut self, now_ms: u64) -> bool {
         self.try_take(now_ms)
     }
 
-    /// Takes one call out of the bucket, if there is one.
+    /// Takes one call from the bucket; returns whether there was one.
     pub fn try_take(&mut self, now_ms: u64) -> bool {
         let elapsed_ms = now_ms.saturating_sub(self.updated_ms);
         self.updated_ms = self.updated_ms.max(now_ms);
--- a/core/src/quarantine.rs
+++ b/core/src/quarantine.rs
@@ -1,17 +1,18 @@
-//! Requests that crash the servers that run them.
+//! Quarantine of requests that crash the servers that run them.
 //!
-//! Each router notes under which requests it saw servers crash, and tells the others. What is counted are lives of
-//! servers, so that views merge as sets: in any order, repeated or late, with no coordinator. A request under which
-//! three have crashed is kept from servers for a while; a run of it that ends well anywhere voids what was noted before.
-//! Times travel as ages, because routers share no clock.
+//! Each router records the requests during which it observed server crashes and sends them to the
+//! other routers. Crashes are counted by server incarnation, so that the views of routers merge as
+//! sets: in any order, with duplicates and delays, without a coordinator. A request with three
+//! crashes is quarantined, that is, withheld from servers for a while; a run of it that succeeds
+//! anywhere voids the earlier crashes. Times are sent as ages, because routers share no clock.
 
 mod entry;
-mod keeper;
 mod record;
+mod record_sync;
 mod runs;
 
-pub use keeper::{Keeper, Reply};
 pub use record::{Error, KEY, Record};
+pub use record_sync::{Keeper, Reply};
 pub use runs::{LifeOf, Runs};
 
 use crate::{ids, rendezvous};
@@ -19,39 +20,43 @@
 use serde::{Deserialize, Serialize};
 use std::collections;
 
-/// A request under which so many servers crashed is kept from servers. What runs beside one that crashes servers is
-/// seldom beside it three times with no good end in between.
+/// Number of crashes after which a request is quarantined. A request that merely runs beside one
+/// that crashes servers rarely meets three crashes without a successful run in between.
 pub const CRASHES_TO_QUARANTINE: usize = 3;
-/// A router does not itself send a request on under which so many servers crashed: the next one would be the last.
+/// Number of crashes after which a router itself does not retry a request, because the next crash
+/// would be the last one before the quarantine.
 pub const CRASHES_TO_STOP_RETRIES: usize = 2;
-/// How long a request is kept from servers after the last crash under it. Longer than a client repeats it, and short
-/// enough that one that was kept back by mistake is tried again the same day.
+/// Duration of the quarantine after the last crash. Longer than clients repeat a request, and short
+/// enough that a request quarantined by mistake is tried again the same day.
 pub const QUARANTINE_MS: i64 = 600_000;
-/// A crash counts for so long: longer than the quarantine, so that one more crash is enough for the next one.
-const COUNTED_MS: i64 = 3_600_000;
-/// Crashes under a request that are not so far apart count as one. Before the news of the first have reached all routers,
-/// nobody notices that the same request ends well elsewhere.
-const APART_MS: i64 = 500;
-/// The crashes that are kept of one request; more of them within [`APART_MS`] tell nothing new.
-const CRASHES_KEPT: usize = 8;
-/// Crashes of a VM that come within this time are one, seen by several routers.
-const SAME_CRASH_MS: u64 = 1_000;
-/// The most requests that are remembered, at about 200 bytes each.
+/// Time for which a crash counts. Longer than the quarantine, so that a single further crash starts
+/// the next one.
+const CRASH_TTL_MS: i64 = 3_600_000;
+/// Minimum distance between crashes that are counted separately. Before updates on the first crash
+/// have reached all routers, a successful run of the same request elsewhere goes unnoticed.
+const CRASH_DISTANCE_MIN_MS: i64 = 500;
+/// Maximum number of crashes stored per request; more of them within [`CRASH_DISTANCE_MIN_MS`] carry no
+/// information.
+const CRASHES_STORED_MAX: usize = 8;
+/// Crashes of a VM within this time are one crash that several routers observed.
+const SAME_CRASH_WINDOW_MS: u64 = 1_000;
+/// Maximum number of stored requests, at about 200 bytes each.
 const ENTRIES_MAX: usize = 2_048;
-/// Reports in one datagram, at about 65 bytes each.
+/// Maximum number of reports in one datagram, at about 65 bytes each.
 const REPORTS_MAX: usize = 16;
 
-/// Whose crash it was, as a digest.
+/// Identity of a crashed server, as a hash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Server {
-    /// One life of a server: it crashes once.
+    /// One incarnation of a server, which crashes only once.
     Life(u64),
-    /// A VM whose server does not say when it started: its lives are told apart by when they end.
+    /// A VM whose server does not report its start; its incarnations are distinguished by the times
+    /// of their crashes.
     Vm(u64),
 }
 
 impl Server {
-    /// A life of a VM's server.
+    /// Creates the identity of an incarnation of a VM's server.
     pub fn new(vm: &str, life: ids::ServerLife) -> Self {
         let vm = rendezvous::digest(vm);
         match life {
@@ -60,38 +65,39 @@
         }
     }
 
-    /// Whether two crashes, so far apart by their times, are one.
+    /// Whether two crashes that are `apart_ms` apart are the same one.
     fn same_crash(self, other: Self, apart_ms: u64) -> bool {
-        self == other && (matches!(self, Self::Life(_)) || apart_ms < SAME_CRASH_MS)
+        self == other && (matches!(self, Self::Life(_)) || apart_ms < SAME_CRASH_WINDOW_MS)
     }
 }
 
-/// A crash of a server under a request.
+/// A server crash during a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// Whose it was.
+    /// Server that crashed.
     pub server: Server,
-    /// How long ago, in milliseconds.
+    /// Time since the crash, in milliseconds.
     pub age_ms: u64,
 }
 
-/// What a router knows of one request.
+/// Crashes and the last successful run of one request, as a router sends them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The request.
+    /// Fingerprint of the request.
     pub request: ids::Fingerprint,
-    /// The latest crashes that count against it.
+    /// Latest crashes that count against the request.
     pub crashes: Vec<Crash>,
-    /// How long ago a run ended well, or an operator released it, in milliseconds: crashes before that do not count.
+    /// Time since a run succeeded or an operator released the request, in milliseconds: earlier
+    /// crashes do not count.
     pub cleared_age_ms: Option<u64>,
 }
 
-/// What a datagram says of such requests.
+/// Crash reports in a gossip datagram.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct News {
-    /// Tells whether two routers know the same of requests with more than one crash.
+    /// Hash over all requests with more than one crash; equal if two routers have the same state.
     pub summary: u64,
-    /// Some of what the sender knows.
+    /// A part of the sender's reports.
     pub reports: Vec<Report>,
 }
 
@@ -108,42 +114,42 @@
     }
 }
 
-/// How what is known of a request has changed.
+/// Change of the crashes that count against a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing that matters.
+    /// No relevant change.
     None,
-    /// One more crash counts against it.
+    /// One more crash counts against the request.
     Suspected {
-        /// How many count now.
+        /// Number of crashes that count now.
         crashes: usize,
     },
-    /// It is kept from servers from now on, or for longer.
+    /// The quarantine of the request starts or is extended.
     Quarantined,
-    /// What counted against it does not any more.
+    /// Crashes that counted against the request no longer do.
     Cleared {
-        /// How many counted.
+        /// Number of crashes that counted.
         crashes: usize,
     },
 }
 
-/// What one router knows of requests that crash servers.
+/// Requests that crashed servers, with their crashes, in one router's view.
 #[derive(Debug, Default)]
 pub struct Table {
     entries: collections::HashMap<ids::Fingerprint, Entry>,
     revision: u64,
-    /// Where the next answer to a peer that knows something else begins.
-    answered: usize,
+    /// Position at which the next reply to a peer with a different state starts.
+    reply_position: usize,
 }
 
 impl Table {
-    /// Notes a crash that this router saw.
+    /// Records a crash that this router observed.
     pub fn crashed(&mut self, request: ids::Fingerprint, server: Server, at_ms: u64) -> Change {
-        self.make_room(request);
+        self.evict_for(request);
         let entry = self.entries.entry(request).or_default();
         let added = entry.add(server, signed(at_ms));
         if added {
-            entry.tell();
+            entry.enqueue();
         }
         let change = match (added, entry.counted) {
             (false, _) => Change::None,
@@ -154,24 +160,25 @@
         change
     }
 
-    /// Voids what was noted of a request, if anything was.
+    /// Voids the recorded crashes of a request, if there are any.
     pub fn clear(&mut self, request: ids::Fingerprint, now_ms: u64) -> Change {
         let Some(entry) = self.entries.get_mut(&request) else { return Change::None };
         if entry.crashes.is_empty() {
             return Change::None;
         }
-        // The repeats of what it was: others may know of more.
-        entry.tell();
+        // The crashes before the clearing determine the number of transmissions, because other
+        // routers may have received more crashes.
+        entry.enqueue();
         let crashes = entry.clear(signed(now_ms));
         self.revision += 1;
         Change::Cleared { crashes }
     }
 
-    /// Takes in what a peer knows; what that changed.
+    /// Merges the report of a peer; returns the resulting change.
     pub fn hear(&mut self, report: &Report, now_ms: u64) -> Change {
         let at_ms = |age_ms: u64| signed(now_ms).saturating_sub(signed(age_ms));
-        let counts = |at_ms: i64| at_ms + COUNTED_MS > signed(now_ms);
-        let crashes = report.crashes.iter().take(CRASHES_KEPT);
+        let counts = |at_ms: i64| at_ms + CRASH_TTL_MS > signed(now_ms);
+        let crashes = report.crashes.iter().take(CRASHES_STORED_MAX);
         let crashes: Vec<(Server, i64)> = crashes
             .map(|crash| (crash.server, at_ms(crash.age_ms)))
             .filter(|(_, at_ms)| counts(*at_ms))
@@ -180,16 +187,16 @@
         if crashes.is_empty() && cleared_ms.is_none() {
             return Change::None;
         }
-        self.make_room(report.request);
+        self.evict_for(report.request);
         let entry = self.entries.entry(report.request).or_default();
-        let void = |cleared_ms: i64| crashes.iter().any(|(_, at_ms)| *at_ms <= cleared_ms);
-        let sender_is_behind = entry.cleared_ms.is_some_and(void);
-        let taken_away = cleared_ms.map_or(0, |cleared_ms| entry.clear(cleared_ms));
+        let voids = |cleared_ms: i64| crashes.iter().any(|(_, at_ms)| *at_ms <= cleared_ms);
+        let sender_is_behind = entry.cleared_ms.is_some_and(voids);
+        let removed = cleared_ms.map_or(0, |cleared_ms| entry.clear(cleared_ms));
         let added = crashes.iter().filter(|(server, at_ms)| entry.add(*server, *at_ms)).count();
-        if added > 0 || taken_away > 0 || sender_is_behind {
-            entry.tell();
+        if added > 0 || removed > 0 || sender_is_behind {
+            entry.enqueue();
         }
-        let change = match (added, taken_away, entry.counted) {
+        let change = match (added, removed, entry.counted) {
             (0, 0, _) => Change::None,
             (0, crashes, _) => Change::Cleared { crashes },
             (_, _, crashes) if crashes < CRASHES_TO_QUARANTINE => Change::Suspected { crashes },
@@ -199,33 +206,36 @@
         change
     }
 
-    /// How many crashes count against a request.
+    /// Number of crashes that count against a request.
     pub fn crashes(&self, request: &ids::Fingerprint) -> usize {
         self.entries.get(request).map_or(0, |entry| entry.counted)
     }
 
-    /// How many servers have crashed under a request since its last good end, also such as count as one crash.
+    /// Number of servers that crashed during a request since its last successful run, including
+    /// crashes that are not counted separately.
     pub fn servers_crashed(&self, request: &ids::Fingerprint) -> usize {
         self.entries.get(request).map_or(0, |entry| entry.crashes.len())
     }
 
-    /// How much longer a request is kept from servers, in milliseconds; `None` if it is not.
+    /// Remaining time of a request's quarantine in milliseconds; `None` if it is not quarantined.
     pub fn quarantined_ms(&self, request: &ids::Fingerprint, now_ms: u64) -> Option<u64> {
         let until_ms = self.entries.get(request)?.quarantined_until_ms()?;
         u64::try_from(until_ms - signed(now_ms)).ok().filter(|left_ms| *left_ms > 0)
     }
 
-    /// How much longer a request waits for the news of its last crash to be everywhere, and for runs of it elsewhere to
-    /// end well, in milliseconds; `None` if no crash under it was so lately.
+    /// Remaining time for which a request is delayed in milliseconds, so that updates on its last
+    /// crash reach all routers and runs elsewhere can succeed; `None` if the request has no recent
+    /// crash.
     pub fn suspended_ms(&self, request: &ids::Fingerprint, now_ms: u64) -> Option<u64> {
-        // One that has ended well goes on to do so, or its good ends would be missing beside the next crash.
+        // A request that has succeeded is not delayed, because its next successful runs are needed to
+        // void the next crash.
         let entry = self.entries.get(request).filter(|entry| entry.cleared_ms.is_none())?;
         let latest = entry.crashes.last()?;
-        let left_ms = latest.at_ms + APART_MS - signed(now_ms);
+        let left_ms = latest.at_ms + CRASH_DISTANCE_MIN_MS - signed(now_ms);
         u64::try_from(left_ms).ok().filter(|left_ms| *left_ms > 0)
     }
 
-    /// Requests that are kept from servers, with the time left in milliseconds.
+    /// Quarantined requests with the remaining time in milliseconds.
     pub fn quarantined(&self, now_ms: u64) -> Vec<(ids::Fingerprint, u64)> {
         let requests = self.entries.keys();
         let kept =
@@ -235,23 +245,23 @@
         quarantined
     }
 
-    /// How many requests have a crash that counts against them.
+    /// Number of requests with a crash that counts against them.
     pub fn suspected(&self) -> usize {
         self.entries.values().filter(|entry| !entry.crashes.is_empty()).count()
     }
 
-    /// What the fingerprints have in common of requests against which a crash counts.
+    /// Fingerprint heads of the requests with a crash that counts against them.
     pub fn suspected_heads(&self) -> collections::HashSet<u64> {
         let suspected = self.entries.iter().filter(|(_, entry)| !entry.crashes.is_empty());
         suspected.map(|(request, _)| request.head).collect()
     }
 
-    /// Grows with each change.
+    /// Counter that increases with each change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Tells whether two routers know the same of requests with more than one crash.
+    /// Hash over all requests with more than one crash; equal if two routers have the same state.
     pub fn summary(&self) -> u64 {
         let urgent = self.entries.iter().filter(|(_, entry)| entry.urgent());
         urgent.fold(0, |summary, (request, entry)| {
@@ -262,55 +272,55 @@
         })
     }
 
-    /// Whether something is to be told, and whether that is urgent.
+    /// Urgency of the queued updates; `None` if there are none.
     pub fn fresh(&self) -> Option<Urgency> {
-        let fresh = self.entries.values().filter(|entry| entry.sends_left > 0);
-        match fresh.map(Entry::urgent).max()? {
+        let queued = self.entries.values().filter(|entry| entry.sends_left > 0);
+        match queued.map(Entry::urgent).max()? {
             true => Some(Urgency::AtOnce),
             false => Some(Urgency::Soon),
         }
     }
 
-    /// What the next datagram says: what was not told often enough, with the most crashes first, and for a peer that
-    /// knows something else a part of the rest.
+    /// Creates the updates for the next datagram: queued ones, those with the most crashes first,
+    /// and for a peer with a different state some of the others.
     pub fn news(&mut self, peer_differs: bool, now_ms: u64) -> News {
-        let fresh = self.entries.iter().filter(|(_, entry)| entry.sends_left > 0);
-        let mut fresh: Vec<(usize, i64, ids::Fingerprint)> =
-            fresh.map(|(request, entry)| (entry.counted, entry.latest_ms(), *request)).collect();
-        fresh.sort_unstable_by(|one, other| other.cmp(one));
-        fresh.truncate(REPORTS_MAX);
-        let mut told: Vec<ids::Fingerprint> =
-            fresh.into_iter().map(|(_, _, request)| request).collect();
-        for request in &told {
+        let queued = self.entries.iter().filter(|(_, entry)| entry.sends_left > 0);
+        let mut queued: Vec<(usize, i64, ids::Fingerprint)> =
+            queued.map(|(request, entry)| (entry.counted, entry.latest_ms(), *request)).collect();
+        queued.sort_unstable_by(|one, other| other.cmp(one));
+        queued.truncate(REPORTS_MAX);
+        let mut selected: Vec<ids::Fingerprint> =
+            queued.into_iter().map(|(_, _, request)| request).collect();
+        for request in &selected {
             if let Some(entry) = self.entries.get_mut(request) {
                 entry.sends_left -= 1;
             }
         }
         if peer_differs {
-            told.extend(self.next_answer(REPORTS_MAX - told.len(), &told));
+            selected.extend(self.next_reply(REPORTS_MAX - selected.len(), &selected));
         }
-        let reports = told.iter().filter_map(|request| self.report(request, now_ms)).collect();
+        let reports = selected.iter().filter_map(|request| self.report(request, now_ms)).collect();
         News { summary: self.summary(), reports }
     }
 
-    /// All that the store keeps: what is kept from servers.
+    /// Reports of the quarantined requests, as they are written to the store.
     pub fn reports_of_quarantined(&self, now_ms: u64) -> Vec<Report> {
         let quarantined = self.quarantined(now_ms).into_iter();
         quarantined.filter_map(|(request, _)| self.report(&request, now_ms)).collect()
     }
 
-    /// Forgets what does not count any more.
+    /// Removes crashes and clearings that no longer count.
     pub fn expire(&mut self, now_ms: u64) {
         if self.entries.is_empty() {
             return;
         }
         let before = self.entries.len();
-        let counts = |at_ms: i64| at_ms + COUNTED_MS > signed(now_ms);
+        let counts = |at_ms: i64| at_ms + CRASH_TTL_MS > signed(now_ms);
         let mut dropped = 0;
         self.entries.retain(|_, entry| {
             let known = entry.crashes.len();
             if !entry.crashes.iter().all(|crash| counts(crash.at_ms)) {
-                entry.keep(|crash| counts(crash.at_ms));
+                entry.retain(|crash| counts(crash.at_ms));
             }
             dropped += known - entry.crashes.len();
             !entry.crashes.is_empty() || entry.cleared_ms.is_some_and(counts)
@@ -320,19 +330,20 @@
         }
     }
 
-    /// Requests for a peer that knows something else, a part at each call.
-    fn next_answer(&mut self, most: usize, told: &[ids::Fingerprint]) -> Vec<ids::Fingerprint> {
+    /// Selects requests for a peer with a different state; each call continues after the previous
+    /// one.
+    fn next_reply(&mut self, most: usize, selected: &[ids::Fingerprint]) -> Vec<ids::Fingerprint> {
         let mut urgent: Vec<ids::Fingerprint> = self
             .entries
             .iter()
-            .filter(|(request, entry)| entry.urgent() && !told.contains(request))
+            .filter(|(request, entry)| entry.urgent() && !selected.contains(request))
             .map(|(request, _)| *request)
             .collect();
         urgent.sort_unstable();
         let most = most.min(urgent.len());
-        let begin = if self.answered < urgent.len() { self.answered } else { 0 };
-        self.answered = begin + most;
-        urgent.iter().cycle().skip(begin).take(most).copied().collect()
+        let start = if self.reply_position < urgent.len() { self.reply_position } else { 0 };
+        self.reply_position = start + most;
+        urgent.iter().cycle().skip(start).take(most).copied().collect()
     }
 
     fn report(&self, request: &ids::Fingerprint, now_ms: u64) -> Option<Report> {
@@ -348,9 +359,10 @@
         })
     }
 
-    /// Makes room for a request that is not known: those with the fewest crashes go first, the oldest of them. A
-    /// client that crashes servers by ever new requests does not drive out one that has done so before.
-    fn make_room(&mut self, request: ids::Fingerprint) {
+    /// Makes room for a new request: removes the one with the fewest crashes, among equals the
+    /// oldest. A client that crashes servers with ever new requests therefore does not evict a
+    /// request with repeated crashes.
+    fn evict_for(&mut self, request: ids::Fingerprint) {
         if self.entries.len() < ENTRIES_MAX || self.entries.contains_key(&request) {
             return;
         }
@@ -364,7 +376,7 @@
     }
 }
 
-/// How soon something is to be told.
+/// How soon queued updates have to be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Urgency {
     /// With the next tick.
@@ -373,7 +385,7 @@
     Soon,
 }
 
-/// A time that may lie before this router's start.
+/// Converts to a signed time, which can be before this router's start.
 fn signed(time_ms: u64) -> i64 {
     i64::try_from(time_ms).unwrap_or(i64::MAX / 4).min(i64::MAX / 4)
 }
--- a/core/src/quarantine/entry.rs
+++ b/core/src/quarantine/entry.rs
@@ -1,79 +1,84 @@
-//! The crashes that a router knows of one request.
+//! Crashes of one request in a router's view.
 
 use super::{
-    APART_MS, CRASHES_KEPT, CRASHES_TO_QUARANTINE, CRASHES_TO_STOP_RETRIES, QUARANTINE_MS, Server,
+    CRASH_DISTANCE_MIN_MS, CRASHES_STORED_MAX, CRASHES_TO_QUARANTINE, CRASHES_TO_STOP_RETRIES,
+    QUARANTINE_MS, Server,
 };
 
-/// How often a report is passed on by each router: of a request that is urgent, and of another. With three, 94 in 100
-/// routers hear it; the rest hear of the request with its second crash.
-const URGENT_REPEATS: u32 = 6;
-const REPEATS: u32 = 3;
+/// Number of times each router forwards a report: for urgent requests and for others. With three
+/// transmissions 94 of 100 routers receive a report; the rest receive it with the second crash of
+/// the request.
+const URGENT_TRANSMISSIONS: u32 = 6;
+const TRANSMISSIONS: u32 = 3;
 
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Seen {
+pub(super) struct TimedCrash {
     pub(super) server: Server,
-    /// By this router's clock; before its start if negative.
+    /// Time by this router's clock; negative before its start.
     pub(super) at_ms: i64,
 }
 
 #[derive(Clone, Debug, Default)]
 pub(super) struct Entry {
-    /// The latest ones that count, the oldest first.
-    pub(super) crashes: Vec<Seen>,
-    /// How many of them count.
+    /// Latest crashes since the last successful run, oldest first.
+    pub(super) crashes: Vec<TimedCrash>,
+    /// Number of crashes that are counted separately.
     pub(super) counted: usize,
     pub(super) cleared_ms: Option<i64>,
     pub(super) sends_left: u32,
 }
 
 impl Entry {
-    /// Adds a crash unless it is known or void; whether it is new.
+    /// Adds a crash unless it is known or voided; returns whether it is new.
     pub(super) fn add(&mut self, server: Server, at_ms: i64) -> bool {
         if self.cleared_ms.is_some_and(|cleared_ms| at_ms <= cleared_ms) {
             return false;
         }
-        let same = |known: &&mut Seen| known.server.same_crash(server, known.at_ms.abs_diff(at_ms));
+        let same =
+            |known: &&mut TimedCrash| known.server.same_crash(server, known.at_ms.abs_diff(at_ms));
         if let Some(known) = self.crashes.iter_mut().find(same) {
-            // Each hop lets it seem younger by the hop's time: the oldest word is the nearest.
+            // Each hop makes a crash seem younger by the time of the hop, so the oldest report is
+            // the most accurate.
             known.at_ms = known.at_ms.min(at_ms);
             self.sort();
             return false;
         }
-        self.crashes.push(Seen { server, at_ms });
+        self.crashes.push(TimedCrash { server, at_ms });
         self.sort();
-        let surplus = self.crashes.len() > CRASHES_KEPT;
-        let dropped = surplus.then(|| self.crashes.remove(self.least_telling()));
+        let surplus = self.crashes.len() > CRASHES_STORED_MAX;
+        let dropped = surplus.then(|| self.crashes.remove(self.least_informative()));
         self.count();
         dropped.is_none_or(|dropped| (dropped.server, dropped.at_ms) != (server, at_ms))
     }
 
-    /// The crash that tells the least: the last of those that do not count, or the oldest.
-    fn least_telling(&self) -> usize {
-        let counting = self.counting();
-        (0..self.crashes.len()).rev().find(|place| !counting.contains(place)).unwrap_or(0)
+    /// Index of the crash with the least information: the last one that is not counted separately,
+    /// or the oldest.
+    fn least_informative(&self) -> usize {
+        let separate_crashes = self.separate_crashes();
+        (0..self.crashes.len()).rev().find(|index| !separate_crashes.contains(index)).unwrap_or(0)
     }
 
-    /// Voids what came until then; how many crashes that takes away.
+    /// Voids crashes up to a time; returns the number of removed crashes.
     pub(super) fn clear(&mut self, at_ms: i64) -> usize {
         if self.cleared_ms.is_some_and(|cleared_ms| at_ms <= cleared_ms) {
             return 0;
         }
         self.cleared_ms = Some(at_ms);
         let before = self.crashes.len();
-        self.keep(|crash| crash.at_ms > at_ms);
+        self.retain(|crash| crash.at_ms > at_ms);
         before - self.crashes.len()
     }
 
-    /// The places of the crashes that count.
-    fn counting(&self) -> Vec<usize> {
-        let mut counting: Vec<usize> = Vec::new();
-        for (place, crash) in self.crashes.iter().enumerate() {
-            let last_ms = counting.last().map(|last| self.crashes[*last].at_ms);
-            if last_ms.is_none_or(|last_ms| crash.at_ms >= last_ms + APART_MS) {
-                counting.push(place);
+    /// Indices of the crashes that are counted separately.
+    fn separate_crashes(&self) -> Vec<usize> {
+        let mut separate_crashes: Vec<usize> = Vec::new();
+        for (index, crash) in self.crashes.iter().enumerate() {
+            let last_ms = separate_crashes.last().map(|last| self.crashes[*last].at_ms);
+            if last_ms.is_none_or(|last_ms| crash.at_ms >= last_ms + CRASH_DISTANCE_MIN_MS) {
+                separate_crashes.push(index);
             }
         }
-        counting
+        separate_crashes
     }
 
     fn sort(&mut self) {
@@ -82,11 +87,11 @@
     }
 
     fn count(&mut self) {
-        self.counted = self.counting().len();
+        self.counted = self.separate_crashes().len();
     }
 
-    /// Keeps some of the crashes.
-    pub(super) fn keep(&mut self, kept: impl Fn(&Seen) -> bool) {
+    /// Removes crashes that do not satisfy a condition.
+    pub(super) fn retain(&mut self, kept: impl Fn(&TimedCrash) -> bool) {
         self.crashes.retain(kept);
         self.count();
     }
@@ -97,7 +102,7 @@
         enough.then_some(latest.at_ms + QUARANTINE_MS)
     }
 
-    /// When the last thing that it says happened.
+    /// Time of the latest crash or clearing.
     pub(super) fn latest_ms(&self) -> i64 {
         let crash = self.crashes.last().map_or(i64::MIN, |crash| crash.at_ms);
         crash.max(self.cleared_ms.unwrap_or(i64::MIN))
@@ -107,7 +112,7 @@
         self.counted >= CRASHES_TO_STOP_RETRIES
     }
 
-    pub(super) fn tell(&mut self) {
-        self.sends_left = if self.urgent() { URGENT_REPEATS } else { REPEATS };
+    pub(super) fn enqueue(&mut self) {
+        self.sends_left = if self.urgent() { URGENT_TRANSMISSIONS } else { TRANSMISSIONS };
     }
 }
--- a/core/src/quarantine/record.rs
+++ b/core/src/quarantine/record.rs
@@ -1,56 +1,59 @@
-//! What the platform's store keeps of requests that are kept from servers: it outlasts the loss of all routers.
+//! Record of quarantined requests in the platform's store; it survives the loss of all routers.
 
 use super::{Crash, Report, Server};
 use crate::ids;
 use serde::{Deserialize, Serialize};
 
-/// Where it lies.
+/// Key of the record in the store.
 pub const KEY: &str = "doorswitch/quarantine";
-/// The most requests in it, at about 250 bytes each: half of what a value may hold.
+/// Maximum number of requests in the record, at about 250 bytes each: half of the maximum size of a
+/// value.
 const REQUESTS_MAX: usize = 2_000;
 
-/// Why a value is no record.
+/// A stored value that cannot be parsed as a record.
 #[derive(Debug, snafu::Snafu)]
 #[snafu(display("the record of quarantined requests is not readable: {source}"), context(false))]
 pub struct Error {
     source: serde_json::Error,
 }
 
-/// The requests that are kept from servers. Times are of the day, because no other outlasts a machine.
+/// The quarantined requests. Times are wall-clock times, because no other clock survives a restart
+/// of the machine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    requests: Vec<Kept>,
+    requests: Vec<StoredRequest>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Kept {
+struct StoredRequest {
     request: ids::Fingerprint,
-    crashes: Vec<KeptCrash>,
+    crashes: Vec<StoredCrash>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct KeptCrash {
+struct StoredCrash {
     server: Server,
-    /// When, in Unix milliseconds.
+    /// Time of the crash, in Unix milliseconds.
     at_unix_ms: u64,
 }
 
 impl Record {
-    /// What is to be kept, at a time of the day in Unix milliseconds.
+    /// Creates a record of reports; `unix_ms` is the current time in Unix milliseconds.
     pub fn new(reports: Vec<Report>, unix_ms: u64) -> Self {
         let kept = |report: Report| {
-            let crashes = report.crashes.iter().map(|crash| KeptCrash {
+            let crashes = report.crashes.iter().map(|crash| StoredCrash {
                 server: crash.server,
                 at_unix_ms: unix_ms.saturating_sub(crash.age_ms),
             });
-            Kept { request: report.request, crashes: crashes.collect() }
+            StoredRequest { request: report.request, crashes: crashes.collect() }
         };
         Self { requests: reports.into_iter().take(REQUESTS_MAX).map(kept).collect() }
     }
 
-    /// What was kept, at a time of the day in Unix milliseconds. A clock that stepped back makes it seem younger.
+    /// Converts the record to reports; `unix_ms` is the current time in Unix milliseconds. A clock
+    /// that was set back makes the crashes seem younger.
     pub fn reports(self, unix_ms: u64) -> Vec<Report> {
-        let report = |kept: Kept| {
+        let report = |kept: StoredRequest| {
             let crashes = kept.crashes.iter().map(|crash| Crash {
                 server: crash.server,
                 age_ms: unix_ms.saturating_sub(crash.at_unix_ms),
@@ -65,13 +68,13 @@
         self.requests.iter().any(|kept| kept.request == request)
     }
 
-    /// Its form in the store.
+    /// Encodes the record as JSON.
     pub fn encode(&self) -> Vec<u8> {
-        // Plain data: there is nothing in it that cannot be written as JSON.
+        // The record is plain data that can always be encoded as JSON.
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Reads its form in the store.
+    /// Decodes a record from JSON.
     pub fn decode(value: &[u8]) -> Result<Self, Error> {
         Ok(serde_json::from_slice(value)?)
     }
--- a/core/src/quarantine/runs.rs
+++ b/core/src/quarantine/runs.rs
@@ -1,66 +1,71 @@
-//! Runs that broke off, until it is known whether their server crashed.
+//! Interrupted runs, until it is known whether their server crashed.
 //!
-//! A connection may break for many reasons; a server crashed when its life is over. That its address refuses
-//! connections shows it at once; that another life, or another server, is recorded at its address, or that its record
-//! goes without having said that it leaves, shows it later. A server that answers a later request has not crashed.
+//! A connection can break for many reasons; a server has crashed if its incarnation has ended.
+//! Refused connections at its address show that at once. Another incarnation or another server
+//! recorded at its address, or a record that disappears without the server having announced that it
+//! is leaving, shows it later. A server that answers a later request has not crashed.
 
-use super::SAME_CRASH_MS;
+use super::SAME_CRASH_WINDOW_MS;
 use crate::ids;
 use std::collections;
 
-/// A run that broke off is kept for so long: three heartbeats of a server and the way of the news, twice.
-const KEPT_MS: u64 = 15_000;
-/// The same where its server took a new connection after that: one that started again at once is recorded soon.
-const KEPT_ACCEPTED_MS: u64 = 3_000;
-/// A refused connection shows what broke the runs of the last second; what broke before, the server may have outlived.
-const REFUSAL_TELLS_MS: u64 = 1_000;
-/// The most lives of servers, and the most runs on each.
-const LIVES_MAX: usize = 256;
-const RUNS_MAX: usize = 256;
-
-/// One life of a VM's server.
+/// Time for which an interrupted run is kept: twice the sum of three heartbeats of a server and the
+/// delay of updates.
+const INTERRUPTED_RUN_TTL_MS: u64 = 15_000;
+/// Time for which an interrupted run is kept if its server accepted a new connection since: the
+/// record of a server that restarted at once appears soon.
+const ACCEPTED_RUN_TTL_MS: u64 = 3_000;
+/// A refused connection explains only runs that were interrupted within this time; the server may
+/// have survived what interrupted earlier ones.
+const REFUSAL_WINDOW_MS: u64 = 1_000;
+/// Maximum number of server incarnations, and of interrupted runs on each.
+const INSTANCES_MAX: usize = 256;
+const RUNS_PER_INSTANCE_MAX: usize = 256;
+
+/// One incarnation of a VM's server.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LifeOf {
-    /// The VM.
+    /// VM of the server.
     pub vm: String,
-    /// Which of its server's lives.
+    /// Incarnation of the server.
     pub life: ids::ServerLife,
 }
 
 #[derive(Debug)]
-struct Life {
+struct InstanceRuns {
     address: String,
-    /// When it was known to be over, by a crash.
+    /// Time at which the crash of the incarnation was detected.
     crashed_ms: Option<u64>,
-    noted_ms: u64,
-    broken: Vec<Broken>,
+    updated_ms: u64,
+    interrupted: Vec<InterruptedRun>,
 }
 
-impl Life {
-    /// Whether it is known to have crashed; lives that have no name are told apart by when they end.
+impl InstanceRuns {
+    /// Whether the incarnation is known to have crashed. Incarnations without an identifier are
+    /// distinguished by the times of their crashes.
     fn crashed(&self, life: ids::ServerLife, now_ms: u64) -> bool {
-        let named = life != ids::ServerLife::UNKNOWN;
-        self.crashed_ms.is_some_and(|at_ms| named || now_ms < at_ms + SAME_CRASH_MS)
+        let identified = life != ids::ServerLife::UNKNOWN;
+        self.crashed_ms.is_some_and(|at_ms| identified || now_ms < at_ms + SAME_CRASH_WINDOW_MS)
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Broken {
+struct InterruptedRun {
     request: ids::Fingerprint,
     at_ms: u64,
-    /// Until when the end of its server's life is taken for what broke it.
+    /// Time until which the end of the incarnation counts as the cause of the interruption.
     kept_until_ms: u64,
 }
 
-/// Runs that broke off lately, by the lives of their servers.
+/// Recently interrupted runs, by server incarnation.
 #[derive(Debug, Default)]
 pub struct Runs {
-    lives: collections::BTreeMap<LifeOf, Life>,
+    instances: collections::BTreeMap<LifeOf, InstanceRuns>,
     revision: u64,
 }
 
 impl Runs {
-    /// Notes a run that broke off; whether its server is known to have crashed.
+    /// Records an interrupted run; returns whether its server is known to have crashed.
     pub fn broke(
         &mut self,
         server: &LifeOf,
@@ -68,91 +73,101 @@
         request: ids::Fingerprint,
         now_ms: u64,
     ) -> bool {
-        if self.lives.len() >= LIVES_MAX && !self.lives.contains_key(server) {
-            let oldest = self.lives.iter().min_by_key(|(_, life)| life.noted_ms);
+        if self.instances.len() >= INSTANCES_MAX && !self.instances.contains_key(server) {
+            let oldest = self.instances.iter().min_by_key(|(_, runs)| runs.updated_ms);
             if let Some(oldest) = oldest.map(|(server, _)| server.clone()) {
-                self.lives.remove(&oldest);
+                self.instances.remove(&oldest);
             }
         }
-        let life = self.lives.entry(server.clone()).or_insert_with(|| Life {
+        let runs = self.instances.entry(server.clone()).or_insert_with(|| InstanceRuns {
             address: address.to_owned(),
             crashed_ms: None,
-            noted_ms: now_ms,
-            broken: Vec::new(),
+            updated_ms: now_ms,
+            interrupted: Vec::new(),
         });
-        life.noted_ms = now_ms;
+        runs.updated_ms = now_ms;
         self.revision += 1;
-        let crashed = life.crashed(server.life, now_ms);
-        if !crashed && life.broken.len() < RUNS_MAX {
-            life.broken.push(Broken { request, at_ms: now_ms, kept_until_ms: now_ms + KEPT_MS });
+        let crashed = runs.crashed(server.life, now_ms);
+        if !crashed && runs.interrupted.len() < RUNS_PER_INSTANCE_MAX {
+            runs.interrupted.push(InterruptedRun {
+                request,
+                at_ms: now_ms,
+                kept_until_ms: now_ms + INTERRUPTED_RUN_TTL_MS,
+            });
         }
         crashed
     }
 
-    /// Notes that a server takes connections: what broke its runs was most likely no crash.
+    /// Records that a server accepts connections: its runs were most likely not interrupted by a
+    /// crash.
     pub fn accepted(&mut self, server: &LifeOf) {
-        let Some(life) = self.lives.get_mut(server) else { return };
-        for run in &mut life.broken {
-            run.kept_until_ms = run.kept_until_ms.min(run.at_ms + KEPT_ACCEPTED_MS);
+        let Some(runs) = self.instances.get_mut(server) else { return };
+        for run in &mut runs.interrupted {
+            run.kept_until_ms = run.kept_until_ms.min(run.at_ms + ACCEPTED_RUN_TTL_MS);
         }
     }
 
-    /// Notes that a server's address refuses connections; the requests whose runs its crash broke.
+    /// Records that a server's address refuses connections; returns the requests that its crash
+    /// interrupted, with the times of the interruptions.
     pub fn refused(&mut self, server: &LifeOf, now_ms: u64) -> Vec<(ids::Fingerprint, u64)> {
-        let broken = self.crashed(server, now_ms);
-        let lately = broken.into_iter().filter(|(_, at_ms)| now_ms < at_ms + REFUSAL_TELLS_MS);
-        lately.collect()
+        let interrupted = self.crashed(server, now_ms);
+        let recent =
+            interrupted.into_iter().filter(|(_, at_ms)| now_ms < at_ms + REFUSAL_WINDOW_MS);
+        recent.collect()
     }
 
-    /// Notes that a server crashed; the requests whose runs that may have broken, with the time when.
+    /// Records that a server crashed; returns the requests that the crash may have interrupted,
+    /// with the times of the interruptions.
     pub fn crashed(&mut self, server: &LifeOf, now_ms: u64) -> Vec<(ids::Fingerprint, u64)> {
-        let Some(life) = self.lives.get_mut(server) else { return Vec::new() };
-        life.crashed_ms = Some(now_ms);
-        let broken = std::mem::take(&mut life.broken);
-        broken.into_iter().map(|run| (run.request, run.at_ms)).collect()
+        let Some(runs) = self.instances.get_mut(server) else { return Vec::new() };
+        runs.crashed_ms = Some(now_ms);
+        let interrupted = std::mem::take(&mut runs.interrupted);
+        interrupted.into_iter().map(|run| (run.request, run.at_ms)).collect()
     }
 
-    /// Notes that a run of a request ended well: what broke its earlier runs was not the request.
+    /// Records that a run of a request succeeded: the request did not cause the interruption of its
+    /// earlier runs.
     pub fn ended_well(&mut self, request: ids::Fingerprint) {
-        for life in self.lives.values_mut() {
-            life.broken.retain(|run| run.request != request);
+        for runs in self.instances.values_mut() {
+            runs.interrupted.retain(|run| run.request != request);
         }
         self.revision += 1;
     }
 
-    /// What the fingerprints have in common of requests whose runs broke off.
+    /// Fingerprint heads of the requests with interrupted runs.
     pub fn heads(&self) -> impl Iterator<Item = u64> {
-        self.lives.values().flat_map(|life| life.broken.iter().map(|run| run.request.head))
+        self.instances.values().flat_map(|runs| runs.interrupted.iter().map(|run| run.request.head))
     }
 
-    /// Grows with each change.
+    /// Counter that increases with each change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Notes that a server answered a request in full that was sent to it then: it did not crash before.
+    /// Records that a server completely answered a request that was sent at `sent_ms`: it did not
+    /// crash before.
     pub fn answered(&mut self, server: &LifeOf, sent_ms: u64) {
-        if let Some(life) = self.lives.get_mut(server) {
-            life.broken.retain(|run| run.at_ms >= sent_ms);
+        if let Some(runs) = self.instances.get_mut(server) {
+            runs.interrupted.retain(|run| run.at_ms >= sent_ms);
         }
     }
 
-    /// Whether there is any.
+    /// Whether no incarnations are recorded.
     pub fn is_empty(&self) -> bool {
-        self.lives.is_empty()
+        self.instances.is_empty()
     }
 
-    /// Lives with broken runs of which nobody knows whether a crash broke them, with their addresses.
+    /// Incarnations with interrupted runs whose cause is not known, with their addresses.
     pub fn open(&self) -> impl Iterator<Item = (&LifeOf, &str)> {
-        let open = self.lives.iter().filter(|(_, life)| !life.broken.is_empty());
-        open.map(|(server, life)| (server, life.address.as_str()))
+        let open = self.instances.iter().filter(|(_, runs)| !runs.interrupted.is_empty());
+        open.map(|(server, runs)| (server, runs.address.as_str()))
     }
 
-    /// Forgets what is too old to be told from chance.
+    /// Removes runs that are too old to be attributed to a crash.
     pub fn forget_old(&mut self, now_ms: u64) {
-        for life in self.lives.values_mut() {
-            life.broken.retain(|run| now_ms < run.kept_until_ms);
+        for runs in self.instances.values_mut() {
+            runs.interrupted.retain(|run| now_ms < run.kept_until_ms);
         }
-        self.lives.retain(|_, life| now_ms < life.noted_ms + KEPT_MS);
+        self.instances.retain(|_, runs| now_ms < runs.updated_ms + INTERRUPTED_RUN_TTL_MS);
     }
 }
--- a/core/src/rendezvous.rs
+++ b/core/src/rendezvous.rs
@@ -1,8 +1,9 @@
-//! Rendezvous hashing: every router that knows the same members ranks them alike, with no table.
+//! Rendezvous hashing: every router with the same member list ranks the members alike, without a
+//! table.
 
 use crate::ids;
 
-/// Scrambles a value (the finaliser of SplitMix64).
+/// Scrambles a value with the finalizer of SplitMix64.
 pub fn mix(value: u64) -> u64 {
     let mut z = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -10,17 +11,17 @@
     z ^ (z >> 31)
 }
 
-/// A digest of a name.
+/// Hash of a name.
 pub fn digest(name: &str) -> u64 {
     name.bytes().fold(0, |hash, byte| mix(hash ^ u64::from(byte)))
 }
 
-/// The weight of `member` for `subject`; the highest weight is the first choice.
+/// The weight of `member` for `subject`; the member with the highest weight is the first choice.
 pub fn weight(subject: u64, member: u64) -> u64 {
     mix(subject ^ mix(member))
 }
 
-/// The member with the highest weight for a subject.
+/// Returns the member with the highest weight for a subject.
 pub fn first(
     subject: u64,
     members: impl Iterator<Item = ids::Incarnation>,
--- a/core/src/rotation.rs
+++ b/core/src/rotation.rs
@@ -1,29 +1,31 @@
-//! What a datagram tells of a table that does not fit into it: news first, then one after the other what was told before.
+//! Selects the entries of a table for the next gossip datagram where not all fit: changed entries
+//! first, then the others in rotation.
 
 use std::{cmp, collections, ops};
 
-/// How often each change is told.
+/// Number of times each change is sent.
 pub const REPEATS: u32 = 6;
-/// Items in one datagram.
+/// Maximum number of entries in one datagram.
 const ITEMS: usize = 16;
-/// The most that the names in one datagram take: what another writer calls a server may be long.
+/// Maximum total length of the names in one datagram, in bytes: names of servers come from another
+/// writer and may be long.
 const NAMES_BYTES_MAX: usize = 1 << 10;
 
-/// An entry that is told.
+/// An entry that is sent to peers by gossip.
 pub trait Told {
-    /// How often it is still told as news.
+    /// Number of times the entry is still sent as a change.
     fn news_left(&self) -> u32;
 
-    /// The same, to be changed.
+    /// Mutable number of times the entry is still sent as a change.
     fn news_left_mut(&mut self) -> &mut u32;
 }
 
-/// Whether something is to be told at once.
+/// Whether the table has a change that was not sent yet.
 pub fn has_news<K, V: Told>(table: &collections::BTreeMap<K, V>) -> bool {
     table.values().any(|entry| entry.news_left() == REPEATS)
 }
 
-/// Where the next datagram goes on with what is no news.
+/// Position in a table at which the next datagram continues with unchanged entries.
 #[derive(Clone, Debug)]
 pub struct Rotation<K> {
     next: Option<K>,
@@ -36,7 +38,7 @@
 }
 
 impl<K: Ord + Clone> Rotation<K> {
-    /// The entries that the next datagram tells; they count as told.
+    /// Takes the entries for the next datagram and counts them as sent.
     pub fn take<V: Told>(
         &mut self,
         table: &mut collections::BTreeMap<K, V>,
--- a/core/src/routes.rs
+++ b/core/src/routes.rs
@@ -1,37 +1,37 @@
-//! Routes: which service answers a request that names a host and a path, and within which limits.
+//! Routes: which service answers a request for a host and a path, and within which limits.
 
 use crate::rendezvous;
 use serde::{Deserialize, Serialize};
 
-/// One route.
+/// A route from a host and a path prefix to services.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: String,
-    /// The host that a request must name.
+    /// Host that a request must name.
     pub host: String,
-    /// What its path must begin with.
+    /// Prefix that the path of a request must have.
     pub path_prefix: String,
-    /// How its requests may be repeated, and the form of their answers.
+    /// How requests may be repeated, and the form of the answers.
     pub kind: RouteKind,
-    /// The longest time that a request may be held.
+    /// Maximum time for which a request may be held, in milliseconds.
     pub timeout_ms: u64,
-    /// The time within which an answer is wanted.
+    /// Time within which an answer is expected, in milliseconds.
     pub target_ms: u64,
-    /// Its rank; higher goes first.
+    /// Priority; higher values go first.
     pub priority: u8,
-    /// The services that serve it, with the share of each.
+    /// Services that handle the route, with their weights.
     pub targets: Vec<Target>,
-    /// The most servers that one request may be sent to.
+    /// Maximum number of servers to which one request may be sent.
     pub attempts_max: u32,
-    /// Whether it may be called without a key.
+    /// Whether the route may be called without a key.
     pub public: bool,
-    /// Whether a stream may be continued at another server.
+    /// Whether an interrupted stream may be continued on another server.
     pub resumable: bool,
 }
 
-/// How requests may be repeated.
+/// How requests of a route may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteKind {
@@ -43,18 +43,18 @@
     Stream,
 }
 
-/// A service's share of a route.
+/// A service with its share of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Its part of the sum of all weights.
+    /// Its share, relative to the sum of all weights of the route.
     pub weight: u64,
 }
 
 impl Route {
-    /// Whether a request may run again after it may have run.
+    /// Whether a request may run again after it may already have run.
     pub fn repeatable(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The service for a request; equal digests get the same one.
+    /// Selects the service for a request; equal digests select the same service.
     pub fn service(&self, digest: u64) -> Option<&str> {
         let sum: u64 = self.targets.iter().map(|target| target.weight).sum();
         let mut place = rendezvous::mix(digest).checked_rem(sum)?;
@@ -77,7 +77,7 @@
     }
 }
 
-/// The route for a host and a path: the one with the longest prefix.
+/// Finds the route for a host and a path: the one with the longest matching prefix.
 pub fn find<'a>(routes: &'a [Route], host: &str, path: &str) -> Option<&'a Route> {
     routes
         .iter()
