--- a/core/src/quarantine.rs
+++ b/core/src/quarantine.rs
@@ -320,7 +320,7 @@
         self.entries.retain(|_, entry| {
             let known = entry.crashes.len();
             if !entry.crashes.iter().all(|crash| counts(crash.at_ms)) {
-                entry.retain(|crash| counts(crash.at_ms));
+                entry.retain_crashes(|crash| counts(crash.at_ms));
             }
             dropped += known - entry.crashes.len();
             !entry.crashes.is_empty() || entry.cleared_ms.is_some_and(counts)
--- a/core/src/quarantine/entry.rs
+++ b/core/src/quarantine/entry.rs
@@ -65,7 +65,7 @@
         }
         self.cleared_ms = Some(at_ms);
         let before = self.crashes.len();
-        self.retain(|crash| crash.at_ms > at_ms);
+        self.retain_crashes(|crash| crash.at_ms > at_ms);
         before - self.crashes.len()
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// Removes crashes that do not satisfy a condition.
-    pub(super) fn retain(&mut self, kept: impl Fn(&TimedCrash) -> bool) {
+    pub(super) fn retain_crashes(&mut self, kept: impl Fn(&TimedCrash) -> bool) {
         self.crashes.retain(kept);
         self.count();
     }
--- a/core/src/quarantine/record_sync.rs
+++ b/core/src/quarantine/record_sync.rs
@@ -36,7 +36,7 @@
     rewrite_only: bool,
     call_in_flight: bool,
     not_before_ms: u64,
-    backoff: backoff::Backoff,
+    retry_delay: backoff::Backoff,
 }
 
 impl Default for Keeper {
@@ -48,7 +48,7 @@
             rewrite_only: false,
             call_in_flight: false,
             not_before_ms: 0,
-            backoff: backoff::Backoff::new(RETRY_DELAY_BASE_MS, RETRY_DELAY_MAX_MS),
+            retry_delay: backoff::Backoff::new(RETRY_DELAY_BASE_MS, RETRY_DELAY_MAX_MS),
         }
     }
 }
@@ -120,12 +120,12 @@
             }
             store::Reply::WrittenAt { index } => {
                 self.index = Some(index);
-                self.backoff.reset();
+                self.retry_delay.reset();
                 Reply::Nothing
             }
             store::Reply::Written { .. } => {
                 self.index = None;
-                self.backoff.reset();
+                self.retry_delay.reset();
                 Reply::Nothing
             }
             store::Reply::Overtaken { index, value } => {
@@ -143,7 +143,7 @@
                 // next one.
                 self.write_needed |= !self.read_needed;
                 self.index = None;
-                self.not_before_ms = now_ms + self.backoff.next_delay_ms(rng);
+                self.not_before_ms = now_ms + self.retry_delay.next_delay_ms(rng);
                 Reply::Nothing
             }
         }
@@ -152,6 +152,6 @@
     fn record_read(&mut self, index: store::Position) {
         self.index = Some(index);
         self.read_needed = false;
-        self.backoff.reset();
+        self.retry_delay.reset();
     }
 }
--- a/core/src/servers.rs
+++ b/core/src/servers.rs
@@ -362,8 +362,8 @@
         rng: &mut rngs::StdRng,
     ) -> Option<ids::ServerSlot> {
         let service = self.service_answer_time(open);
-        let sample = open.sample(rng, (open.len() * SAMPLE_PERCENT).div_ceil(100).max(SAMPLE_MIN));
-        sample.min_by_key(|slot| self.servers[**slot].cost_us(service, now_ms)).copied()
+        let sampled = open.sample(rng, (open.len() * SAMPLE_PERCENT).div_ceil(100).max(SAMPLE_MIN));
+        sampled.min_by_key(|slot| self.servers[**slot].cost_us(service, now_ms)).copied()
     }
 
     /// Average answer time of the service to which these servers belong.
--- a/core/src/servers/backoff.rs
+++ b/core/src/servers/backoff.rs
@@ -159,8 +159,7 @@
     /// Counts a successful answer of a server, complete or just begun, for the return from its
     /// backoff.
     pub fn answered(&mut self, slot: ids::ServerSlot, sent_ms: u64) {
-        if let Some(backoff) = self.servers.get_mut(slot).and_then(|server| server.backoff.as_mut())
-        {
+        if let Some(backoff) = self.servers.get_mut(slot).and_then(|found| found.backoff.as_mut()) {
             backoff.answered(sent_ms);
         }
     }
--- a/core/src/servers/limits.rs
+++ b/core/src/servers/limits.rs
@@ -167,7 +167,7 @@
     /// Merges a report. Reports may arrive in any order and repeatedly.
     pub fn hear(&mut self, slot: ids::ServerSlot, report: LimitReport, now_ms: u64) -> LimitChange {
         let Some(known) = self.known.get_mut(&slot) else {
-            return self.insert(slot, report, now_ms);
+            return self.start_limit(slot, report, now_ms);
         };
         if known.report.answer == report.answer {
             // Each hop between routers makes an answer seem younger.
@@ -194,7 +194,12 @@
         known.enqueue_if_changed()
     }
 
-    fn insert(&mut self, slot: ids::ServerSlot, report: LimitReport, now_ms: u64) -> LimitChange {
+    fn start_limit(
+        &mut self,
+        slot: ids::ServerSlot,
+        report: LimitReport,
+        now_ms: u64,
+    ) -> LimitChange {
         let Some(limit_milli_per_s) = report.limit_milli_per_s else { return LimitChange::Nothing };
         let mut known = Known {
             report,
--- a/core/src/servers/permits.rs
+++ b/core/src/servers/permits.rs
@@ -94,8 +94,8 @@
 
     /// Number of permits that are granted or requested.
     pub fn expected(&self, now_ms: u64) -> u64 {
-        let granted = if now_ms < self.expires_ms { self.permits } else { 0 };
-        granted + self.pending_request(now_ms).map_or(0, |wanted| wanted.permits)
+        let available = if now_ms < self.expires_ms { self.permits } else { 0 };
+        available + self.pending_request(now_ms).map_or(0, |wanted| wanted.permits)
     }
 
     /// Whether permits may be requested now.
