--- a/core/src/message.rs
+++ b/core/src/message.rs
@@ -121,7 +121,7 @@
         /// The asker's number for the question.
         number: u64,
         /// What the asker knows of the server's limit.
-        known: servers::LimitNews,
+        known: servers::LimitUpdate,
         /// What is of use.
         wanted: servers::PermitsWanted,
     },
@@ -225,7 +225,7 @@
     /// Requests that crash servers.
     pub quarantine: quarantine::News,
     /// What servers say of how many requests they take.
-    pub limits: Vec<servers::LimitNews>,
+    pub limits: Vec<servers::LimitUpdate>,
 }
 
 /// Whether a datagram is half of a probe.
--- a/core/src/node/admit.rs
+++ b/core/src/node/admit.rs
@@ -234,7 +234,11 @@
 
     /// Chooses another server for a request if the one that was chosen may not be sent to any more: while its claim was
     /// recorded it may have said that it leaves, or become limited.
-    fn confirm_server(&mut self, slot: ids::RequestSlot, now_ms: u64) -> Result<(), servers::Lack> {
+    fn confirm_server(
+        &mut self,
+        slot: ids::RequestSlot,
+        now_ms: u64,
+    ) -> Result<(), servers::Unavailable> {
         let Some(request) = self.requests.get(slot) else { return Ok(()) };
         let Stage::WaitingClaim { server, .. } = request.stage else { return Ok(()) };
         if self.servers.may_still_send(server, request.stage_since_ms, now_ms) {
@@ -332,13 +336,13 @@
     request: &Request,
     now_ms: u64,
     rng: &mut rand::rngs::StdRng,
-) -> Result<servers::Choice, servers::Lack> {
+) -> Result<servers::Choice, servers::Unavailable> {
     table.choose(&servers_for(request), now_ms, rng)
 }
 
 /// The servers that a request may go to.
-pub(super) fn servers_for(request: &Request) -> servers::Wanted<'_> {
-    servers::Wanted {
+pub(super) fn servers_for(request: &Request) -> servers::Criteria<'_> {
+    servers::Criteria {
         service: &request.wanted.service,
         classes: &request.wanted.classes,
         prefix_hash: request.wanted.prefix_hash,
--- a/core/src/node/limits.rs
+++ b/core/src/node/limits.rs
@@ -74,15 +74,15 @@
         &mut self,
         vm: &str,
         life: ids::ServerLife,
-        said: servers::Stated<u64>,
+        said: servers::Directive<u64>,
         took_ms: u64,
         now_ms: u64,
     ) {
         let Some(slot) = self.servers.find_life(vm, life) else { return };
         let limit_milli_per_s = match said {
-            servers::Stated::Value(limit) => Some(limit),
-            servers::Stated::Nothing => None,
-            servers::Stated::Unreadable => return,
+            servers::Directive::Value(limit) => Some(limit),
+            servers::Directive::Absent => None,
+            servers::Directive::Unreadable => return,
         };
         if limit_milli_per_s.is_none() && self.servers.limits().limited(slot).is_none() {
             return;
@@ -99,7 +99,7 @@
     }
 
     /// Takes in what a peer knows of limits.
-    pub(super) fn hear_limits(&mut self, news: &[servers::LimitNews], now_ms: u64) {
+    pub(super) fn hear_limits(&mut self, news: &[servers::LimitUpdate], now_ms: u64) {
         for item in news {
             let slot = self.servers.find_life(&item.vm, item.life);
             if let (Some(slot), Some(report)) = (slot, item.report(now_ms)) {
@@ -146,7 +146,7 @@
     }
 
     /// What the next datagram tells of limits.
-    pub(super) fn limit_news(&mut self, now_ms: u64) -> Vec<servers::LimitNews> {
+    pub(super) fn limit_news(&mut self, now_ms: u64) -> Vec<servers::LimitUpdate> {
         if self.servers.limits().is_empty() {
             return Vec::new();
         }
@@ -159,9 +159,9 @@
         slot: ids::ServerSlot,
         report: servers::LimitReport,
         now_ms: u64,
-    ) -> Option<servers::LimitNews> {
+    ) -> Option<servers::LimitUpdate> {
         let server = self.servers.get(slot)?;
-        Some(servers::LimitNews {
+        Some(servers::LimitUpdate {
             vm: server.vm.vm.clone(),
             life: server.vm.life,
             limit_milli_per_s: report.limit_milli_per_s,
@@ -325,12 +325,12 @@
         &mut self,
         from: ids::Incarnation,
         number: u64,
-        known: servers::LimitNews,
+        known: servers::LimitUpdate,
         wanted: servers::PermitsWanted,
         now_ms: u64,
     ) {
         self.hear_limits(std::slice::from_ref(&known), now_ms);
-        let servers::LimitNews { vm, life, .. } = known;
+        let servers::LimitUpdate { vm, life, .. } = known;
         let granted = match self.servers.find_life(&vm, life) {
             Some(slot) => self.grant_permits(slot, wanted, now_ms),
             None => servers::PermitsGranted::none(NOT_PACING_MS),
@@ -381,7 +381,7 @@
     pub(super) fn limited_retry_after_ms(&mut self, service: &str, now_ms: u64) -> u64 {
         let slots = self.limited_slots(service, now_ms);
         let limits = self.servers.limits();
-        let known: Vec<&servers::Known> =
+        let known: Vec<&servers::KnownLimit> =
             slots.iter().filter_map(|slot| limits.limited(*slot)).collect();
         let next_ms = known.iter().map(|known| known.share.next_ms(now_ms)).min();
         let limits = known.iter().filter_map(|known| known.report.limit_milli_per_s);
--- a/core/src/node/queue.rs
+++ b/core/src/node/queue.rs
@@ -98,7 +98,12 @@
     }
 
     /// Lets a request wait that lacks a server, if that may help; refuses it otherwise.
-    pub(super) fn enqueue(&mut self, slot: ids::RequestSlot, lack: servers::Lack, now_ms: u64) {
+    pub(super) fn enqueue(
+        &mut self,
+        slot: ids::RequestSlot,
+        lack: servers::Unavailable,
+        now_ms: u64,
+    ) {
         let Some(request) = self.requests.get(slot) else { return };
         let service = request.wanted.service.clone();
         let most = self.service(&service).map_or(0, |service| service.queue_length);
@@ -172,9 +177,9 @@
 
 /// Whether a request that lacks a server may find one while it waits. One whose servers all back off is refused at once:
 /// when the first of them takes requests again, it takes one, and most of those that wait would wait in vain.
-fn may_wait(lack: servers::Lack) -> bool {
+fn may_wait(lack: servers::Unavailable) -> bool {
     match lack {
-        servers::Lack::Full | servers::Lack::Limited => true,
-        servers::Lack::Backoff | servers::Lack::None => false,
+        servers::Unavailable::Full | servers::Unavailable::Limited => true,
+        servers::Unavailable::Backoff | servers::Unavailable::None => false,
     }
 }
--- a/core/src/node/retries.rs
+++ b/core/src/node/retries.rs
@@ -49,7 +49,7 @@
             Ok(choice) => choice,
             Err(lack) => {
                 let reason = match lack {
-                    servers::Lack::Full => Reason::NoServer,
+                    servers::Unavailable::Full => Reason::NoServer,
                     lack => lack.into(),
                 };
                 self.end_retries(slot, reason, now_ms);
--- a/core/src/node/said.rs
+++ b/core/src/node/said.rs
@@ -12,7 +12,7 @@
         &mut self,
         vm: &str,
         life: ids::ServerLife,
-        said: &servers::Said,
+        said: &servers::Directives,
         age: servers::AnswerAge,
         now_ms: u64,
     ) {
@@ -20,10 +20,10 @@
             self.note_unreadable(vm, life, header);
         }
         // What ends a limit lets requests go that wait, so what forbids them comes before it.
-        if said.leaves == servers::Stated::Value(true) {
+        if said.leaves == servers::Directive::Value(true) {
             self.hear_leaving(vm, life, leavings::Source::Answer, None);
         }
-        if let servers::Stated::Value(backoff_ms) = said.backoff_ms {
+        if let servers::Directive::Value(backoff_ms) = said.backoff_ms {
             let left_ms = backoff_ms.saturating_sub(age.heard_ms);
             self.hear_backoff(vm, life, now_ms + left_ms, now_ms);
         }
--- a/core/src/node/types.rs
+++ b/core/src/node/types.rs
@@ -186,13 +186,13 @@
     }
 }
 
-impl From<servers::Lack> for Reason {
-    fn from(lack: servers::Lack) -> Self {
+impl From<servers::Unavailable> for Reason {
+    fn from(lack: servers::Unavailable) -> Self {
         match lack {
-            servers::Lack::Full => Self::Overloaded,
-            servers::Lack::Limited => Self::Limited,
-            servers::Lack::Backoff => Self::Backoff,
-            servers::Lack::None => Self::NoServer,
+            servers::Unavailable::Full => Self::Overloaded,
+            servers::Unavailable::Limited => Self::Limited,
+            servers::Unavailable::Backoff => Self::Backoff,
+            servers::Unavailable::None => Self::NoServer,
         }
     }
 }
--- a/core/src/servers.rs
+++ b/core/src/servers.rs
@@ -19,8 +19,8 @@
 
 pub use backoff::Backoff;
 pub use by_prompt::{Choice, Part, chain};
-pub use directives::{AnswerAge, Header, Said, Stated};
-pub use limits::{AnswerId, Known, LimitChange, LimitNews, LimitReport, Limits};
+pub use directives::{AnswerAge, Directive, Directives, Header};
+pub use limits::{AnswerId, KnownLimit, LimitChange, LimitReport, LimitUpdate, Limits};
 pub use permits::{
     PERMIT_TTL_MS, PermitsGranted, PermitsWanted, TRIAL_INTERVAL_MAX_MS, trial_every_ms,
 };
@@ -146,7 +146,7 @@
     }
 
     /// Whether the server is live and its class is allowed.
-    fn matches(&self, criteria: &Wanted<'_>) -> bool {
+    fn matches(&self, criteria: &Criteria<'_>) -> bool {
         let class = criteria.classes.is_empty() || criteria.classes.contains(&self.vm.class);
         class && self.is_live()
     }
@@ -161,7 +161,7 @@
 
 /// Criteria by which a server is chosen.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted<'a> {
+pub struct Criteria<'a> {
     /// Name of the service.
     pub service: &'a str,
     /// Allowed classes of VM; empty allows all.
@@ -176,7 +176,7 @@
 
 /// Reason why no server can be chosen for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lack {
+pub enum Unavailable {
     /// Every matching server that does not back off is full or limited, and at least one is not
     /// limited.
     Full,
@@ -243,16 +243,16 @@
     /// Chooses a server with room and counts the request on it.
     pub fn choose(
         &mut self,
-        criteria: &Wanted<'_>,
+        criteria: &Criteria<'_>,
         now_ms: u64,
         rng: &mut rngs::StdRng,
-    ) -> Result<Choice, Lack> {
+    ) -> Result<Choice, Unavailable> {
         if !criteria.parts.is_empty() {
             return self.choose_for_prompt(criteria, now_ms);
         }
         let matching = self.matching(criteria, now_ms);
         if matching.is_empty() {
-            return Err(Lack::None);
+            return Err(Unavailable::None);
         }
         let open = matching.iter().copied().filter(|slot| self.is_open(*slot, now_ms));
         let open: Vec<ids::ServerSlot> = open.collect();
@@ -338,7 +338,7 @@
         }
     }
 
-    fn matching(&self, criteria: &Wanted<'_>, now_ms: u64) -> Vec<ids::ServerSlot> {
+    fn matching(&self, criteria: &Criteria<'_>, now_ms: u64) -> Vec<ids::ServerSlot> {
         let Some(slots) = self.by_service.get(criteria.service) else { return Vec::new() };
         let matches = |slot: &&ids::ServerSlot| {
             self.servers[**slot].matches(criteria) && !criteria.not.contains(slot)
--- a/core/src/servers/backoff.rs
+++ b/core/src/servers/backoff.rs
@@ -4,7 +4,7 @@
 //! A random delay spreads the returns of routers that were rejected at the same moment, and each
 //! router begins with a single request.
 
-use super::{Server, Table, Wanted};
+use super::{Criteria, Server, Table};
 use crate::ids;
 use rand::{RngExt, rngs};
 
@@ -133,7 +133,7 @@
 
     /// When the first matching server accepts requests again, if all of them back off. Includes the
     /// servers on which the request failed.
-    pub fn backoffs_end_ms(&self, criteria: &Wanted<'_>, now_ms: u64) -> Option<u64> {
+    pub fn backoffs_end_ms(&self, criteria: &Criteria<'_>, now_ms: u64) -> Option<u64> {
         let slots = self.by_service.get(criteria.service)?.iter();
         let matching =
             slots.map(|slot| &self.servers[*slot]).filter(|server| server.matches(criteria));
--- a/core/src/servers/by_prompt.rs
+++ b/core/src/servers/by_prompt.rs
@@ -6,7 +6,7 @@
 //! more than processing it again. Costs are counted in tokens to process before the first token of
 //! the answer.
 
-use super::{Lack, Table, Wanted};
+use super::{Criteria, Table, Unavailable};
 use crate::{ids, rendezvous};
 use std::collections;
 
@@ -74,12 +74,12 @@
     /// Chooses a server for a prompt and counts the request on it.
     pub(super) fn choose_for_prompt(
         &mut self,
-        criteria: &Wanted<'_>,
+        criteria: &Criteria<'_>,
         now_ms: u64,
-    ) -> Result<Choice, Lack> {
+    ) -> Result<Choice, Unavailable> {
         let mut matching = self.matching(criteria, now_ms);
         if matching.is_empty() {
-            return Err(Lack::None);
+            return Err(Unavailable::None);
         }
         let key = home_key(criteria.parts);
         matching.sort_by_key(|slot| std::cmp::Reverse(self.home_weight(*slot, key)));
--- a/core/src/servers/directives.rs
+++ b/core/src/servers/directives.rs
@@ -2,10 +2,10 @@
 
 /// Value of one directive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Stated<T> {
+pub enum Directive<T> {
     /// The header is absent.
     #[default]
-    Nothing,
+    Absent,
     /// The header is present with this value.
     Value(T),
     /// The header is present, but its value cannot be parsed.
@@ -14,14 +14,14 @@
 
 /// Directives in the headers of one answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Said {
+pub struct Directives {
     /// Rate of requests that the server accepts from all routers together, in thousandths per
     /// second.
-    pub limit_milli_per_s: Stated<u64>,
+    pub limit_milli_per_s: Directive<u64>,
     /// Whether the server is leaving.
-    pub leaves: Stated<bool>,
+    pub leaves: Directive<bool>,
     /// Time for which the server requests a backoff from this router, in milliseconds.
-    pub backoff_ms: Stated<u64>,
+    pub backoff_ms: Directive<u64>,
 }
 
 /// Ages of an answer's request and of its headers, in milliseconds.
@@ -33,14 +33,14 @@
     pub heard_ms: u64,
 }
 
-/// Header that carries one of the [`Said`].
+/// Header that carries one of the [`Directives`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Header {
-    /// Carries [`Said::limit_milli_per_s`].
+    /// Carries [`Directives::limit_milli_per_s`].
     Limit,
-    /// Carries [`Said::leaves`].
+    /// Carries [`Directives::leaves`].
     Leaving,
-    /// Carries [`Said::backoff_ms`].
+    /// Carries [`Directives::backoff_ms`].
     Backoff,
 }
 
@@ -55,18 +55,18 @@
     }
 }
 
-impl Said {
+impl Directives {
     /// Whether all directives are absent.
-    pub fn is_silent(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 
     /// Headers whose values cannot be parsed.
     pub fn unreadable(&self) -> impl Iterator<Item = Header> {
         let headers = [
-            (Header::Limit, self.limit_milli_per_s == Stated::Unreadable),
-            (Header::Leaving, self.leaves == Stated::Unreadable),
-            (Header::Backoff, self.backoff_ms == Stated::Unreadable),
+            (Header::Limit, self.limit_milli_per_s == Directive::Unreadable),
+            (Header::Leaving, self.leaves == Directive::Unreadable),
+            (Header::Backoff, self.backoff_ms == Directive::Unreadable),
         ];
         headers.into_iter().filter(|(_, unreadable)| *unreadable).map(|(header, _)| header)
     }
--- a/core/src/servers/limit_checks.rs
+++ b/core/src/servers/limit_checks.rs
@@ -4,7 +4,7 @@
 //! a router that applied the limit on its own, or only on some paths, would add to those of the
 //! other routers.
 
-use super::{Lack, LimitReport, Limits, Server, Table};
+use super::{LimitReport, Limits, Server, Table, Unavailable};
 use crate::ids;
 use std::collections;
 
@@ -85,15 +85,15 @@
     }
 
     /// Reason why none of these servers can take the request.
-    pub(super) fn unavailability(&self, matching: &[ids::ServerSlot], now_ms: u64) -> Lack {
+    pub(super) fn unavailability(&self, matching: &[ids::ServerSlot], now_ms: u64) -> Unavailable {
         let accepts = |slot: &&ids::ServerSlot| !self.servers[**slot].backs_off(now_ms);
         let mut accepting = matching.iter().filter(accepts).peekable();
         if accepting.peek().is_none() {
-            return Lack::Backoff;
+            return Unavailable::Backoff;
         }
         match accepting.all(|slot| self.limits.limited(*slot).is_some()) {
-            true => Lack::Limited,
-            false => Lack::Full,
+            true => Unavailable::Limited,
+            false => Unavailable::Full,
         }
     }
 
--- a/core/src/servers/limits.rs
+++ b/core/src/servers/limits.rs
@@ -57,7 +57,7 @@
 
 /// Gossip form of a limit report. Routers share no clock, so times are sent as ages.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LimitNews {
+pub struct LimitUpdate {
     /// VM of the server.
     pub vm: String,
     /// Incarnation of the server.
@@ -73,7 +73,7 @@
     pub heard_age_ms: u64,
 }
 
-impl LimitNews {
+impl LimitUpdate {
     /// Increases both ages by the time the message was queued, in milliseconds.
     pub fn add_age_ms(&mut self, queued_ms: u64) {
         self.sent_age_ms = self.sent_age_ms.saturating_add(queued_ms);
@@ -104,7 +104,7 @@
 
 /// Limit of one server, with this router's permits for it.
 #[derive(Clone, Debug)]
-pub struct Known {
+pub struct KnownLimit {
     /// Report that is currently valid.
     pub report: LimitReport,
     /// Start of the uninterrupted time in which the server is limited.
@@ -121,7 +121,7 @@
 /// Limits of all servers.
 #[derive(Debug, Default)]
 pub struct Limits {
-    known: collections::BTreeMap<ids::ServerSlot, Known>,
+    known: collections::BTreeMap<ids::ServerSlot, KnownLimit>,
     rotation: rotation::Rotation<ids::ServerSlot>,
 }
 
@@ -137,17 +137,17 @@
     }
 
     /// State of a server that is limited.
-    pub fn limited(&self, slot: ids::ServerSlot) -> Option<&Known> {
+    pub fn limited(&self, slot: ids::ServerSlot) -> Option<&KnownLimit> {
         self.known.get(&slot).filter(|known| known.report.limit_milli_per_s.is_some())
     }
 
     /// Mutable state of a server that is limited.
-    pub fn limited_mut(&mut self, slot: ids::ServerSlot) -> Option<&mut Known> {
+    pub fn limited_mut(&mut self, slot: ids::ServerSlot) -> Option<&mut KnownLimit> {
         self.known.get_mut(&slot).filter(|known| known.report.limit_milli_per_s.is_some())
     }
 
     /// Iterates over the servers that are limited.
-    pub fn iter_limited(&self) -> impl Iterator<Item = (ids::ServerSlot, &Known)> {
+    pub fn iter_limited(&self) -> impl Iterator<Item = (ids::ServerSlot, &KnownLimit)> {
         let known = self.known.iter().map(|(slot, known)| (*slot, known));
         known.filter(|(_, known)| known.report.limit_milli_per_s.is_some())
     }
@@ -201,7 +201,7 @@
         now_ms: u64,
     ) -> LimitChange {
         let Some(limit_milli_per_s) = report.limit_milli_per_s else { return LimitChange::Nothing };
-        let mut known = Known {
+        let mut known = KnownLimit {
             report,
             since_ms: now_ms,
             queued_milli_per_s: None,
@@ -254,7 +254,7 @@
     }
 }
 
-impl rotation::Told for Known {
+impl rotation::Told for KnownLimit {
     fn news_left(&self) -> u32 {
         self.news_left
     }
@@ -264,7 +264,7 @@
     }
 }
 
-impl Known {
+impl KnownLimit {
     /// Queues the limit for gossip if it differs enough from the one that was queued last.
     fn enqueue_if_changed(&mut self) -> LimitChange {
         let (queued, now) = (self.queued_milli_per_s, self.report.limit_milli_per_s);
--- a/core/tests/arbitrary_messages.rs
+++ b/core/tests/arbitrary_messages.rs
@@ -26,7 +26,7 @@
         .collect();
     let now_ms = fleet.now_ms;
     for (vm, life) in &names {
-        let said = servers::Stated::Value(1_100);
+        let said = servers::Directive::Value(1_100);
         fleet.routers[0].node.report_limit(vm, *life, said, 5, now_ms);
     }
     let mut found = permits(fleet, &names[0]);
@@ -55,7 +55,7 @@
     let granted = servers::PermitsGranted { permits: 1, in_ms: 300 };
     let (vm, life) = (vm.clone(), *life);
     let answer = servers::AnswerId { router: id(0), number: 1 };
-    let known = servers::LimitNews {
+    let known = servers::LimitUpdate {
         vm: vm.clone(),
         life,
         limit_milli_per_s: Some(1_100),
--- a/core/tests/cold_servers.rs
+++ b/core/tests/cold_servers.rs
@@ -75,7 +75,7 @@
                 let at = self.rng.random_range(0..self.tables.len());
                 let prompt = self.rng.random_range(0..prompts);
                 let parts = servers::chain([(prompt, 5_000), (self.rng.random(), 500)].into_iter());
-                let wanted = servers::Wanted {
+                let wanted = servers::Criteria {
                     service: SERVICE,
                     classes: &[],
                     prefix_hash: None,
--- a/core/tests/fair_parts.rs
+++ b/core/tests/fair_parts.rs
@@ -116,7 +116,7 @@
     }
 
     fn send(&mut self, router: usize) {
-        let wanted = servers::Wanted {
+        let wanted = servers::Criteria {
             service: SERVICE,
             classes: &[],
             prefix_hash: None,
--- a/core/tests/limit_schedules.rs
+++ b/core/tests/limit_schedules.rs
@@ -46,7 +46,7 @@
     sent_ms: u64,
     answers_ms: u64,
     /// What the answer says, once it is made; it arrives later.
-    said: Option<(servers::Stated<u64>, u64)>,
+    said: Option<(servers::Directive<u64>, u64)>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -192,7 +192,7 @@
             if limit.is_some() {
                 server.named_ms.get_or_insert(now_ms);
             }
-            let said = limit.map_or(servers::Stated::Nothing, servers::Stated::Value);
+            let said = limit.map_or(servers::Directive::Absent, servers::Directive::Value);
             // Answers overtake each other on their way.
             run.said = Some((said, now_ms + self.traffic.rng.random_range(1..60)));
         }
@@ -403,7 +403,7 @@
         scenario.run_ms(15_000);
         scenario.traffic.fleet.loss_percent = 10;
         let now_ms = scenario.traffic.fleet.now_ms;
-        let said = servers::Stated::Value(1_000);
+        let said = servers::Directive::Value(1_000);
         let node = &mut scenario.traffic.fleet.routers[0].node;
         node.report_limit("vm-0", ids::ServerLife(1), said, 10, now_ms);
         scenario.traffic.fleet.run_until("all know", CONTACT_MS, |fleet| {
@@ -510,7 +510,7 @@
 /// Asks a router for a permit; whether it grants one.
 fn grants(fleet: &mut Fleet, place: usize, asker: usize) -> bool {
     let id = |place: usize| fleet.routers[place].node.members().own().id;
-    let known = servers::LimitNews {
+    let known = servers::LimitUpdate {
         vm: "server-0".to_owned(),
         life: ids::ServerLife(1),
         limit_milli_per_s: Some(100_000),
@@ -537,7 +537,7 @@
 #[test]
 fn one_router_paces_whoever_asks() {
     let mut fleet = watch_fleet::settled(7, BOUNDS, 12);
-    let said = servers::Stated::Value(1_100);
+    let said = servers::Directive::Value(1_100);
     let now_ms = fleet.now_ms;
     fleet.routers[0].node.report_limit("server-0", ids::ServerLife(1), said, 10, now_ms);
     fleet.run_ms(5_000);
@@ -565,13 +565,13 @@
     let life = ids::ServerLife(1);
     let node = &mut fleet.routers[0].node;
     let limited = |node: &node::Node| node.servers().limits().iter_limited().next().is_some();
-    node.report_limit("server-0", life, servers::Stated::Value(1_100), 20, now_ms);
+    node.report_limit("server-0", life, servers::Directive::Value(1_100), 20, now_ms);
     assert!(limited(node));
-    node.report_limit("server-0", life, servers::Stated::Nothing, 500, now_ms + 100);
+    node.report_limit("server-0", life, servers::Directive::Absent, 500, now_ms + 100);
     assert!(limited(node));
-    node.report_limit("server-0", life, servers::Stated::Nothing, 50, now_ms + 100);
+    node.report_limit("server-0", life, servers::Directive::Absent, 50, now_ms + 100);
     assert!(!limited(node));
-    node.report_limit("server-0", life, servers::Stated::Value(1_100), 400, now_ms + 110);
+    node.report_limit("server-0", life, servers::Directive::Value(1_100), 400, now_ms + 110);
     assert!(!limited(node), "an answer to an earlier request began it again");
 }
 
@@ -582,7 +582,7 @@
     let limited = |fleet: &Fleet| {
         fleet.routers.iter().any(|it| it.node.servers().limits().iter_limited().count() > 0)
     };
-    let said = servers::Stated::Value(0);
+    let said = servers::Directive::Value(0);
     let now_ms = fleet.now_ms;
     fleet.routers[0].node.report_limit("server-0", ids::ServerLife(1), said, 5, now_ms);
     fleet.run_ms(5_000);
@@ -612,7 +612,8 @@
     let granting =
         |fleet: &mut Fleet| (0..7).filter(|place| grants(fleet, *place, (place + 1) % 7)).count();
     assert_eq!(granting(&mut fleet), 1);
-    let said = servers::Said { leaves: servers::Stated::Value(true), ..Default::default() };
+    let said =
+        servers::Directives { leaves: servers::Directive::Value(true), ..Default::default() };
     let now_ms = fleet.now_ms;
     for router in &mut fleet.routers {
         let age = servers::AnswerAge::default();
@@ -631,14 +632,14 @@
     }
     traffic.fleet.run_ms(8_000);
     let now_ms = traffic.fleet.now_ms;
-    let limit_milli_per_s = servers::Stated::Value(5_000);
+    let limit_milli_per_s = servers::Directive::Value(5_000);
     let node = &mut traffic.fleet.routers[0].node;
     for place in 0..20 {
         let backoff_ms = match place {
-            0..10 => servers::Stated::Value(60_000),
-            _ => servers::Stated::Nothing,
+            0..10 => servers::Directive::Value(60_000),
+            _ => servers::Directive::Absent,
         };
-        let said = servers::Said { limit_milli_per_s, backoff_ms, ..Default::default() };
+        let said = servers::Directives { limit_milli_per_s, backoff_ms, ..Default::default() };
         let age = servers::AnswerAge::default();
         node.report_said(&format!("vm-{place}"), ids::ServerLife(1), &said, age, now_ms);
     }
@@ -675,7 +676,7 @@
     let mut fleet = watch_fleet::settled(3, BOUNDS, 15);
     let report_limit = |fleet: &mut Fleet, limit_milli_per_s| {
         let (node, now_ms) = (&mut fleet.routers[1].node, fleet.now_ms);
-        let stated = servers::Stated::Value(limit_milli_per_s);
+        let stated = servers::Directive::Value(limit_milli_per_s);
         node.report_limit("server-0", ids::ServerLife(1), stated, 0, now_ms);
     };
     let known_limit = |fleet: &Fleet, place: usize| {
--- a/core/tests/node.rs
+++ b/core/tests/node.rs
@@ -285,7 +285,7 @@
 }
 
 /// What the server of a request says while that request's claim is recorded.
-fn said_while_claimed(servers: usize, said: servers::Said) -> (World, usize, String) {
+fn said_while_claimed(servers: usize, said: servers::Directives) -> (World, usize, String) {
     let mut world = World::new(Shape { servers, ..Shape::default() }, 1);
     world.run_ms(2_000);
     let given = world.admit(0, 0, 1, 20, 20, true).unwrap();
@@ -317,10 +317,10 @@
 
 words_while_a_claim_is_recorded! {
     a_claimed_request_does_not_go_to_a_server_that_leaves_meanwhile:
-        servers::Said { leaves: servers::Stated::Value(true), ..Default::default() },
+        servers::Directives { leaves: servers::Directive::Value(true), ..Default::default() },
         node::Reason::NoServer;
     a_claimed_request_does_not_go_to_a_server_that_backs_off_meanwhile:
-        servers::Said { backoff_ms: servers::Stated::Value(60_000), ..Default::default() },
+        servers::Directives { backoff_ms: servers::Directive::Value(60_000), ..Default::default() },
         node::Reason::Backoff;
 }
 
@@ -355,7 +355,8 @@
     let vm = node.servers().iter().next().unwrap().1.vm.clone();
     let slots: Vec<ids::RequestSlot> =
         wanted.into_iter().map(|wanted| node.admit(wanted, now_ms)).collect();
-    let said = servers::Said { backoff_ms: servers::Stated::Value(1_000), ..Default::default() };
+    let said =
+        servers::Directives { backoff_ms: servers::Directive::Value(1_000), ..Default::default() };
     for (number, slot) in slots.into_iter().enumerate() {
         let age = servers::AnswerAge::default();
         node.report_said(&vm.vm, vm.life, &said, age, now_ms + 50);
@@ -397,7 +398,8 @@
     let now_ms = world.now_ms;
     let node = &mut world.routers[0].node;
     let vm = node.servers().iter().next().unwrap().1.vm.clone();
-    let said = servers::Said { backoff_ms: servers::Stated::Value(100), ..Default::default() };
+    let said =
+        servers::Directives { backoff_ms: servers::Directive::Value(100), ..Default::default() };
     node.report_said(&vm.vm, vm.life, &said, servers::AnswerAge::default(), now_ms);
     node.take_actions();
     for wanted in wanted {
--- a/core/tests/said_schedules.rs
+++ b/core/tests/said_schedules.rs
@@ -245,18 +245,18 @@
         let of = (server.name.clone(), run.life);
         let told = self.told.entry(run.router).or_default();
         let limit = server.limit_milli_per_s.filter(|_| server.life == run.life);
-        let mut said = servers::Said {
-            limit_milli_per_s: limit.map_or(servers::Stated::Nothing, servers::Stated::Value),
-            ..servers::Said::default()
+        let mut said = servers::Directives {
+            limit_milli_per_s: limit.map_or(servers::Directive::Absent, servers::Directive::Value),
+            ..servers::Directives::default()
         };
         match run.manner {
             Manner::Serves | Manner::Sheds { .. } => {}
             Manner::Leaves => {
-                said.leaves = servers::Stated::Value(true);
+                said.leaves = servers::Directive::Value(true);
                 told.leaving.entry(of).or_insert(now_ms);
             }
             Manner::TurnsAway { backoff_ms } => {
-                said.backoff_ms = servers::Stated::Value(backoff_ms);
+                said.backoff_ms = servers::Directive::Value(backoff_ms);
                 let until_ms = told.backoff_until_ms.entry(of).or_default();
                 *until_ms = (now_ms + backoff_ms).max(*until_ms);
             }
@@ -554,8 +554,10 @@
         scenario.run_ms(15_000);
         scenario.traffic.fleet.loss_percent = 10;
         let now_ms = scenario.traffic.fleet.now_ms;
-        let said =
-            servers::Said { leaves: servers::Stated::Value(true), ..servers::Said::default() };
+        let said = servers::Directives {
+            leaves: servers::Directive::Value(true),
+            ..servers::Directives::default()
+        };
         for place in 0..leaving {
             let vm = format!("vm-{place}");
             let age = servers::AnswerAge::default();
--- a/core/tests/server_lives.rs
+++ b/core/tests/server_lives.rs
@@ -38,8 +38,8 @@
         bench
     }
 
-    fn choose(&mut self, parts: &[servers::Part]) -> Result<servers::Choice, servers::Lack> {
-        let wanted = servers::Wanted {
+    fn choose(&mut self, parts: &[servers::Part]) -> Result<servers::Choice, servers::Unavailable> {
+        let wanted = servers::Criteria {
             service: "service",
             classes: &[],
             prefix_hash: None,
@@ -63,7 +63,7 @@
 fn a_leaving_is_forgotten() {
     let mut bench = Bench::new();
     bench.table.leaving("one", ids::ServerLife(5));
-    assert_eq!(bench.choose(&[]).unwrap_err(), servers::Lack::None);
+    assert_eq!(bench.choose(&[]).unwrap_err(), servers::Unavailable::None);
     bench.restart();
     assert!(bench.choose(&[]).is_ok());
 }
@@ -75,7 +75,7 @@
     bench.table.leaving("one", ids::ServerLife(5));
     assert!(bench.choose(&[]).is_ok());
     bench.table.leaving("one", ids::ServerLife(6));
-    assert_eq!(bench.choose(&[]).unwrap_err(), servers::Lack::None);
+    assert_eq!(bench.choose(&[]).unwrap_err(), servers::Unavailable::None);
 }
 
 #[test]
@@ -106,7 +106,7 @@
     }
     let slot = bench.table.find("one").unwrap();
     bench.table.reported(slot, servers::Load { running: 4, queued: 9, slots: 4 });
-    assert_eq!(bench.choose(&[]).unwrap_err(), servers::Lack::Full);
+    assert_eq!(bench.choose(&[]).unwrap_err(), servers::Unavailable::Full);
     bench.restart();
     assert_eq!((bench.present().load, bench.present().in_flight), (None, 0));
     assert!(bench.choose(&[]).is_ok());
--- a/core/tests/servers.rs
+++ b/core/tests/servers.rs
@@ -43,13 +43,13 @@
         classes: &[String],
         prefix_hash: Option<u64>,
         not: &[ids::ServerSlot],
-    ) -> Result<ids::ServerSlot, servers::Lack> {
+    ) -> Result<ids::ServerSlot, servers::Unavailable> {
         let parts = &[];
-        let wanted = servers::Wanted { service: "service", classes, prefix_hash, parts, not };
+        let wanted = servers::Criteria { service: "service", classes, prefix_hash, parts, not };
         self.table.choose(&wanted, self.now_ms, &mut self.rng).map(|choice| choice.slot)
     }
 
-    fn choose(&mut self) -> Result<ids::ServerSlot, servers::Lack> {
+    fn choose(&mut self) -> Result<ids::ServerSlot, servers::Unavailable> {
         self.choose_for(&[], None, &[])
     }
 
@@ -67,7 +67,7 @@
         bench.table.ended(slot);
     }
     let none = bench.choose_for(&["other".to_owned()], None, &[]);
-    assert_eq!(none, Err(servers::Lack::None));
+    assert_eq!(none, Err(servers::Unavailable::None));
 }
 
 #[test]
@@ -87,9 +87,9 @@
     let mut bench = Bench::two();
     let chosen = (0..1_000).map_while(|_| bench.choose().ok()).count();
     assert_eq!(chosen, 16, "eight slots on each of two");
-    assert_eq!(bench.choose(), Err(servers::Lack::Full));
+    assert_eq!(bench.choose(), Err(servers::Unavailable::Full));
     bench.table.follow(&[], 0);
-    assert_eq!(bench.choose(), Err(servers::Lack::None));
+    assert_eq!(bench.choose(), Err(servers::Unavailable::None));
 }
 
 #[test]
@@ -162,7 +162,7 @@
 
 fn choose_for_prompt(bench: &mut Bench, parts: &[servers::Part]) -> servers::Choice {
     let wanted =
-        servers::Wanted { service: "service", classes: &[], prefix_hash: None, parts, not: &[] };
+        servers::Criteria { service: "service", classes: &[], prefix_hash: None, parts, not: &[] };
     bench.table.choose(&wanted, bench.now_ms, &mut bench.rng).unwrap()
 }
 
@@ -238,7 +238,7 @@
     let mut bench = Bench::new(&[vm("one", "new", live)]);
     bench.choose().unwrap();
     bench.table.follow(&[], 0);
-    assert_eq!(bench.choose(), Err(servers::Lack::None), "it is not listed");
+    assert_eq!(bench.choose(), Err(servers::Unavailable::None), "it is not listed");
     bench.table.follow(&[vm("one", "new", live)], 0);
     assert!(bench.choose().is_ok(), "it is listed again");
 }
@@ -251,7 +251,7 @@
     bench.table.leaving("one", ids::ServerLife::UNKNOWN);
     bench.table.follow(&[], 0);
     bench.table.follow(&[vm("one", "new", live)], 0);
-    assert_eq!(bench.choose(), Err(servers::Lack::None));
+    assert_eq!(bench.choose(), Err(servers::Unavailable::None));
 }
 
 #[test]
--- a/core/tests/wire_format.rs
+++ b/core/tests/wire_format.rs
@@ -70,8 +70,8 @@
     }
 }
 
-fn limit() -> servers::LimitNews {
-    servers::LimitNews {
+fn limit() -> servers::LimitUpdate {
+    servers::LimitUpdate {
         vm: "a".to_owned(),
         life: ids::ServerLife(1),
         limit_milli_per_s: Some(2),
--- a/src/control/messages.rs
+++ b/src/control/messages.rs
@@ -54,7 +54,7 @@
     /// The life of the server that said so.
     pub life: ids::ServerLife,
     /// What it said.
-    pub said: servers::Said,
+    pub said: servers::Directives,
     /// When the request was sent.
     pub sent: Instant,
     /// When the head came.
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -101,11 +101,11 @@
     control: &Addr<control::Control>,
     published: &snapshot::Published,
     place: &Placement,
-    said: servers::Said,
+    said: servers::Directives,
     sent: Instant,
 ) {
     // While limits are known, answers that name none say something too.
-    if said.is_silent() && !published.knows_limits() {
+    if said.is_empty() && !published.knows_limits() {
         return;
     }
     let (vm, life, heard) = (place.vm.clone(), place.life, Instant::now());
