--- a/core/src/rotation.rs
+++ b/core/src/gossip_rotation.rs
@@ -4,25 +4,25 @@
 use std::{cmp, collections, ops};
 
 /// Number of times each change is sent.
-pub const REPEATS: u32 = 6;
+pub const TRANSMISSIONS: u32 = 6;
 /// Maximum number of entries in one datagram.
-const ITEMS: usize = 16;
+const ENTRIES_MAX: usize = 16;
 /// Maximum total length of the names in one datagram, in bytes: names of servers come from another
 /// writer and may be long.
 const NAMES_BYTES_MAX: usize = 1 << 10;
 
 /// An entry that is sent to peers by gossip.
-pub trait Told {
+pub trait Gossiped {
     /// Number of times the entry is still sent as a change.
-    fn news_left(&self) -> u32;
+    fn sends_left(&self) -> u32;
 
     /// Mutable number of times the entry is still sent as a change.
-    fn news_left_mut(&mut self) -> &mut u32;
+    fn sends_left_mut(&mut self) -> &mut u32;
 }
 
 /// Whether the table has a change that was not sent yet.
-pub fn has_news<K, V: Told>(table: &collections::BTreeMap<K, V>) -> bool {
-    table.values().any(|entry| entry.news_left() == REPEATS)
+pub fn has_unsent<K, V: Gossiped>(table: &collections::BTreeMap<K, V>) -> bool {
+    table.values().any(|entry| entry.sends_left() == TRANSMISSIONS)
 }
 
 /// Position in a table at which the next datagram continues with unchanged entries.
@@ -39,31 +39,31 @@
 
 impl<K: Ord + Clone> Rotation<K> {
     /// Takes the entries for the next datagram and counts them as sent.
-    pub fn take<V: Told>(
+    pub fn take<V: Gossiped>(
         &mut self,
         table: &mut collections::BTreeMap<K, V>,
         name_bytes: impl Fn(&K) -> usize,
     ) -> Vec<K> {
         let mut keys: Vec<K> = table.keys().cloned().collect();
-        let told_before = |key: &K| self.next.as_ref().is_some_and(|next| key < next);
+        let already_sent = |key: &K| self.next.as_ref().is_some_and(|next| key < next);
         keys.sort_by_cached_key(|key| {
-            (cmp::Reverse(table[key].news_left()), told_before(key), key.clone())
+            (cmp::Reverse(table[key].sends_left()), already_sent(key), key.clone())
         });
         let mut bytes = 0;
         let fits = |key: &K| {
             bytes += name_bytes(key);
             bytes <= NAMES_BYTES_MAX
         };
-        let keys: Vec<K> = keys.into_iter().take(ITEMS).take_while(fits).collect();
-        keys.iter().for_each(|key| self.note_told(table, key));
+        let keys: Vec<K> = keys.into_iter().take(ENTRIES_MAX).take_while(fits).collect();
+        keys.iter().for_each(|key| self.record_sent(table, key));
         keys
     }
 
-    fn note_told<V: Told>(&mut self, table: &mut collections::BTreeMap<K, V>, key: &K) {
+    fn record_sent<V: Gossiped>(&mut self, table: &mut collections::BTreeMap<K, V>, key: &K) {
         let after = (ops::Bound::Excluded(key), ops::Bound::Unbounded);
         let next = table.range(after).next().map(|(next, _)| next.clone());
         let Some(entry) = table.get_mut(key) else { return };
-        match entry.news_left_mut() {
+        match entry.sends_left_mut() {
             0 => self.next = next,
             left => *left -= 1,
         }
--- a/core/src/leavings.rs
+++ b/core/src/leaving_servers.rs
@@ -3,7 +3,7 @@
 //! An entry applies to one incarnation of a server. One that came from an answer is kept even if
 //! the record expires, reappears or still lists the server as ready.
 
-use crate::{ids, message, rotation};
+use crate::{gossip_rotation, ids, message};
 use serde::{Deserialize, Serialize};
 use std::collections;
 
@@ -34,43 +34,43 @@
 
 /// A server that is leaving.
 #[derive(Clone, Debug)]
-pub struct Leaving {
+pub struct LeavingServer {
     /// Incarnation that is leaving.
     pub life: ids::ServerLife,
     /// Source of the information.
     pub source: Source,
     /// Time since which no record of the server is known.
     unlisted_since_ms: Option<u64>,
-    news_left: u32,
+    sends_left: u32,
 }
 
-impl rotation::Told for Leaving {
-    fn news_left(&self) -> u32 {
-        self.news_left
+impl gossip_rotation::Gossiped for LeavingServer {
+    fn sends_left(&self) -> u32 {
+        self.sends_left
     }
 
-    fn news_left_mut(&mut self) -> &mut u32 {
-        &mut self.news_left
+    fn sends_left_mut(&mut self) -> &mut u32 {
+        &mut self.sends_left
     }
 }
 
 /// All servers that are leaving, by VM.
 #[derive(Debug, Default)]
-pub struct Leavings {
-    known: collections::BTreeMap<String, Leaving>,
-    rotation: rotation::Rotation<String>,
+pub struct LeavingServers {
+    known: collections::BTreeMap<String, LeavingServer>,
+    rotation: gossip_rotation::Rotation<String>,
 }
 
-impl Leavings {
+impl LeavingServers {
     /// Records that an incarnation of a server is leaving; returns whether this is new or from a
     /// source that is kept longer.
     pub fn note(&mut self, vm: &str, life: ids::ServerLife, source: Source) -> bool {
-        let news_left = if source == Source::Answer { rotation::REPEATS } else { 0 };
+        let sends_left = if source == Source::Answer { gossip_rotation::TRANSMISSIONS } else { 0 };
         let known = self.known.get(vm).map(|known| (known.life, known.source));
         if known.is_some_and(|known| known >= (life, source)) {
             return false;
         }
-        let leaving = Leaving { life, source, unlisted_since_ms: None, news_left };
+        let leaving = LeavingServer { life, source, unlisted_since_ms: None, sends_left };
         self.known.insert(vm.to_owned(), leaving);
         true
     }
@@ -81,23 +81,23 @@
     }
 
     /// Iterates over all leaving servers with their VMs.
-    pub fn iter(&self) -> impl Iterator<Item = (&str, &Leaving)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&str, &LeavingServer)> {
         self.known.iter().map(|(vm, leaving)| (vm.as_str(), leaving))
     }
 
     /// Whether an update is queued that was not sent yet.
-    pub fn has_news(&self) -> bool {
-        rotation::has_news(&self.known)
+    pub fn has_unsent(&self) -> bool {
+        gossip_rotation::has_unsent(&self.known)
     }
 
     /// Takes the updates for the next datagram.
-    pub fn take_news(&mut self) -> Vec<message::Leaving> {
+    pub fn take_updates(&mut self) -> Vec<message::Leaving> {
         let vms = self.rotation.take(&mut self.known, String::len);
-        let news = vms.into_iter().filter_map(|vm| {
-            let Leaving { life, source, .. } = *self.known.get(&vm)?;
+        let updates = vms.into_iter().filter_map(|vm| {
+            let LeavingServer { life, source, .. } = *self.known.get(&vm)?;
             Some(message::Leaving { vm, life, source })
         });
-        news.collect()
+        updates.collect()
     }
 
     /// Removes entries that no longer apply, given the incarnations of all servers with a known
@@ -113,7 +113,7 @@
             leaving.unlisted_since_ms = (!listed).then_some(since_ms);
         }
         let oldest_ms = self.oldest_kept_ms(now_ms);
-        let holds = |vm: &str, leaving: &Leaving| match lives.get(vm) {
+        let holds = |vm: &str, leaving: &LeavingServer| match lives.get(vm) {
             Some(present) => *present <= leaving.life,
             None => {
                 let since_ms = leaving.unlisted_since_ms.unwrap_or(now_ms);
--- a/core/src/message.rs
+++ b/core/src/message.rs
@@ -2,7 +2,9 @@
 
 mod ages;
 
-use crate::{evacuation, ids, leavings, log_index, members, quarantine, servers, store, watch};
+use crate::{
+    evacuation, ids, leaving_servers, log_index, members, quarantine, servers, store, watch,
+};
 use serde::{Deserialize, Serialize};
 
 /// The version of these types and of how they travel. It changes with every change of either.
@@ -287,5 +289,5 @@
     /// The life of its server that is leaving.
     pub life: ids::ServerLife,
     /// Who told that.
-    pub source: leavings::Source,
+    pub source: leaving_servers::Source,
 }
--- a/core/src/node.rs
+++ b/core/src/node.rs
@@ -38,8 +38,8 @@
 pub use types::*;
 
 use crate::{
-    config, evacuation, grants, ids, leavings, ledger, ledger_writer, limiter, log_writer, members,
-    outbox, retry, servers, store, watch,
+    config, evacuation, grants, ids, leaving_servers, ledger, ledger_writer, limiter, log_writer,
+    members, outbox, retry, servers, store, watch,
 };
 use rand::SeedableRng;
 use rand::rngs;
@@ -118,7 +118,7 @@
     vms_heard_ms: u64,
     /// The first list in which this router saw its own VM; [`store::Position::START`] before that.
     listed_index: store::Position,
-    leavings: leavings::Leavings,
+    leavings: leaving_servers::LeavingServers,
     leavings_told_ms: u64,
     grants: grants::Table,
     servers: servers::Table,
@@ -277,7 +277,7 @@
     }
 
     /// The servers that are known to leave.
-    pub fn leavings(&self) -> &leavings::Leavings {
+    pub fn leavings(&self) -> &leaving_servers::LeavingServers {
         &self.leavings
     }
 
--- a/core/src/node/adopt.rs
+++ b/core/src/node/adopt.rs
@@ -1,7 +1,7 @@
 //! What the platform and peers tell of the world: configurations, lists of VMs, what earlier lives left.
 
 use super::{Action, ConfigSource, Lifecycle, Node, Notice, ROUTER_SERVICE};
-use crate::{config, grants, ids, leavings, ledger_writer, log_writer, servers, store};
+use crate::{config, grants, ids, leaving_servers, ledger_writer, log_writer, servers, store};
 use std::collections;
 
 impl Node {
@@ -106,7 +106,7 @@
         });
         let vms: Vec<servers::Vm> = vms.collect();
         for vm in vms.iter().filter(|vm| vm.state == servers::VmState::Leaving) {
-            self.hear_leaving(&vm.vm, vm.life, leavings::Source::Record, None);
+            self.hear_leaving(&vm.vm, vm.life, leaving_servers::Source::Record, None);
         }
         let routers = vms.iter().filter(|vm| vm.service == ROUTER_SERVICE);
         self.members.add_seeds(routers.map(|vm| vm.address.clone()));
--- a/core/src/node/eras.rs
+++ b/core/src/node/eras.rs
@@ -196,7 +196,7 @@
             let watch::ServerRecord::Listed(vm) = &change.record else { continue };
             let leaves = vm.state == servers::VmState::Leaving;
             if leaves && self.vms.get(&vm.vm).is_some_and(|known| known.life == vm.life) {
-                let source = crate::leavings::Source::Record;
+                let source = crate::leaving_servers::Source::Record;
                 self.hear_leaving(&vm.vm, vm.life, source, Some(from));
             }
         }
--- a/core/src/node/limits.rs
+++ b/core/src/node/limits.rs
@@ -150,7 +150,7 @@
         if self.servers.limits().is_empty() {
             return Vec::new();
         }
-        let news = self.servers.take_limit_news().into_iter();
+        let news = self.servers.take_limit_updates().into_iter();
         news.filter_map(|(slot, report)| self.news_of(slot, report, now_ms)).collect()
     }
 
@@ -186,7 +186,7 @@
             self.shed_limited(&service, now_ms);
         }
         let due = now_ms >= self.limits.told_ms + TELL_EVERY_MS;
-        if due && self.servers.limits().has_news() {
+        if due && self.servers.limits().has_unsent() {
             self.limits.told_ms = now_ms;
             self.push_to_some(now_ms);
         }
--- a/core/src/node/notices.rs
+++ b/core/src/node/notices.rs
@@ -1,6 +1,6 @@
 //! Events for the log, and from where a router knows what it acts on.
 
-use crate::{ids, leavings, ledger, ledger_writer, servers, store, watch};
+use crate::{ids, leaving_servers, ledger, ledger_writer, servers, store, watch};
 
 /// From where a router has its configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -147,7 +147,7 @@
         /// What runs on it; empty if that is not known.
         service: String,
         /// Who told.
-        source: leavings::Source,
+        source: leaving_servers::Source,
         /// The router that told this one; `None` if it heard it itself.
         from: Option<ids::Incarnation>,
     },
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -190,7 +190,7 @@
         news: Vec<members::Record>,
         now_ms: u64,
     ) {
-        let leaving = self.leavings.take_news();
+        let leaving = self.leavings.take_updates();
         let answers = std::mem::take(&mut self.quarantine.answers);
         let gossip = message::Gossip {
             from: self.members.own().clone(),
--- a/core/src/node/said.rs
+++ b/core/src/node/said.rs
@@ -1,7 +1,7 @@
 //! What servers say of themselves in the heads of their answers.
 
 use super::{Action, Node, Notice};
-use crate::{ids, leavings, message, servers};
+use crate::{ids, leaving_servers, message, servers};
 
 /// Leavings are told no more often than this.
 const TELL_EVERY_MS: u64 = 100;
@@ -21,7 +21,7 @@
         }
         // What ends a limit lets requests go that wait, so what forbids them comes before it.
         if said.leaves == servers::Directive::Value(true) {
-            self.hear_leaving(vm, life, leavings::Source::Answer, None);
+            self.hear_leaving(vm, life, leaving_servers::Source::Answer, None);
         }
         if let servers::Directive::Value(backoff_ms) = said.backoff_ms {
             let left_ms = backoff_ms.saturating_sub(age.heard_ms);
@@ -56,7 +56,7 @@
         &mut self,
         vm: &str,
         life: ids::ServerLife,
-        source: leavings::Source,
+        source: leaving_servers::Source,
         from: Option<ids::Incarnation>,
     ) {
         self.servers.leaving(vm, life);
@@ -77,7 +77,7 @@
         // A record that is not known here as live tells nothing new: the peer's list may be the older one.
         let live =
             |known: &servers::Vm| known.state == servers::VmState::Live && known.life == *life;
-        if *source == leavings::Source::Answer || self.vms.get(vm).is_some_and(live) {
+        if *source == leaving_servers::Source::Answer || self.vms.get(vm).is_some_and(live) {
             self.hear_leaving(vm, *life, *source, Some(from));
         }
     }
@@ -90,7 +90,7 @@
             let notice = Notice::ServerBackoffEnded { vm, service };
             self.actions.push(Action::Notice(notice));
         }
-        if self.leavings.has_news() && now_ms >= self.leavings_told_ms + TELL_EVERY_MS {
+        if self.leavings.has_unsent() && now_ms >= self.leavings_told_ms + TELL_EVERY_MS {
             self.leavings_told_ms = now_ms;
             self.push_to_some(now_ms);
         }
--- a/core/src/servers/limit_checks.rs
+++ b/core/src/servers/limit_checks.rs
@@ -20,9 +20,9 @@
     }
 
     /// Takes the limit reports for the next datagram.
-    pub fn take_limit_news(&mut self) -> Vec<(ids::ServerSlot, LimitReport)> {
+    pub fn take_limit_updates(&mut self) -> Vec<(ids::ServerSlot, LimitReport)> {
         let Self { limits, servers, .. } = self;
-        limits.take_news(|slot| servers.get(slot).map_or(0, |server| server.vm.vm.len()))
+        limits.take_updates(|slot| servers.get(slot).map_or(0, |server| server.vm.vm.len()))
     }
 
     /// Slot of one incarnation of a VM's server.
--- a/core/src/servers/limits.rs
+++ b/core/src/servers/limits.rs
@@ -6,7 +6,7 @@
 //! answer to a request that was sent after the limit was received.
 
 use super::permits;
-use crate::{ids, rotation};
+use crate::{gossip_rotation, ids};
 use serde::{Deserialize, Serialize};
 use std::collections;
 
@@ -111,7 +111,7 @@
     pub since_ms: u64,
     /// Limit that was last queued for gossip.
     queued_milli_per_s: Option<u64>,
-    news_left: u32,
+    sends_left: u32,
     /// Permits that this router holds for the server.
     pub share: permits::Share,
     /// Scheduler of permits, used if this router is the server's pacer.
@@ -122,7 +122,7 @@
 #[derive(Debug, Default)]
 pub struct Limits {
     known: collections::BTreeMap<ids::ServerSlot, KnownLimit>,
-    rotation: rotation::Rotation<ids::ServerSlot>,
+    rotation: gossip_rotation::Rotation<ids::ServerSlot>,
 }
 
 impl Limits {
@@ -205,7 +205,7 @@
             report,
             since_ms: now_ms,
             queued_milli_per_s: None,
-            news_left: 0,
+            sends_left: 0,
             share: permits::Share::default(),
             pacer: permits::Pacer::new(limit_milli_per_s, now_ms),
         };
@@ -240,12 +240,12 @@
     }
 
     /// Whether an update is queued that was not sent yet.
-    pub fn has_news(&self) -> bool {
-        rotation::has_news(&self.known)
+    pub fn has_unsent(&self) -> bool {
+        gossip_rotation::has_unsent(&self.known)
     }
 
     /// Takes the reports for the next datagram; `name_bytes` is the length of a server's name.
-    pub fn take_news(
+    pub fn take_updates(
         &mut self,
         name_bytes: impl Fn(ids::ServerSlot) -> usize,
     ) -> Vec<(ids::ServerSlot, LimitReport)> {
@@ -254,13 +254,13 @@
     }
 }
 
-impl rotation::Told for KnownLimit {
-    fn news_left(&self) -> u32 {
-        self.news_left
+impl gossip_rotation::Gossiped for KnownLimit {
+    fn sends_left(&self) -> u32 {
+        self.sends_left
     }
 
-    fn news_left_mut(&mut self) -> &mut u32 {
-        &mut self.news_left
+    fn sends_left_mut(&mut self) -> &mut u32 {
+        &mut self.sends_left
     }
 }
 
@@ -276,7 +276,7 @@
             return LimitChange::Nothing;
         }
         self.queued_milli_per_s = now;
-        self.news_left = rotation::REPEATS;
+        self.sends_left = gossip_rotation::TRANSMISSIONS;
         now.map_or(LimitChange::Ended, LimitChange::Limited)
     }
 }
--- a/core/tests/external_names.rs
+++ b/core/tests/external_names.rs
@@ -4,8 +4,8 @@
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use doorswitch_core::{
-    config, ids, leavings, ledger, ledger_writer, log_index, members, node, quarantine, routes,
-    servers, store, watch,
+    config, ids, leaving_servers, ledger, ledger_writer, log_index, members, node, quarantine,
+    routes, servers, store, watch,
 };
 use std::collections;
 
@@ -288,10 +288,10 @@
     evidence: [watch::Evidence::LaterCall, watch::Evidence::Peer]
         .map(watch::Evidence::as_str)
         .join(" ") => "LaterCall Peer";
-    sources_of_leavings: [leavings::Source::Record, leavings::Source::Answer]
-        .map(leavings::Source::as_str)
+    sources_of_leavings: [leaving_servers::Source::Record, leaving_servers::Source::Answer]
+        .map(leaving_servers::Source::as_str)
         .join(" ") => "Record Answer";
-    sources_of_leavings_in_the_dump: json(&[leavings::Source::Record, leavings::Source::Answer])
+    sources_of_leavings_in_the_dump: json(&[leaving_servers::Source::Record, leaving_servers::Source::Answer])
         => r#"["record","answer"]"#;
     sources_of_quarantines: [
         node::QuarantineSource::Seen,
--- a/core/tests/node.rs
+++ b/core/tests/node.rs
@@ -4,7 +4,7 @@
 
 mod world;
 
-use doorswitch_core::{config, ids, leavings, message, node, servers, store};
+use doorswitch_core::{config, ids, leaving_servers, message, node, servers, store};
 use world::{End, Shape, World};
 
 fn at(revision: u64) -> store::Position {
@@ -244,7 +244,7 @@
         leaving: vec![message::Leaving {
             vm: vm.to_owned(),
             life: Default::default(),
-            source: leavings::Source::Record,
+            source: leaving_servers::Source::Record,
         }],
         quarantine: Default::default(),
         limits: Vec::new(),
--- a/core/tests/said_schedules.rs
+++ b/core/tests/said_schedules.rs
@@ -6,7 +6,7 @@
 
 mod watch_fleet;
 
-use doorswitch_core::{ids, leavings, node, servers};
+use doorswitch_core::{ids, leaving_servers, node, servers};
 use rand::RngExt;
 use std::collections::HashMap;
 use watch_fleet::traffic::{Handed, Traffic};
@@ -364,7 +364,9 @@
     fn knows(&self, node: &node::Node, leaving: &[Life]) -> bool {
         let known = |(vm, life): &Life| {
             let source = node.leavings().iter().find(|(known, _)| known == vm);
-            source.is_some_and(|(_, it)| it.life == *life && it.source == leavings::Source::Answer)
+            source.is_some_and(|(_, it)| {
+                it.life == *life && it.source == leaving_servers::Source::Answer
+            })
         };
         leaving.iter().all(known)
     }
--- a/core/tests/wire_format.rs
+++ b/core/tests/wire_format.rs
@@ -4,7 +4,8 @@
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use doorswitch_core::{
-    evacuation, ids, leavings, log_index, members, message, quarantine, servers, store, watch,
+    evacuation, ids, leaving_servers, log_index, members, message, quarantine, servers, store,
+    watch,
 };
 use std::collections;
 
@@ -115,7 +116,7 @@
         leaving: vec![message::Leaving {
             vm: "a".to_owned(),
             life: ids::ServerLife(1),
-            source: leavings::Source::Answer,
+            source: leaving_servers::Source::Answer,
         }],
         quarantine: quarantine::News { summary: 8, reports: vec![report] },
         limits: vec![limit()],
