--- a/benches/capacity/quarantine.rs
+++ b/benches/capacity/quarantine.rs
@@ -50,7 +50,7 @@
     println!("each request, another head suspected: {:.0} ns", nanoseconds(look));
     published.set_suspected([head().digest().key()].into());
     println!("its own head suspected, {BODY_BYTES} bytes: {:.0} ns", nanoseconds(look));
-    let calm = quarantine::News::default();
+    let calm = quarantine::Updates::default();
     println!("calm datagram: {} bytes more", postcard::to_stdvec(&calm).unwrap_or_default().len());
     for crashes in [1, 3, 8] {
         let before = allocated_bytes();
--- a/core/src/evacuation.rs
+++ b/core/src/evacuation.rs
@@ -27,20 +27,20 @@
 
 /// Evacuations in an answer of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum Update {
     /// Changes since the requested revision.
     Changes(Vec<Change>),
     /// All evacuated failure domains.
     All(collections::BTreeSet<String>),
 }
 
-impl Default for News {
+impl Default for Update {
     fn default() -> Self {
         Self::Changes(Vec::new())
     }
 }
 
-impl News {
+impl Update {
     /// Whether the update contains any change or domain.
     pub fn any(&self) -> bool {
         match self {
@@ -53,9 +53,9 @@
 impl Evacuations {
     /// Applies an answer of the store that corresponds to `position`. Changes older than the copy
     /// are ignored.
-    pub fn take(&mut self, position: store::Position, news: News) {
-        match news {
-            News::Changes(changes) => {
+    pub fn take(&mut self, position: store::Position, update: Update) {
+        match update {
+            Update::Changes(changes) => {
                 let known = self.position;
                 for change in changes.into_iter().filter(|change| change.position > known) {
                     match change.evacuated {
@@ -65,7 +65,7 @@
                 }
                 self.position = known.max(position);
             }
-            News::All(domains) => self.take_over(&Self { position, domains }),
+            Update::All(domains) => self.take_over(&Self { position, domains }),
         }
     }
 
--- a/core/src/limiter.rs
+++ b/core/src/limiter.rs
@@ -5,14 +5,14 @@
 
 /// A token bucket that limits the rate of calls.
 #[derive(Clone, Copy, Debug)]
-pub struct Limiter {
+pub struct RateLimiter {
     rate_milli_per_s: u64,
     burst: u64,
     level_micro: u64,
     updated_ms: u64,
 }
 
-impl Limiter {
+impl RateLimiter {
     /// Creates a full bucket that refills at `rate_per_s` calls per second and holds `burst` calls.
     pub fn new(rate_per_s: u64, burst: u64, now_ms: u64) -> Self {
         Self::with_milli_rate(rate_per_s.max(1).saturating_mul(1_000), burst, now_ms)
--- a/core/src/message.rs
+++ b/core/src/message.rs
@@ -225,7 +225,7 @@
     /// Backend server VMs that are leaving, with the index of the list that said so.
     pub leaving: Vec<Leaving>,
     /// Requests that crash servers.
-    pub quarantine: quarantine::News,
+    pub quarantine: quarantine::Updates,
     /// What servers say of how many requests they take.
     pub limits: Vec<servers::LimitUpdate>,
 }
--- a/core/src/node.rs
+++ b/core/src/node.rs
@@ -158,8 +158,8 @@
     started_ms: u64,
     calls: collections::HashMap<ids::CallId, platform::StoreCall>,
     next_call: u64,
-    reads: limiter::Limiter,
-    writes: limiter::Limiter,
+    reads: limiter::RateLimiter,
+    writes: limiter::RateLimiter,
     measured_ms: u64,
     counters: Counters,
 }
@@ -177,8 +177,8 @@
         };
         let members = members::Table::new(own, settings.seeds.clone());
         let watching = settings.watch.map(watching::Watching::new);
-        let reads = limiter::Limiter::new(settings.platform_reads_per_s, 50, now_ms);
-        let writes = limiter::Limiter::new(settings.platform_writes_per_s, 5, now_ms);
+        let reads = limiter::RateLimiter::new(settings.platform_reads_per_s, 50, now_ms);
+        let writes = limiter::RateLimiter::new(settings.platform_writes_per_s, 5, now_ms);
         Self {
             settings,
             rng: rngs::StdRng::seed_from_u64(seed),
--- a/core/src/node/eras.rs
+++ b/core/src/node/eras.rs
@@ -276,21 +276,21 @@
     pub(super) fn keep_evacuations(
         &mut self,
         position: store::Position,
-        news: &evacuation::News,
+        news: &evacuation::Update,
         now_ms: u64,
     ) {
         let known = &self.evacuations;
         let restored =
             known.position != store::Position::START && position.era > known.position.era;
         match news {
-            evacuation::News::All(_) if restored => {
+            evacuation::Update::All(_) if restored => {
                 let mut domains = known.domains.clone();
                 domains.extend(self.eras.evacuated.take().into_iter().flat_map(|(it, _)| it));
                 self.eras.evacuated = Some((domains, now_ms + EVACUATIONS_TTL_MS));
             }
-            evacuation::News::All(_) => {}
+            evacuation::Update::All(_) => {}
             // The operator wrote these domains after the restore.
-            evacuation::News::Changes(changes) => {
+            evacuation::Update::Changes(changes) => {
                 if let Some((domains, _)) = &mut self.eras.evacuated {
                     changes.iter().for_each(|change| _ = domains.remove(&change.domain));
                 }
--- a/core/src/node/evacuate.rs
+++ b/core/src/node/evacuate.rs
@@ -14,7 +14,7 @@
     pub(super) fn take_evacuations(
         &mut self,
         position: store::Position,
-        news: evacuation::News,
+        news: evacuation::Update,
         now_ms: u64,
     ) {
         self.keep_evacuations(position, &news, now_ms);
@@ -25,7 +25,7 @@
     /// Takes in what a peer knows; returns whether that changed anything.
     pub(super) fn hear_evacuations(&mut self, told: &evacuation::Evacuations, now_ms: u64) -> bool {
         if told.position > self.evacuations.position {
-            let all = evacuation::News::All(told.domains.clone());
+            let all = evacuation::Update::All(told.domains.clone());
             self.keep_evacuations(told.position, &all, now_ms);
         }
         self.evacuations.take_over(told);
--- a/core/src/node/quarantine.rs
+++ b/core/src/node/quarantine.rs
@@ -16,7 +16,7 @@
     /// The request, if this router still has it.
     pub slot: ids::RequestSlot,
     /// The life of the server that ran it.
-    pub server: quarantine::LifeOf,
+    pub server: quarantine::ServerInstance,
     /// The server's address.
     pub address: String,
     /// What makes it the same request as another.
@@ -28,7 +28,7 @@
 pub(super) struct Quarantine {
     pub(super) table: quarantine::Table,
     runs: quarantine::Runs,
-    keeper: quarantine::Keeper,
+    keeper: quarantine::RecordSync,
     told_ms: u64,
     /// Whether the next datagram goes to a peer that knows something else.
     pub(super) answers: bool,
@@ -73,7 +73,7 @@
     }
 
     /// Notes that a server's address refuses connections: the process that listened there is over.
-    pub fn server_refused(&mut self, server: &quarantine::LifeOf, now_ms: u64) {
+    pub fn server_refused(&mut self, server: &quarantine::ServerInstance, now_ms: u64) {
         if let Some(slot) = self.servers.find_life(&server.vm, server.life) {
             self.servers.refused(slot, now_ms);
         }
@@ -85,7 +85,7 @@
     }
 
     /// Notes that a server takes connections after a run broke off.
-    pub fn server_accepted(&mut self, server: &quarantine::LifeOf) {
+    pub fn server_accepted(&mut self, server: &quarantine::ServerInstance) {
         self.quarantine.runs.accepted(server);
     }
 
@@ -135,7 +135,8 @@
             return;
         }
         if let Some(server) = self.servers.get(server) {
-            let server = quarantine::LifeOf { vm: server.vm.vm.clone(), life: server.vm.life };
+            let server =
+                quarantine::ServerInstance { vm: server.vm.vm.clone(), life: server.vm.life };
             self.quarantine.runs.answered(&server, sent_ms);
         }
     }
@@ -143,7 +144,7 @@
     /// Looks, after a change of the list of servers, which servers with broken runs are over.
     pub(super) fn note_ended_lives(&mut self, now_ms: u64) {
         let open = self.quarantine.runs.open();
-        let over: Vec<quarantine::LifeOf> = open
+        let over: Vec<quarantine::ServerInstance> = open
             .filter(|(server, address)| self.is_over(server, address))
             .map(|(server, _)| server.clone())
             .collect();
@@ -154,11 +155,11 @@
     }
 
     /// Whether a life of a server said that it leaves.
-    fn leaves(&self, server: &quarantine::LifeOf) -> bool {
+    fn leaves(&self, server: &quarantine::ServerInstance) -> bool {
         self.leavings.holds(&server.vm, server.life)
     }
 
-    fn is_over(&self, server: &quarantine::LifeOf, address: &str) -> bool {
+    fn is_over(&self, server: &quarantine::ServerInstance, address: &str) -> bool {
         if self.leaves(server) || self.lapsed.iter().any(|vm| vm.vm == server.vm) {
             return false;
         }
@@ -175,7 +176,7 @@
 
     fn server_crashed(
         &mut self,
-        server: &quarantine::LifeOf,
+        server: &quarantine::ServerInstance,
         broken: Vec<(ids::Fingerprint, u64)>,
         now_ms: u64,
     ) {
@@ -197,7 +198,7 @@
     fn note_crash_under(
         &mut self,
         request: ids::Fingerprint,
-        server: &quarantine::LifeOf,
+        server: &quarantine::ServerInstance,
         at_ms: u64,
     ) {
         let digest = quarantine::Server::new(&server.vm, server.life);
@@ -236,7 +237,7 @@
     }
 
     /// Takes in what a peer knows; whether it knows something else.
-    pub(super) fn hear_quarantine(&mut self, news: &quarantine::News, now_ms: u64) -> bool {
+    pub(super) fn hear_quarantine(&mut self, news: &quarantine::Updates, now_ms: u64) -> bool {
         for report in &news.reports {
             let change = self.quarantine.table.hear(report, now_ms);
             self.note_change(report.request, change, QuarantineSource::Peer, now_ms);
--- a/core/src/quarantine.rs
+++ b/core/src/quarantine.rs
@@ -12,8 +12,8 @@
 mod runs;
 
 pub use record::{Error, KEY, Record};
-pub use record_sync::{Keeper, Reply};
-pub use runs::{LifeOf, Runs};
+pub use record_sync::{RecordSync, Reply};
+pub use runs::{Runs, ServerInstance};
 
 use crate::{ids, rendezvous};
 use entry::Entry;
@@ -94,14 +94,14 @@
 
 /// Crash reports in a gossip datagram.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct Updates {
     /// Hash over all requests with more than one crash; equal if two routers have the same state.
     pub summary: u64,
     /// A part of the sender's reports.
     pub reports: Vec<Report>,
 }
 
-impl News {
+impl Updates {
     /// Increases all ages by the time the datagram was queued, in milliseconds.
     pub fn add_age_ms(&mut self, queued_ms: u64) {
         for report in &mut self.reports {
@@ -283,7 +283,7 @@
 
     /// Creates the updates for the next datagram: queued ones, those with the most crashes first,
     /// and for a peer with a different state some of the others.
-    pub fn news(&mut self, peer_differs: bool, now_ms: u64) -> News {
+    pub fn news(&mut self, peer_differs: bool, now_ms: u64) -> Updates {
         let queued = self.entries.iter().filter(|(_, entry)| entry.sends_left > 0);
         let mut queued: Vec<(usize, i64, ids::Fingerprint)> =
             queued.map(|(request, entry)| (entry.counted, entry.latest_ms(), *request)).collect();
@@ -300,7 +300,7 @@
             selected.extend(self.next_reply(REPORTS_MAX - selected.len(), &selected));
         }
         let reports = selected.iter().filter_map(|request| self.report(request, now_ms)).collect();
-        News { summary: self.summary(), reports }
+        Updates { summary: self.summary(), reports }
     }
 
     /// Reports of the quarantined requests, as they are written to the store.
--- a/core/src/quarantine/record_sync.rs
+++ b/core/src/quarantine/record_sync.rs
@@ -27,7 +27,7 @@
 
 /// State of one router's calls for the record.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct RecordSync {
     /// Modification index of the stored record; `None` if it is not known.
     index: Option<store::Position>,
     read_needed: bool,
@@ -39,7 +39,7 @@
     retry_delay: backoff::Backoff,
 }
 
-impl Default for Keeper {
+impl Default for RecordSync {
     fn default() -> Self {
         Self {
             index: None,
@@ -53,7 +53,7 @@
     }
 }
 
-impl Keeper {
+impl RecordSync {
     /// Schedules another read of the record.
     pub fn want_read(&mut self) {
         self.read_needed = true;
--- a/core/src/quarantine/runs.rs
+++ b/core/src/quarantine/runs.rs
@@ -24,7 +24,7 @@
 
 /// One incarnation of a VM's server.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LifeOf {
+pub struct ServerInstance {
     /// VM of the server.
     pub vm: String,
     /// Incarnation of the server.
@@ -60,7 +60,7 @@
 /// Recently interrupted runs, by server incarnation.
 #[derive(Debug, Default)]
 pub struct Runs {
-    instances: collections::BTreeMap<LifeOf, InstanceRuns>,
+    instances: collections::BTreeMap<ServerInstance, InstanceRuns>,
     revision: u64,
 }
 
@@ -68,7 +68,7 @@
     /// Records an interrupted run; returns whether its server is known to have crashed.
     pub fn broke(
         &mut self,
-        server: &LifeOf,
+        server: &ServerInstance,
         address: &str,
         request: ids::Fingerprint,
         now_ms: u64,
@@ -100,7 +100,7 @@
 
     /// Records that a server accepts connections: its runs were most likely not interrupted by a
     /// crash.
-    pub fn accepted(&mut self, server: &LifeOf) {
+    pub fn accepted(&mut self, server: &ServerInstance) {
         let Some(runs) = self.instances.get_mut(server) else { return };
         for run in &mut runs.interrupted {
             run.kept_until_ms = run.kept_until_ms.min(run.at_ms + ACCEPTED_RUN_TTL_MS);
@@ -109,7 +109,11 @@
 
     /// Records that a server's address refuses connections; returns the requests that its crash
     /// interrupted, with the times of the interruptions.
-    pub fn refused(&mut self, server: &LifeOf, now_ms: u64) -> Vec<(ids::Fingerprint, u64)> {
+    pub fn refused(
+        &mut self,
+        server: &ServerInstance,
+        now_ms: u64,
+    ) -> Vec<(ids::Fingerprint, u64)> {
         let interrupted = self.crashed(server, now_ms);
         let recent =
             interrupted.into_iter().filter(|(_, at_ms)| now_ms < at_ms + REFUSAL_WINDOW_MS);
@@ -118,7 +122,11 @@
 
     /// Records that a server crashed; returns the requests that the crash may have interrupted,
     /// with the times of the interruptions.
-    pub fn crashed(&mut self, server: &LifeOf, now_ms: u64) -> Vec<(ids::Fingerprint, u64)> {
+    pub fn crashed(
+        &mut self,
+        server: &ServerInstance,
+        now_ms: u64,
+    ) -> Vec<(ids::Fingerprint, u64)> {
         let Some(runs) = self.instances.get_mut(server) else { return Vec::new() };
         runs.crashed_ms = Some(now_ms);
         let interrupted = std::mem::take(&mut runs.interrupted);
@@ -146,7 +154,7 @@
 
     /// Records that a server completely answered a request that was sent at `sent_ms`: it did not
     /// crash before.
-    pub fn answered(&mut self, server: &LifeOf, sent_ms: u64) {
+    pub fn answered(&mut self, server: &ServerInstance, sent_ms: u64) {
         if let Some(runs) = self.instances.get_mut(server) {
             runs.interrupted.retain(|run| run.at_ms >= sent_ms);
         }
@@ -158,7 +166,7 @@
     }
 
     /// Incarnations with interrupted runs whose cause is not known, with their addresses.
-    pub fn open(&self) -> impl Iterator<Item = (&LifeOf, &str)> {
+    pub fn open(&self) -> impl Iterator<Item = (&ServerInstance, &str)> {
         let open = self.instances.iter().filter(|(_, runs)| !runs.interrupted.is_empty());
         open.map(|(server, runs)| (server, runs.address.as_str()))
     }
--- a/core/src/servers/warm_up.rs
+++ b/core/src/servers/warm_up.rs
@@ -55,7 +55,7 @@
 pub struct WarmUp {
     until_ms: u64,
     /// Rate limit of this router for the server; `None` if it may send nothing.
-    limiter: Option<limiter::Limiter>,
+    limiter: Option<limiter::RateLimiter>,
 }
 
 impl WarmUp {
@@ -72,7 +72,7 @@
         }
         let rate_milli_per_s = rate_milli_per_s(limit, fleet, name_hash);
         let limiter =
-            rate_milli_per_s.map(|rate| limiter::Limiter::with_milli_rate(rate, 1, now_ms));
+            rate_milli_per_s.map(|rate| limiter::RateLimiter::with_milli_rate(rate, 1, now_ms));
         Some(Self { until_ms: now_ms + cold_ms.min(COLD_MAX_MS), limiter })
     }
 
--- a/core/src/watch/news.rs
+++ b/core/src/watch/news.rs
@@ -56,7 +56,7 @@
     /// The configuration, if it changed or if all was asked for, and it can be read.
     pub published: Option<Box<config::Published>>,
     /// What is evacuated.
-    pub evacuations: evacuation::News,
+    pub evacuations: evacuation::Update,
 }
 
 /// What a topic's answer brought.
--- a/core/tests/broken_runs.rs
+++ b/core/tests/broken_runs.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use doorswitch_core::{ids, quarantine};
-use quarantine::{LifeOf, Runs};
+use quarantine::{Runs, ServerInstance};
 
 const NOW_MS: u64 = 50_000;
 
@@ -11,8 +11,8 @@
     ids::Fingerprint { head: u64::from(number), whole: [number; 16] }
 }
 
-fn server(life: u64) -> LifeOf {
-    LifeOf { vm: "vm".to_owned(), life: ids::ServerLife(life) }
+fn server(life: u64) -> ServerInstance {
+    ServerInstance { vm: "vm".to_owned(), life: ids::ServerLife(life) }
 }
 
 /// One run that broke at a moment.
@@ -85,7 +85,7 @@
 fn all_is_forgotten_and_bounded() {
     let mut runs = Runs::default();
     for number in 0..2_000 {
-        let server = LifeOf { vm: format!("vm-{number}"), life: ids::ServerLife(1) };
+        let server = ServerInstance { vm: format!("vm-{number}"), life: ids::ServerLife(1) };
         for _ in 0..400 {
             runs.broke(&server, "10.0.0.1:1", request(1), NOW_MS + number);
         }
--- a/core/tests/poison_schedules.rs
+++ b/core/tests/poison_schedules.rs
@@ -189,7 +189,7 @@
         let server = &self.servers[place];
         let broken = node::BrokenRun {
             slot: ids::RequestSlot::default(),
-            server: quarantine::LifeOf { vm: server.name.clone(), life: server.life },
+            server: quarantine::ServerInstance { vm: server.name.clone(), life: server.life },
             address: format!("10.9.1.{place}:{}", server.starts),
             request: self.kinds[run.kind].request,
         };
@@ -419,7 +419,7 @@
     let vm = format!("crashed-{number}");
     let broken = node::BrokenRun {
         slot: ids::RequestSlot::default(),
-        server: quarantine::LifeOf { vm, life: ids::ServerLife(1) },
+        server: quarantine::ServerInstance { vm, life: ids::ServerLife(1) },
         address: format!("10.9.2.{number}:1"),
         request: fingerprint(0),
     };
--- a/core/tests/quarantine.rs
+++ b/core/tests/quarantine.rs
@@ -164,7 +164,7 @@
 #[test]
 fn a_calm_fleet_is_told_nothing() {
     let mut table = Table::default();
-    assert_eq!(table.news(false, NOW_MS), quarantine::News::default());
+    assert_eq!(table.news(false, NOW_MS), quarantine::Updates::default());
     assert_eq!(table.fresh(), None);
     table.crashed(request(1), server(1), NOW_MS);
     while table.fresh().is_some() {
--- a/core/tests/watch_fleet/store.rs
+++ b/core/tests/watch_fleet/store.rs
@@ -144,9 +144,9 @@
             .then_some(watch::Outcome::Answered { position: self.position(self.revision), news })
     }
 
-    fn evacuations(&self, call: &watch::Call) -> evacuation::News {
+    fn evacuations(&self, call: &watch::Call) -> evacuation::Update {
         let Some(after) = call.after else {
-            return evacuation::News::All(self.evacuated.clone());
+            return evacuation::Update::All(self.evacuated.clone());
         };
         let later = self.evacuations.iter().map(|(_, change)| change);
         let later = later.filter(|change| change.position.revision > after.revision);
@@ -154,7 +154,7 @@
             let position = self.position(change.position.revision);
             evacuation::Change { position, ..change.clone() }
         });
-        evacuation::News::Changes(told.collect())
+        evacuation::Update::Changes(told.collect())
     }
 
     fn news(&self, call: &watch::Call) -> watch::News {
--- a/core/tests/wire_format.rs
+++ b/core/tests/wire_format.rs
@@ -118,7 +118,7 @@
             life: ids::ServerLife(1),
             source: leaving_servers::Source::Answer,
         }],
-        quarantine: quarantine::News { summary: 8, reports: vec![report] },
+        quarantine: quarantine::Updates { summary: 8, reports: vec![report] },
         limits: vec![limit()],
     }
 }
--- a/src/control/messages.rs
+++ b/src/control/messages.rs
@@ -69,12 +69,12 @@
 /// A server's address refuses connections.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
-pub struct ServerRefused(pub quarantine::LifeOf);
+pub struct ServerRefused(pub quarantine::ServerInstance);
 
 /// A server took a connection after a run on it broke off.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
-pub struct ServerAccepted(pub quarantine::LifeOf);
+pub struct ServerAccepted(pub quarantine::ServerInstance);
 
 /// A run of a request ended well against which a crash may count.
 #[derive(Debug, Message)]
--- a/src/feed.rs
+++ b/src/feed.rs
@@ -83,8 +83,8 @@
             Some(evacuation::Change { position: change.position, domain, evacuated })
         });
         let evacuations = match whole {
-            true => evacuation::News::All(evacuated.map(|change| change.domain).collect()),
-            false => evacuation::News::Changes(evacuated.collect()),
+            true => evacuation::Update::All(evacuated.map(|change| change.domain).collect()),
+            false => evacuation::Update::Changes(evacuated.collect()),
         };
         let written = changes.iter().rev().filter(|change| change.key == configuration::KEY);
         // One that cannot be read does not hide the one before it.
--- a/src/probe.rs
+++ b/src/probe.rs
@@ -73,7 +73,7 @@
 /// Watches the connection that came up when a server was looked at: if it ends soon, the server may have been ending then.
 pub async fn watch_survivor(
     control: Addr<control::Control>,
-    server: quarantine::LifeOf,
+    server: quarantine::ServerInstance,
     address: String,
     local: net::IpAddr,
     ended: impl Future<Output = ()>,
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -80,8 +80,8 @@
 
 impl Placement {
     /// The server and its life.
-    pub fn server(&self) -> quarantine::LifeOf {
-        quarantine::LifeOf { vm: self.vm.clone(), life: self.life }
+    pub fn server(&self) -> quarantine::ServerInstance {
+        quarantine::ServerInstance { vm: self.vm.clone(), life: self.life }
     }
 }
 
