--- a/benches/capacity/quarantine.rs
+++ b/benches/capacity/quarantine.rs
@@ -56,10 +56,10 @@
         let before = allocated_bytes();
         let mut table = full_table(crashes);
         let bytes = allocated_bytes() - before;
-        let news = table.news(true, NOW_MS + 10_000);
+        let news = table.next_updates(true, NOW_MS + 10_000);
         let told = postcard::to_stdvec(&news).unwrap_or_default().len();
         let tick = nanoseconds(|| {
-            black_box(table.fresh());
+            black_box(table.urgency());
         });
         println!(
             "{ENTRIES} requests with {crashes} crashes: {} bytes each, {told} bytes for {} in a datagram, \
--- a/core/src/evacuation.rs
+++ b/core/src/evacuation.rs
@@ -53,7 +53,7 @@
 impl Evacuations {
     /// Applies an answer of the store that corresponds to `position`. Changes older than the copy
     /// are ignored.
-    pub fn take(&mut self, position: store::Position, update: Update) {
+    pub fn apply(&mut self, position: store::Position, update: Update) {
         match update {
             Update::Changes(changes) => {
                 let known = self.position;
@@ -65,12 +65,12 @@
                 }
                 self.position = known.max(position);
             }
-            Update::All(domains) => self.take_over(&Self { position, domains }),
+            Update::All(domains) => self.replace_if_newer(&Self { position, domains }),
         }
     }
 
     /// Replaces the copy with another one if that is newer.
-    pub fn take_over(&mut self, other: &Self) {
+    pub fn replace_if_newer(&mut self, other: &Self) {
         if other.position > self.position {
             self.clone_from(other);
         }
--- a/core/src/node/evacuate.rs
+++ b/core/src/node/evacuate.rs
@@ -18,7 +18,7 @@
         now_ms: u64,
     ) {
         self.keep_evacuations(position, &news, now_ms);
-        self.evacuations.take(position, news);
+        self.evacuations.apply(position, news);
         self.follow_evacuations(now_ms);
     }
 
@@ -28,7 +28,7 @@
             let all = evacuation::Update::All(told.domains.clone());
             self.keep_evacuations(told.position, &all, now_ms);
         }
-        self.evacuations.take_over(told);
+        self.evacuations.replace_if_newer(told);
         self.follow_evacuations(now_ms)
     }
 
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -198,7 +198,7 @@
             digest: self.digest(now_ms),
             news,
             leaving,
-            quarantine: self.quarantine.table.news(answers, now_ms),
+            quarantine: self.quarantine.table.next_updates(answers, now_ms),
             limits: self.limit_news(now_ms),
         };
         self.counters.gossip_sent += 1;
--- a/core/src/node/quarantine.rs
+++ b/core/src/node/quarantine.rs
@@ -67,7 +67,7 @@
             request.wanted.fingerprint = Some(run.request);
         }
         let BrokenRun { server, address, request, .. } = run;
-        if self.quarantine.runs.broke(server, address, *request, now_ms) {
+        if self.quarantine.runs.record_interrupted(server, address, *request, now_ms) {
             self.note_crash_under(*request, server, now_ms);
         }
     }
@@ -104,7 +104,7 @@
             return crashes;
         }
         let change = self.quarantine.table.clear(request, now_ms);
-        self.quarantine.keeper.want_write();
+        self.quarantine.keeper.schedule_write();
         self.note_change(request, change, QuarantineSource::Operator, now_ms);
         crashes
     }
@@ -204,11 +204,11 @@
         let digest = quarantine::Server::new(&server.vm, server.life);
         let change = self.quarantine.table.crashed(request, digest, at_ms);
         if change == quarantine::Change::Quarantined {
-            self.quarantine.keeper.want_write();
+            self.quarantine.keeper.schedule_write();
         }
         // Routers that this one does not reach may have put it into quarantine already.
         if self.members.live_count() < self.most_routers {
-            self.quarantine.keeper.want_read();
+            self.quarantine.keeper.schedule_read();
         }
         self.note_change(request, change, QuarantineSource::Seen, at_ms);
     }
@@ -239,7 +239,7 @@
     /// Takes in what a peer knows; whether it knows something else.
     pub(super) fn hear_quarantine(&mut self, news: &quarantine::Updates, now_ms: u64) -> bool {
         for report in &news.reports {
-            let change = self.quarantine.table.hear(report, now_ms);
+            let change = self.quarantine.table.merge_report(report, now_ms);
             self.note_change(report.request, change, QuarantineSource::Peer, now_ms);
         }
         news.summary != self.quarantine.table.summary()
@@ -252,7 +252,7 @@
             self.quarantine.table.expire(now_ms);
             self.quarantine.runs.forget_old(now_ms);
         }
-        let due = match self.quarantine.table.fresh() {
+        let due = match self.quarantine.table.urgency() {
             None => false,
             Some(quarantine::Urgency::AtOnce) => true,
             Some(quarantine::Urgency::Soon) => now_ms >= self.quarantine.told_ms + TELL_EVERY_MS,
@@ -293,7 +293,7 @@
                         self.quarantine.keeper.cancel_rewrite();
                     }
                     for report in record.reports(self.unix_ms(now_ms)) {
-                        let change = self.quarantine.table.hear(&report, now_ms);
+                        let change = self.quarantine.table.merge_report(&report, now_ms);
                         let source = QuarantineSource::Store;
                         self.note_change(report.request, change, source, now_ms);
                     }
--- a/core/src/quarantine.rs
+++ b/core/src/quarantine.rs
@@ -175,7 +175,7 @@
     }
 
     /// Merges the report of a peer; returns the resulting change.
-    pub fn hear(&mut self, report: &Report, now_ms: u64) -> Change {
+    pub fn merge_report(&mut self, report: &Report, now_ms: u64) -> Change {
         let at_ms = |age_ms: u64| signed(now_ms).saturating_sub(signed(age_ms));
         let counts = |at_ms: i64| at_ms + CRASH_TTL_MS > signed(now_ms);
         let crashes = report.crashes.iter().take(CRASHES_STORED_MAX);
@@ -273,7 +273,7 @@
     }
 
     /// Urgency of the queued updates; `None` if there are none.
-    pub fn fresh(&self) -> Option<Urgency> {
+    pub fn urgency(&self) -> Option<Urgency> {
         let queued = self.entries.values().filter(|entry| entry.sends_left > 0);
         match queued.map(Entry::urgent).max()? {
             true => Some(Urgency::AtOnce),
@@ -283,7 +283,7 @@
 
     /// Creates the updates for the next datagram: queued ones, those with the most crashes first,
     /// and for a peer with a different state some of the others.
-    pub fn news(&mut self, peer_differs: bool, now_ms: u64) -> Updates {
+    pub fn next_updates(&mut self, peer_differs: bool, now_ms: u64) -> Updates {
         let queued = self.entries.iter().filter(|(_, entry)| entry.sends_left > 0);
         let mut queued: Vec<(usize, i64, ids::Fingerprint)> =
             queued.map(|(request, entry)| (entry.counted, entry.latest_ms(), *request)).collect();
--- a/core/src/quarantine/record_sync.rs
+++ b/core/src/quarantine/record_sync.rs
@@ -55,12 +55,12 @@
 
 impl RecordSync {
     /// Schedules another read of the record.
-    pub fn want_read(&mut self) {
+    pub fn schedule_read(&mut self) {
         self.read_needed = true;
     }
 
     /// Schedules a write of the record.
-    pub fn want_write(&mut self) {
+    pub fn schedule_write(&mut self) {
         self.write_needed = true;
         self.rewrite_only = false;
     }
--- a/core/src/quarantine/runs.rs
+++ b/core/src/quarantine/runs.rs
@@ -66,7 +66,7 @@
 
 impl Runs {
     /// Records an interrupted run; returns whether its server is known to have crashed.
-    pub fn broke(
+    pub fn record_interrupted(
         &mut self,
         server: &ServerInstance,
         address: &str,
--- a/core/tests/broken_runs.rs
+++ b/core/tests/broken_runs.rs
@@ -18,7 +18,7 @@
 /// One run that broke at a moment.
 fn broken(life: u64) -> Runs {
     let mut runs = Runs::default();
-    assert!(!runs.broke(&server(life), "10.0.0.1:1", request(1), NOW_MS));
+    assert!(!runs.record_interrupted(&server(life), "10.0.0.1:1", request(1), NOW_MS));
     runs
 }
 
@@ -42,7 +42,7 @@
 fn a_run_that_breaks_after_the_crash_was_seen_counts_at_once() {
     let mut runs = broken(1);
     runs.refused(&server(1), NOW_MS);
-    assert!(runs.broke(&server(1), "10.0.0.1:1", request(2), NOW_MS + 5_000));
+    assert!(runs.record_interrupted(&server(1), "10.0.0.1:1", request(2), NOW_MS + 5_000));
 }
 
 #[test]
@@ -50,8 +50,8 @@
     let unknown = ids::ServerLife::UNKNOWN.0;
     let mut runs = broken(unknown);
     runs.refused(&server(unknown), NOW_MS);
-    assert!(runs.broke(&server(unknown), "10.0.0.1:1", request(2), NOW_MS + 300));
-    assert!(!runs.broke(&server(unknown), "10.0.0.1:1", request(2), NOW_MS + 5_000));
+    assert!(runs.record_interrupted(&server(unknown), "10.0.0.1:1", request(2), NOW_MS + 300));
+    assert!(!runs.record_interrupted(&server(unknown), "10.0.0.1:1", request(2), NOW_MS + 5_000));
 }
 
 #[test]
@@ -76,7 +76,7 @@
 #[test]
 fn a_good_end_of_a_request_drops_its_broken_runs_only() {
     let mut runs = broken(1);
-    runs.broke(&server(1), "10.0.0.1:1", request(2), NOW_MS);
+    runs.record_interrupted(&server(1), "10.0.0.1:1", request(2), NOW_MS);
     runs.ended_well(request(1));
     assert_eq!(requests(runs.crashed(&server(1), NOW_MS)), [request(2)]);
 }
@@ -87,7 +87,7 @@
     for number in 0..2_000 {
         let server = ServerInstance { vm: format!("vm-{number}"), life: ids::ServerLife(1) };
         for _ in 0..400 {
-            runs.broke(&server, "10.0.0.1:1", request(1), NOW_MS + number);
+            runs.record_interrupted(&server, "10.0.0.1:1", request(1), NOW_MS + number);
         }
     }
     assert!(runs.open().count() <= 256);
--- a/core/tests/evacuation.rs
+++ b/core/tests/evacuation.rs
@@ -75,21 +75,24 @@
 #[test]
 fn older_answers_change_nothing() {
     let mut known = evacuation::Evacuations::default();
-    known.take(at(10), evacuation::Update::Changes(vec![change(10, true)]));
-    known.take(at(9), evacuation::Update::Changes(vec![change(8, false)]));
-    known.take(at(7), evacuation::Update::All(Default::default()));
-    known.take_over(&evacuation::Evacuations { position: at(9), domains: Default::default() });
+    known.apply(at(10), evacuation::Update::Changes(vec![change(10, true)]));
+    known.apply(at(9), evacuation::Update::Changes(vec![change(8, false)]));
+    known.apply(at(7), evacuation::Update::All(Default::default()));
+    known.replace_if_newer(&evacuation::Evacuations {
+        position: at(9),
+        domains: Default::default(),
+    });
     assert!(known.domains.contains(DOMAIN));
     assert_eq!(known.position, at(10));
-    known.take(at(12), evacuation::Update::Changes(vec![change(11, false)]));
+    known.apply(at(12), evacuation::Update::Changes(vec![change(11, false)]));
     assert!(known.domains.is_empty());
 }
 
 #[test]
 fn the_same_evacuation_twice_is_one() {
     let mut known = evacuation::Evacuations::default();
-    known.take(at(11), evacuation::Update::Changes(vec![change(10, true), change(11, true)]));
-    known.take(at(12), evacuation::Update::Changes(vec![change(12, false)]));
+    known.apply(at(11), evacuation::Update::Changes(vec![change(10, true), change(11, true)]));
+    known.apply(at(12), evacuation::Update::Changes(vec![change(12, false)]));
     assert!(known.domains.is_empty());
 }
 
--- a/core/tests/quarantine.rs
+++ b/core/tests/quarantine.rs
@@ -28,7 +28,7 @@
 }
 
 fn told(table: &mut Table, now_ms: u64) -> Vec<Report> {
-    table.news(true, now_ms).reports
+    table.next_updates(true, now_ms).reports
 }
 
 #[test]
@@ -100,7 +100,7 @@
         reports.shuffle(&mut rng);
         for table in &mut tables {
             for report in &reports {
-                table.hear(report, end_ms);
+                table.merge_report(report, end_ms);
             }
         }
     }
@@ -150,11 +150,11 @@
     let mut other = Table::default();
     let mut datagrams = 0;
     while other.summary() != table.summary() {
-        let news = table.news(true, NOW_MS + 5_000);
+        let news = table.next_updates(true, NOW_MS + 5_000);
         let bytes = postcard::to_stdvec(&news).unwrap().len();
         assert!(bytes <= 2_500, "{bytes} bytes");
         for report in &news.reports {
-            other.hear(report, NOW_MS + 5_000);
+            other.merge_report(report, NOW_MS + 5_000);
         }
         datagrams += 1;
         assert!(datagrams < 200, "not all is told");
@@ -164,13 +164,13 @@
 #[test]
 fn a_calm_fleet_is_told_nothing() {
     let mut table = Table::default();
-    assert_eq!(table.news(false, NOW_MS), quarantine::Updates::default());
-    assert_eq!(table.fresh(), None);
+    assert_eq!(table.next_updates(false, NOW_MS), quarantine::Updates::default());
+    assert_eq!(table.urgency(), None);
     table.crashed(request(1), server(1), NOW_MS);
-    while table.fresh().is_some() {
-        assert_eq!(table.news(false, NOW_MS).reports.len(), 1);
+    while table.urgency().is_some() {
+        assert_eq!(table.next_updates(false, NOW_MS).reports.len(), 1);
     }
-    assert!(table.news(false, NOW_MS).reports.is_empty());
+    assert!(table.next_updates(false, NOW_MS).reports.is_empty());
 }
 
 #[test]
@@ -182,7 +182,7 @@
         for cleared_age_ms in [None, Some(0), Some(u64::MAX)] {
             let report =
                 Report { request: request(age_ms), crashes: crashes.clone(), cleared_age_ms };
-            table.hear(&report, NOW_MS);
+            table.merge_report(&report, NOW_MS);
             table.expire(NOW_MS);
             table.expire(u64::MAX);
         }
@@ -202,7 +202,7 @@
     // Another process, whose clock has just begun, five seconds later.
     let mut next = Table::default();
     for report in record.reports(unix_ms + 5_000) {
-        next.hear(&report, 20);
+        next.merge_report(&report, 20);
     }
     let left_ms = table.quarantined_ms(&request(1), now_ms).unwrap();
     assert_eq!(next.quarantined_ms(&request(1), 20), Some(left_ms - 5_000));
