--- a/core/src/node/adopt.rs
+++ b/core/src/node/adopt.rs
@@ -102,7 +102,7 @@
         let listed = std::mem::replace(&mut self.vms_index, index);
         let vms = vms.into_iter().map(|vm| {
             let known = self.vms.get(&vm.vm);
-            vm.unless_over(known)
+            vm.unless_superseded(known)
         });
         let vms: Vec<servers::Vm> = vms.collect();
         for vm in vms.iter().filter(|vm| vm.state == servers::VmState::Leaving) {
@@ -110,7 +110,7 @@
         }
         let routers = vms.iter().filter(|vm| vm.service == ROUTER_SERVICE);
         self.members.add_seeds(routers.map(|vm| vm.address.clone()));
-        self.servers.follow(&self.backends(&vms), now_ms);
+        self.servers.apply_list(&self.backends(&vms), now_ms);
         self.note_restarted();
         let earlier = std::mem::take(&mut self.vms);
         self.vms = vms.into_iter().map(|vm| (vm.vm.clone(), vm)).collect();
--- a/core/src/node/dump.rs
+++ b/core/src/node/dump.rs
@@ -104,7 +104,7 @@
             let server = self.servers.get(slot)?;
             let figures = json!({
                 "service": server.vm.service,
-                "left_ms": backoff.opens_ms().saturating_sub(now_ms),
+                "left_ms": backoff.resumes_ms().saturating_sub(now_ms),
             });
             Some((server.vm.vm.clone(), figures))
         });
@@ -118,7 +118,7 @@
                 "service": server.vm.service,
                 "limit_milli_per_s": known.report.limit_milli_per_s,
                 "since_ms_ago": now_ms.saturating_sub(known.since_ms),
-                "heard_ms_ago": now_ms.saturating_sub(known.report.heard_ms),
+                "heard_ms_ago": now_ms.saturating_sub(known.report.received_ms),
                 "heard_by": known.report.answer.router.to_string(),
                 "paced_by": self.pacing_router(slot).map(|router| router.to_string()),
             });
--- a/core/src/node/limits.rs
+++ b/core/src/node/limits.rs
@@ -93,7 +93,7 @@
             limit_milli_per_s,
             answer: servers::AnswerId { router, number: self.limits.answers },
             sent_ms: now_ms.saturating_sub(took_ms),
-            heard_ms: now_ms,
+            received_ms: now_ms,
         };
         self.hear_limit(slot, report, LimitSource::Answer, now_ms);
     }
@@ -116,7 +116,7 @@
         source: LimitSource,
         now_ms: u64,
     ) {
-        match self.servers.limits_mut().hear(slot, report, now_ms) {
+        match self.servers.limits_mut().merge_report(slot, report, now_ms) {
             servers::LimitChange::Nothing => {}
             servers::LimitChange::Limited(limit) => self.note_limit(slot, Some(limit), source),
             servers::LimitChange::Ended => self.end_limit(slot, source, now_ms),
@@ -126,7 +126,7 @@
     /// A server is limited no more: what waited for it may go.
     fn end_limit(&mut self, slot: ids::ServerSlot, source: LimitSource, now_ms: u64) {
         self.note_limit(slot, None, source);
-        self.servers.forget_pace(slot);
+        self.servers.reset_answer_time(slot);
         let service = self.servers.get(slot).map(|server| server.vm.service.clone());
         if let Some(service) = service {
             self.drain_queue(&service, now_ms);
@@ -167,7 +167,7 @@
             limit_milli_per_s: report.limit_milli_per_s,
             answer: report.answer,
             sent_age_ms: now_ms.saturating_sub(report.sent_ms),
-            heard_age_ms: now_ms.saturating_sub(report.heard_ms),
+            received_age_ms: now_ms.saturating_sub(report.received_ms),
         })
     }
 
@@ -224,9 +224,9 @@
         for slot in self.limited_slots(service, now_ms) {
             let Some(known) = self.servers.limits().limited(slot) else { continue };
             let every_ms =
-                servers::trial_every_ms(known.report.limit_milli_per_s.unwrap_or_default());
-            let silent_ms = now_ms.saturating_sub(known.report.heard_ms);
-            if silent_ms < every_ms || !known.share.may_ask(now_ms) {
+                servers::trial_interval_ms(known.report.limit_milli_per_s.unwrap_or_default());
+            let silent_ms = now_ms.saturating_sub(known.report.received_ms);
+            if silent_ms < every_ms || !known.share.may_request(now_ms) {
                 continue;
             }
             let Some(server) = self.servers.get(slot) else { continue };
@@ -264,7 +264,7 @@
         now_ms: u64,
     ) -> u64 {
         let known = self.servers.limits().limited(slot);
-        if !known.is_some_and(|known| known.share.may_ask(now_ms)) {
+        if !known.is_some_and(|known| known.share.may_request(now_ms)) {
             return 0;
         }
         let Some(router) = self.pacing_router(slot) else { return 0 };
@@ -282,7 +282,7 @@
         self.limits.questions += 1;
         let number = self.limits.questions;
         if let Some(known) = self.servers.limits_mut().limited_mut(slot) {
-            known.share.ask(number, wanted, now_ms);
+            known.share.record_request(number, wanted, now_ms);
         }
         self.send(router, message::Message::PermitAsk { number, known, wanted });
         wanted.permits
@@ -309,8 +309,8 @@
             return if wanted.trial { trial } else { servers::PermitsGranted::none(NOT_PACING_MS) };
         };
         let limit_milli_per_s = known.report.limit_milli_per_s.unwrap_or_default();
-        let every_ms = servers::trial_every_ms(limit_milli_per_s);
-        let heard_ms = known.report.heard_ms.max(known.pacer.trial_ms());
+        let every_ms = servers::trial_interval_ms(limit_milli_per_s);
+        let heard_ms = known.report.received_ms.max(known.pacer.trial_ms());
         let trial_in_ms = (heard_ms + every_ms).saturating_sub(now_ms);
         if trial_in_ms > 0 && (wanted.trial || limit_milli_per_s == 0) {
             return servers::PermitsGranted::none(trial_in_ms);
@@ -369,7 +369,7 @@
             let known = self.servers.limits().limited(slot);
             known.map_or(0, |known| {
                 let share = &known.share;
-                share.expected(now_ms).max(u64::from(share.may_ask(now_ms)))
+                share.expected(now_ms).max(u64::from(share.may_request(now_ms)))
             })
         };
         let places: u64 = self.limited_slots(service, now_ms).into_iter().map(share).sum();
--- a/core/src/node/queue.rs
+++ b/core/src/node/queue.rs
@@ -85,7 +85,7 @@
     /// Refuses what waits in vain: where all servers back off or have yet to answer after that, more requests than these
     /// answers make room for.
     fn shed_backing_off(&mut self, service: &str, now_ms: u64) {
-        if let Some(places) = self.servers.places_after_backoffs(service, now_ms) {
+        if let Some(places) = self.servers.sends_after_backoffs(service, now_ms) {
             self.shed(service, places, Reason::Backoff, now_ms);
         }
     }
--- a/core/src/node/said.rs
+++ b/core/src/node/said.rs
@@ -24,7 +24,7 @@
             self.hear_leaving(vm, life, leaving_servers::Source::Answer, None);
         }
         if let servers::Directive::Value(backoff_ms) = said.backoff_ms {
-            let left_ms = backoff_ms.saturating_sub(age.heard_ms);
+            let left_ms = backoff_ms.saturating_sub(age.received_ms);
             self.hear_backoff(vm, life, now_ms + left_ms, now_ms);
         }
         self.report_limit(vm, life, said.limit_milli_per_s, age.sent_ms, now_ms);
--- a/core/src/node/settle.rs
+++ b/core/src/node/settle.rs
@@ -145,7 +145,7 @@
     /// Notes that a server turned a request away that was sent then; its ejection is told.
     pub(super) fn server_turned_away(&mut self, slot: ids::ServerSlot, sent_ms: u64, now_ms: u64) {
         if !self.says_why_it_fails(slot, now_ms) {
-            let ejected_ms = self.servers.turned_away(slot, sent_ms, now_ms);
+            let ejected_ms = self.servers.rejected(slot, sent_ms, now_ms);
             self.note_ejected(slot, ejected_ms);
         }
     }
--- a/core/src/node/watching.rs
+++ b/core/src/node/watching.rs
@@ -209,7 +209,7 @@
                 watch::ServerRecord::Listed(vm) => {
                     self.forget_lapsed_of(&change.vm);
                     self.eras.note_record_revision(&change.vm, change.position.revision);
-                    vms.insert(change.vm.clone(), vm.clone().unless_over(removed.as_ref()));
+                    vms.insert(change.vm.clone(), vm.clone().unless_superseded(removed.as_ref()));
                 }
                 watch::ServerRecord::Gone | watch::ServerRecord::Unreadable => {
                     self.forget_lapsed_of(&change.vm);
--- a/core/src/servers.rs
+++ b/core/src/servers.rs
@@ -22,7 +22,7 @@
 pub use directives::{AnswerAge, Directive, Directives, Header};
 pub use limits::{AnswerId, KnownLimit, LimitChange, LimitReport, LimitUpdate, Limits};
 pub use permits::{
-    PERMIT_TTL_MS, PermitsGranted, PermitsWanted, TRIAL_INTERVAL_MAX_MS, trial_every_ms,
+    PERMIT_TTL_MS, PermitsGranted, PermitsWanted, TRIAL_INTERVAL_MAX_MS, trial_interval_ms,
 };
 pub use restarts::Restarted;
 pub use vm::{Load, Vm, VmState};
@@ -105,7 +105,7 @@
 
     /// Whether a later incarnation of the server is known. The slot then stays only for requests
     /// that still run.
-    pub fn is_over(&self) -> bool {
+    pub fn is_superseded(&self) -> bool {
         self.superseded
     }
 
@@ -214,7 +214,7 @@
 impl Table {
     /// Applies the platform's list of VMs. A server that is no longer listed stays until its last
     /// request ends.
-    pub fn follow(&mut self, vms: &[Vm], now_ms: u64) {
+    pub fn apply_list(&mut self, vms: &[Vm], now_ms: u64) {
         let listed: collections::HashSet<&str> = vms.iter().map(|vm| vm.vm.as_str()).collect();
         for server in self.servers.values_mut() {
             server.listed = listed.contains(server.vm.vm.as_str());
--- a/core/src/servers/backoff.rs
+++ b/core/src/servers/backoff.rs
@@ -31,7 +31,7 @@
     /// Latest end of all requested backoffs.
     requested_until_ms: u64,
     /// When this router sends to the server again: the requested end plus the random delay.
-    opens_ms: u64,
+    resumes_ms: u64,
     /// Number of requests that may still be sent before the next answer.
     sends_left: u64,
     /// When one request may be sent although no answer arrived.
@@ -40,29 +40,29 @@
 
 impl Backoff {
     fn new(requested_until_ms: u64, spread_ms: u64) -> Self {
-        let opens_ms = requested_until_ms + spread_ms;
+        let resumes_ms = requested_until_ms + spread_ms;
         Self {
             requested_until_ms,
-            opens_ms,
+            resumes_ms,
             sends_left: 1,
-            next_attempt_ms: opens_ms + ATTEMPT_INTERVAL_MS,
+            next_attempt_ms: resumes_ms + ATTEMPT_INTERVAL_MS,
         }
     }
 
     /// When this router sends to the server again.
-    pub fn opens_ms(&self) -> u64 {
-        self.opens_ms
+    pub fn resumes_ms(&self) -> u64 {
+        self.resumes_ms
     }
 
     /// Whether the backoff still lasts, so that nothing may be sent to the server.
-    pub fn binds(&self, now_ms: u64) -> bool {
-        now_ms < self.opens_ms
+    pub fn is_active(&self, now_ms: u64) -> bool {
+        now_ms < self.resumes_ms
     }
 
     /// Whether nothing may be sent now: the backoff lasts, or the return waits for an answer.
     pub fn holds_back(&self, now_ms: u64) -> bool {
         let awaits_answer = self.sends_left == 0 && now_ms < self.next_attempt_ms;
-        self.binds(now_ms) || awaits_answer
+        self.is_active(now_ms) || awaits_answer
     }
 
     /// Counts a request that is sent to the server.
@@ -73,14 +73,14 @@
 
     /// Counts an answer. Answers to requests from before the end of the backoff are ignored.
     fn answered(&mut self, sent_ms: u64) {
-        if sent_ms >= self.opens_ms {
+        if sent_ms >= self.resumes_ms {
             self.sends_left += SENDS_PER_ANSWER;
         }
     }
 
     fn is_over(&self, now_ms: u64) -> bool {
         let returned = self.sends_left >= SENDS_WHEN_RETURNED;
-        !self.binds(now_ms) && (returned || now_ms >= self.opens_ms + RETURN_MAX_MS)
+        !self.is_active(now_ms) && (returned || now_ms >= self.resumes_ms + RETURN_MAX_MS)
     }
 }
 
@@ -92,7 +92,7 @@
 
     /// When this router may send to the server again, if a backoff still lasts.
     pub(super) fn backs_off_until_ms(&self, now_ms: u64) -> Option<u64> {
-        self.backoff.filter(|backoff| backoff.binds(now_ms)).map(|backoff| backoff.opens_ms)
+        self.backoff.filter(|backoff| backoff.is_active(now_ms)).map(|backoff| backoff.resumes_ms)
     }
 }
 
@@ -108,7 +108,7 @@
     ) -> bool {
         let routers = self.fleet.members.len() as u64;
         let Some(server) = self.servers.get_mut(slot) else { return false };
-        let known = server.backoff.filter(|known| known.binds(now_ms));
+        let known = server.backoff.filter(|known| known.is_active(now_ms));
         if known.is_some_and(|known| known.requested_until_ms >= until_ms) || until_ms <= now_ms {
             return false;
         }
@@ -116,7 +116,7 @@
         let spread_ms = proportional_ms.max(routers * SPREAD_PER_ROUTER_MS).min(SPREAD_MAX_MS);
         server.backoff = Some(Backoff::new(until_ms, rng.random_range(0..=spread_ms)));
         self.backing_off.insert(slot);
-        self.forget_pace(slot);
+        self.reset_answer_time(slot);
         known.is_none_or(|known| until_ms >= known.requested_until_ms + NOTABLE_EXTENSION_MS)
     }
 
@@ -144,16 +144,16 @@
 
     /// Number of requests that the next answers of a service's servers permit, if all of these
     /// servers are held back by their backoffs; `None` if one is not.
-    pub fn places_after_backoffs(&self, service: &str, now_ms: u64) -> Option<usize> {
+    pub fn sends_after_backoffs(&self, service: &str, now_ms: u64) -> Option<usize> {
         let slots = self.by_service.get(service)?.iter();
         let live = slots.map(|slot| &self.servers[*slot]).filter(|server| server.is_live());
-        let places: Option<Vec<u64>> = live
+        let sends: Option<Vec<u64>> = live
             .map(|server| {
                 let backoff = server.backoff.filter(|backoff| backoff.holds_back(now_ms))?;
-                Some(if backoff.binds(now_ms) { 0 } else { SENDS_PER_ANSWER })
+                Some(if backoff.is_active(now_ms) { 0 } else { SENDS_PER_ANSWER })
             })
             .collect();
-        places.map(|places| places.into_iter().sum::<u64>() as usize)
+        sends.map(|sends| sends.into_iter().sum::<u64>() as usize)
     }
 
     /// Counts a successful answer of a server, complete or just begun, for the return from its
--- a/core/src/servers/directives.rs
+++ b/core/src/servers/directives.rs
@@ -30,7 +30,7 @@
     /// Time since the request was sent.
     pub sent_ms: u64,
     /// Time since the headers of the answer were received.
-    pub heard_ms: u64,
+    pub received_ms: u64,
 }
 
 /// Header that carries one of the [`Directives`].
--- a/core/src/servers/health.rs
+++ b/core/src/servers/health.rs
@@ -39,7 +39,7 @@
     /// Records that a server rejected a request that was sent at `sent_ms`; returns how long the
     /// server is ejected, if it is. Of requests that were in flight together only the first
     /// rejection counts, so that a server that is full for a moment is not ejected.
-    pub fn turned_away(&mut self, slot: ids::ServerSlot, sent_ms: u64, now_ms: u64) -> Option<u64> {
+    pub fn rejected(&mut self, slot: ids::ServerSlot, sent_ms: u64, now_ms: u64) -> Option<u64> {
         let server = self.servers.get_mut(slot)?;
         if server.rejected_ms.is_some_and(|at_ms| sent_ms <= at_ms) {
             return None;
--- a/core/src/servers/limit_checks.rs
+++ b/core/src/servers/limit_checks.rs
@@ -32,7 +32,7 @@
 
     /// Resets the estimated answer time of a server: it is outdated or comes from a few requests
     /// under overload.
-    pub fn forget_pace(&mut self, slot: ids::ServerSlot) {
+    pub fn reset_answer_time(&mut self, slot: ids::ServerSlot) {
         if let Some(server) = self.servers.get_mut(slot) {
             server.answer_time = Default::default();
         }
--- a/core/src/servers/limits.rs
+++ b/core/src/servers/limits.rs
@@ -39,14 +39,14 @@
     /// When the request of the answer was sent.
     pub sent_ms: u64,
     /// When the answer was received.
-    pub heard_ms: u64,
+    pub received_ms: u64,
 }
 
 impl LimitReport {
     /// Whether this report replaces the known one.
     fn supersedes(&self, known: &Self) -> bool {
         match (self.limit_milli_per_s, known.limit_milli_per_s) {
-            (None, Some(_)) => self.sent_ms > known.heard_ms,
+            (None, Some(_)) => self.sent_ms > known.received_ms,
             (new, old) => {
                 let lower = new.unwrap_or(u64::MAX) < old.unwrap_or(u64::MAX);
                 self.sent_ms > known.sent_ms || (self.sent_ms == known.sent_ms && lower)
@@ -70,23 +70,23 @@
     /// Time since the request of the answer was sent, in milliseconds.
     pub sent_age_ms: u64,
     /// Time since the answer was received, in milliseconds.
-    pub heard_age_ms: u64,
+    pub received_age_ms: u64,
 }
 
 impl LimitUpdate {
     /// Increases both ages by the time the message was queued, in milliseconds.
     pub fn add_age_ms(&mut self, queued_ms: u64) {
         self.sent_age_ms = self.sent_age_ms.saturating_add(queued_ms);
-        self.heard_age_ms = self.heard_age_ms.saturating_add(queued_ms);
+        self.received_age_ms = self.received_age_ms.saturating_add(queued_ms);
     }
 
     /// Converts a peer's update to a report in this router's time; `None` if the update is too old.
     pub fn report(&self, now_ms: u64) -> Option<LimitReport> {
-        (self.heard_age_ms < UPDATE_AGE_MAX_MS).then(|| LimitReport {
+        (self.received_age_ms < UPDATE_AGE_MAX_MS).then(|| LimitReport {
             limit_milli_per_s: self.limit_milli_per_s,
             answer: self.answer,
-            sent_ms: now_ms.saturating_sub(self.sent_age_ms.max(self.heard_age_ms)),
-            heard_ms: now_ms.saturating_sub(self.heard_age_ms),
+            sent_ms: now_ms.saturating_sub(self.sent_age_ms.max(self.received_age_ms)),
+            received_ms: now_ms.saturating_sub(self.received_age_ms),
         })
     }
 }
@@ -165,14 +165,19 @@
     }
 
     /// Merges a report. Reports may arrive in any order and repeatedly.
-    pub fn hear(&mut self, slot: ids::ServerSlot, report: LimitReport, now_ms: u64) -> LimitChange {
+    pub fn merge_report(
+        &mut self,
+        slot: ids::ServerSlot,
+        report: LimitReport,
+        now_ms: u64,
+    ) -> LimitChange {
         let Some(known) = self.known.get_mut(&slot) else {
             return self.start_limit(slot, report, now_ms);
         };
         if known.report.answer == report.answer {
             // Each hop between routers makes an answer seem younger.
             known.report.sent_ms = known.report.sent_ms.min(report.sent_ms);
-            known.report.heard_ms = known.report.heard_ms.min(report.heard_ms);
+            known.report.received_ms = known.report.received_ms.min(report.received_ms);
             return LimitChange::Nothing;
         }
         if !report.supersedes(&known.report) {
@@ -219,7 +224,7 @@
     pub fn expire(&mut self, now_ms: u64) -> Vec<ids::ServerSlot> {
         let mut expired = Vec::new();
         self.known.retain(|slot, known| {
-            let age_ms = now_ms.saturating_sub(known.report.heard_ms);
+            let age_ms = now_ms.saturating_sub(known.report.received_ms);
             let limited = known.report.limit_milli_per_s.is_some();
             if limited && age_ms >= LIMIT_TTL_MS {
                 expired.push(*slot);
--- a/core/src/servers/permits.rs
+++ b/core/src/servers/permits.rs
@@ -25,7 +25,7 @@
 const US_PER_MS: u64 = 1_000;
 
 /// Interval of trial requests to a server with this limit if nothing else is sent to it.
-pub fn trial_every_ms(limit_milli_per_s: u64) -> u64 {
+pub fn trial_interval_ms(limit_milli_per_s: u64) -> u64 {
     (interval_us(limit_milli_per_s) / US_PER_MS).clamp(TRIAL_INTERVAL_MIN_MS, TRIAL_INTERVAL_MAX_MS)
 }
 
@@ -99,7 +99,7 @@
     }
 
     /// Whether permits may be requested now.
-    pub fn may_ask(&self, now_ms: u64) -> bool {
+    pub fn may_request(&self, now_ms: u64) -> bool {
         self.expected(now_ms) == 0 && now_ms >= self.refused_until_ms
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// Records a permit request that was sent.
-    pub fn ask(&mut self, number: u64, wanted: PermitsWanted, now_ms: u64) {
+    pub fn record_request(&mut self, number: u64, wanted: PermitsWanted, now_ms: u64) {
         self.pending = Some((number, now_ms, wanted));
     }
 
--- a/core/src/servers/vm.rs
+++ b/core/src/servers/vm.rs
@@ -38,7 +38,7 @@
 
     /// Returns the known record instead if it is of a later incarnation of the server, because this
     /// one is outdated then.
-    pub fn unless_over(self, known: Option<&Self>) -> Self {
+    pub fn unless_superseded(self, known: Option<&Self>) -> Self {
         match known {
             Some(known) if known.life > self.life => known.clone(),
             _ => self,
--- a/core/tests/arbitrary_messages.rs
+++ b/core/tests/arbitrary_messages.rs
@@ -61,7 +61,7 @@
         limit_milli_per_s: Some(1_100),
         answer,
         sent_age_ms: 40,
-        heard_age_ms: 20,
+        received_age_ms: 20,
     };
     let messages = [
         message::Message::PermitAsk { number: 1, known, wanted },
--- a/core/tests/cold_servers.rs
+++ b/core/tests/cold_servers.rs
@@ -61,7 +61,7 @@
     }
 
     fn follow(&mut self, vms: &[servers::Vm], now_ms: u64) {
-        self.tables.iter_mut().for_each(|table| table.follow(vms, now_ms));
+        self.tables.iter_mut().for_each(|table| table.apply_list(vms, now_ms));
     }
 
     /// Requests of one prompt or of many come at random routers; each takes a while.
--- a/core/tests/fair_parts.rs
+++ b/core/tests/fair_parts.rs
@@ -98,7 +98,7 @@
         };
         let vms: Vec<servers::Vm> = self.servers.iter().map(vm).collect();
         for table in &mut self.tables {
-            table.follow(&vms, self.now_ms);
+            table.apply_list(&vms, self.now_ms);
         }
     }
 
@@ -201,7 +201,7 @@
     fn turn_away_ten(&mut self, router: usize) {
         let slot = self.tables[router].find("vm-0").unwrap();
         for _ in 0..10 {
-            self.tables[router].turned_away(slot, self.now_ms - 5, self.now_ms);
+            self.tables[router].rejected(slot, self.now_ms - 5, self.now_ms);
         }
     }
 }
--- a/core/tests/limit_schedules.rs
+++ b/core/tests/limit_schedules.rs
@@ -516,7 +516,7 @@
         limit_milli_per_s: Some(100_000),
         answer: servers::AnswerId { router: id(asker), number: 1 },
         sent_age_ms: 100,
-        heard_age_ms: 50,
+        received_age_ms: 50,
     };
     let wanted = servers::PermitsWanted { permits: 1, within_ms: 400, trial: false };
     let message = message::Message::PermitAsk { number: 1, known, wanted };
--- a/core/tests/said_schedules.rs
+++ b/core/tests/said_schedules.rs
@@ -261,7 +261,7 @@
                 *until_ms = (now_ms + backoff_ms).max(*until_ms);
             }
         }
-        let age = servers::AnswerAge { sent_ms: now_ms - run.sent_ms, heard_ms: 0 };
+        let age = servers::AnswerAge { sent_ms: now_ms - run.sent_ms, received_ms: 0 };
         router.node.report_said(&server.name, run.life, &said, age, now_ms);
         if let Manner::TurnsAway { .. } = run.manner {
             router.node.retry(run.slot, node::Tried::TurnedAway, now_ms);
--- a/core/tests/server_lives.rs
+++ b/core/tests/server_lives.rs
@@ -34,7 +34,7 @@
 impl Bench {
     fn new() -> Self {
         let mut bench = Self { table: servers::Table::default(), rng: StdRng::seed_from_u64(1) };
-        bench.table.follow(&[live(5)], 0);
+        bench.table.apply_list(&[live(5)], 0);
         bench
     }
 
@@ -55,7 +55,7 @@
 
     /// The server starts again.
     fn restart(&mut self) {
-        self.table.follow(&[live(6)], NOW_MS);
+        self.table.apply_list(&[live(6)], NOW_MS);
     }
 }
 
@@ -82,7 +82,7 @@
 fn an_older_record_that_comes_late_changes_nothing() {
     let mut bench = Bench::new();
     bench.restart();
-    bench.table.follow(&[vm(5, servers::VmState::Leaving)], NOW_MS);
+    bench.table.apply_list(&[vm(5, servers::VmState::Leaving)], NOW_MS);
     assert_eq!(bench.present().vm, live(6));
     assert!(bench.choose(&[]).is_ok());
 }
@@ -139,7 +139,7 @@
     bench.table.failed(earlier, NOW_MS);
     bench.table.ended(earlier);
     assert_eq!((bench.present().in_flight, bench.present().load), (1, None));
-    bench.table.follow(&[live(6)], NOW_MS);
+    bench.table.apply_list(&[live(6)], NOW_MS);
     assert!(bench.table.get(earlier).is_none(), "nothing keeps it");
     assert_eq!(bench.table.find("one"), Some(later));
 }
@@ -149,9 +149,9 @@
     let mut bench = Bench::new();
     let earlier = bench.choose(&[]).unwrap().slot;
     bench.restart();
-    bench.table.follow(&[live(6)], NOW_MS);
+    bench.table.apply_list(&[live(6)], NOW_MS);
     assert!(bench.table.get(earlier).is_some(), "a request is open there");
     bench.table.ended(earlier);
-    bench.table.follow(&[], NOW_MS);
+    bench.table.apply_list(&[], NOW_MS);
     assert_eq!(bench.table.iter().count(), 0);
 }
--- a/core/tests/servers.rs
+++ b/core/tests/servers.rs
@@ -29,7 +29,7 @@
 impl Bench {
     fn new(vms: &[servers::Vm]) -> Self {
         let mut table = servers::Table::default();
-        table.follow(vms, 0);
+        table.apply_list(vms, 0);
         Self { table, rng: StdRng::seed_from_u64(1), now_ms: 1_000 }
     }
 
@@ -75,7 +75,7 @@
     let mut bench = Bench::two();
     bench.table.leaving("one", ids::ServerLife::UNKNOWN);
     let live = servers::VmState::Live;
-    bench.table.follow(&[vm("one", "new", live), vm("two", "old", live)], 0);
+    bench.table.apply_list(&[vm("one", "new", live), vm("two", "old", live)], 0);
     for _ in 0..8 {
         let slot = bench.choose().unwrap();
         assert_eq!(bench.name(slot), "two");
@@ -88,7 +88,7 @@
     let chosen = (0..1_000).map_while(|_| bench.choose().ok()).count();
     assert_eq!(chosen, 16, "eight slots on each of two");
     assert_eq!(bench.choose(), Err(servers::Unavailable::Full));
-    bench.table.follow(&[], 0);
+    bench.table.apply_list(&[], 0);
     assert_eq!(bench.choose(), Err(servers::Unavailable::None));
 }
 
@@ -237,9 +237,9 @@
     let live = servers::VmState::Live;
     let mut bench = Bench::new(&[vm("one", "new", live)]);
     bench.choose().unwrap();
-    bench.table.follow(&[], 0);
+    bench.table.apply_list(&[], 0);
     assert_eq!(bench.choose(), Err(servers::Unavailable::None), "it is not listed");
-    bench.table.follow(&[vm("one", "new", live)], 0);
+    bench.table.apply_list(&[vm("one", "new", live)], 0);
     assert!(bench.choose().is_ok(), "it is listed again");
 }
 
@@ -249,8 +249,8 @@
     let mut bench = Bench::new(&[vm("one", "new", live)]);
     bench.choose().unwrap();
     bench.table.leaving("one", ids::ServerLife::UNKNOWN);
-    bench.table.follow(&[], 0);
-    bench.table.follow(&[vm("one", "new", live)], 0);
+    bench.table.apply_list(&[], 0);
+    bench.table.apply_list(&[vm("one", "new", live)], 0);
     assert_eq!(bench.choose(), Err(servers::Unavailable::None));
 }
 
@@ -278,13 +278,13 @@
 
 #[test]
 fn routers_that_were_turned_away_together_come_back_apart() {
-    let opens_ms = |seed: u64| {
+    let resumes_ms = |seed: u64| {
         let mut bench = Bench { rng: StdRng::seed_from_u64(seed), ..Bench::two() };
         let one = bench.table.find("one").unwrap();
         bench.table.back_off(one, bench.now_ms + 4_000, bench.now_ms, &mut bench.rng);
-        bench.table.backing_off().next().unwrap().1.opens_ms()
+        bench.table.backing_off().next().unwrap().1.resumes_ms()
     };
-    let mut moments: Vec<u64> = (0..30).map(opens_ms).collect();
+    let mut moments: Vec<u64> = (0..30).map(resumes_ms).collect();
     moments.sort_unstable();
     assert!(moments.last().unwrap() - moments[0] >= 250, "{moments:?}");
     moments.dedup();
--- a/core/tests/watch_fleet/checks.rs
+++ b/core/tests/watch_fleet/checks.rs
@@ -46,7 +46,7 @@
             let earlier = node
                 .servers()
                 .iter()
-                .filter(|(_, server)| !server.is_over())
+                .filter(|(_, server)| !server.is_superseded())
                 .any(|(_, server)| server.vm.vm == *name && server.vm.life < vm.life);
             assert!(!earlier, "entry-{place} uses an earlier life of {name} after {revision}");
         }
--- a/core/tests/wire_format.rs
+++ b/core/tests/wire_format.rs
@@ -78,7 +78,7 @@
         limit_milli_per_s: Some(2),
         answer: servers::AnswerId { router: router(3), number: 4 },
         sent_age_ms: 5,
-        heard_age_ms: 6,
+        received_age_ms: 6,
     }
 }
 
--- a/src/control/handlers.rs
+++ b/src/control/handlers.rs
@@ -80,7 +80,7 @@
         let messages::HeadReported { vm, life, said, sent, heard } = reported;
         let age = servers::AnswerAge {
             sent_ms: sent.elapsed().as_millis() as u64,
-            heard_ms: heard.elapsed().as_millis() as u64,
+            received_ms: heard.elapsed().as_millis() as u64,
         };
         self.node.report_said(&vm, life, &said, age, now_ms);
         self.carry_out(context);
