--- a/core/src/servers/permits.rs
+++ b/core/src/servers/permits.rs
@@ -164,7 +164,7 @@
     }
 
     /// Changes the rate. Permits that are already granted count as the same number at the new rate,
-    /// but a much lower rate delays the next request by at most one interval.
+    /// but a much lower rate delays the next request by no more than one interval, or than before.
     pub fn change_rate(&mut self, earlier_milli_per_s: u64, milli_per_s: u64, now_ms: u64) {
         let now_us = now_ms * US_PER_MS;
         let ahead_us = self.next_us.saturating_sub(now_us);
