--- a/core/src/leaving_servers.rs
+++ b/core/src/leaving_servers.rs
@@ -64,7 +64,7 @@
 impl LeavingServers {
     /// Records that an incarnation of a server is leaving; returns whether this is new or from a
     /// source that is kept longer.
-    pub fn note(&mut self, vm: &str, life: ids::ServerLife, source: Source) -> bool {
+    pub fn record(&mut self, vm: &str, life: ids::ServerLife, source: Source) -> bool {
         let sends_left = if source == Source::Answer { gossip_rotation::TRANSMISSIONS } else { 0 };
         let known = self.known.get(vm).map(|known| (known.life, known.source));
         if known.is_some_and(|known| known >= (life, source)) {
@@ -76,7 +76,7 @@
     }
 
     /// Whether an incarnation of a server is known to be leaving.
-    pub fn holds(&self, vm: &str, life: ids::ServerLife) -> bool {
+    pub fn contains(&self, vm: &str, life: ids::ServerLife) -> bool {
         self.known.get(vm).is_some_and(|leaving| leaving.life >= life)
     }
 
--- a/core/src/node/admit.rs
+++ b/core/src/node/admit.rs
@@ -347,7 +347,7 @@
         classes: &request.wanted.classes,
         prefix_hash: request.wanted.prefix_hash,
         parts: &request.wanted.parts,
-        not: &request.failed_servers,
+        excluded: &request.failed_servers,
     }
 }
 
--- a/core/src/node/adopt.rs
+++ b/core/src/node/adopt.rs
@@ -134,7 +134,7 @@
     /// The backend servers: those of the list, and those whose records lapsed but may be back soon. One that is known to
     /// leave does so whatever its record says.
     fn backends(&self, vms: &[servers::Vm]) -> Vec<servers::Vm> {
-        let stays = |vm: &&servers::Vm| !self.leavings.holds(&vm.vm, vm.life);
+        let stays = |vm: &&servers::Vm| !self.leavings.contains(&vm.vm, vm.life);
         let back_soon = self.lapsed.iter().filter(stays);
         let mut backends: Vec<servers::Vm> = vms
             .iter()
@@ -143,7 +143,7 @@
             .cloned()
             .collect();
         // Where servers say when they started, a record that does not is another writer's.
-        for vm in backends.iter_mut().filter(|vm| self.leavings.holds(&vm.vm, vm.life)) {
+        for vm in backends.iter_mut().filter(|vm| self.leavings.contains(&vm.vm, vm.life)) {
             vm.state = servers::VmState::Leaving;
         }
         if backends.iter().any(|vm| vm.life != ids::ServerLife::UNKNOWN) {
--- a/core/src/node/quarantine.rs
+++ b/core/src/node/quarantine.rs
@@ -156,7 +156,7 @@
 
     /// Whether a life of a server said that it leaves.
     fn leaves(&self, server: &quarantine::ServerInstance) -> bool {
-        self.leavings.holds(&server.vm, server.life)
+        self.leavings.contains(&server.vm, server.life)
     }
 
     fn is_over(&self, server: &quarantine::ServerInstance, address: &str) -> bool {
@@ -289,7 +289,7 @@
             quarantine::Reply::Value(value) => match quarantine::Record::decode(&value) {
                 Ok(record) => {
                     let own = self.quarantine.table.reports_of_quarantined(now_ms);
-                    if own.iter().all(|report| record.holds(report.request)) {
+                    if own.iter().all(|report| record.contains(report.request)) {
                         self.quarantine.keeper.cancel_rewrite();
                     }
                     for report in record.reports(self.unix_ms(now_ms)) {
--- a/core/src/node/said.rs
+++ b/core/src/node/said.rs
@@ -20,7 +20,7 @@
             self.note_unreadable(vm, life, header);
         }
         // What ends a limit lets requests go that wait, so what forbids them comes before it.
-        if said.leaves == servers::Directive::Value(true) {
+        if said.leaving == servers::Directive::Value(true) {
             self.hear_leaving(vm, life, leaving_servers::Source::Answer, None);
         }
         if let servers::Directive::Value(backoff_ms) = said.backoff_ms {
@@ -59,8 +59,8 @@
         source: leaving_servers::Source,
         from: Option<ids::Incarnation>,
     ) {
-        self.servers.leaving(vm, life);
-        if !self.leavings.note(vm, life, source) {
+        self.servers.mark_leaving(vm, life);
+        if !self.leavings.record(vm, life, source) {
             return;
         }
         let slot = self.servers.find_life(vm, life);
--- a/core/src/node/settle.rs
+++ b/core/src/node/settle.rs
@@ -152,7 +152,7 @@
 
     /// That a server leaves or backs off is no failure.
     fn says_why_it_fails(&self, slot: ids::ServerSlot, now_ms: u64) -> bool {
-        let leaves = self.servers.get(slot).is_some_and(servers::Server::leaves);
+        let leaves = self.servers.get(slot).is_some_and(servers::Server::is_leaving);
         leaves || self.servers.backs_off(slot, now_ms)
     }
 
--- a/core/src/quarantine/record.rs
+++ b/core/src/quarantine/record.rs
@@ -64,7 +64,7 @@
     }
 
     /// Whether the record contains a request.
-    pub fn holds(&self, request: ids::Fingerprint) -> bool {
+    pub fn contains(&self, request: ids::Fingerprint) -> bool {
         self.requests.iter().any(|kept| kept.request == request)
     }
 
--- a/core/src/servers.rs
+++ b/core/src/servers.rs
@@ -135,7 +135,7 @@
     }
 
     /// Whether the server is listed and leaving.
-    pub fn leaves(&self) -> bool {
+    pub fn is_leaving(&self) -> bool {
         !self.superseded && self.listed && self.vm.state == VmState::Leaving
     }
 
@@ -171,7 +171,7 @@
     /// Parts of the prompt; empty if they are not known.
     pub parts: &'a [Part],
     /// Servers on which this request already failed.
-    pub not: &'a [ids::ServerSlot],
+    pub excluded: &'a [ids::ServerSlot],
 }
 
 /// Reason why no server can be chosen for a request.
@@ -341,7 +341,7 @@
     fn matching(&self, criteria: &Criteria<'_>, now_ms: u64) -> Vec<ids::ServerSlot> {
         let Some(slots) = self.by_service.get(criteria.service) else { return Vec::new() };
         let matches = |slot: &&ids::ServerSlot| {
-            self.servers[**slot].matches(criteria) && !criteria.not.contains(slot)
+            self.servers[**slot].matches(criteria) && !criteria.excluded.contains(slot)
         };
         let live: Vec<ids::ServerSlot> = slots.iter().filter(matches).copied().collect();
         // An ejection is this router's own estimate, a backoff is a directive of the server. If all
--- a/core/src/servers/restarts.rs
+++ b/core/src/servers/restarts.rs
@@ -18,7 +18,7 @@
 
 impl Table {
     /// Marks an incarnation of a server as leaving; it receives no new requests from now on.
-    pub fn leaving(&mut self, vm: &str, life: ids::ServerLife) {
+    pub fn mark_leaving(&mut self, vm: &str, life: ids::ServerLife) {
         if let Some(slot) = self.find_life(vm, life) {
             self.servers[slot].vm.state = VmState::Leaving;
         }
--- a/core/tests/cold_servers.rs
+++ b/core/tests/cold_servers.rs
@@ -80,7 +80,7 @@
                     classes: &[],
                     prefix_hash: None,
                     parts: &parts,
-                    not: &[],
+                    excluded: &[],
                 };
                 match self.tables[at].choose(&wanted, now_ms, &mut self.rng) {
                     Ok(choice) => {
--- a/core/tests/fair_parts.rs
+++ b/core/tests/fair_parts.rs
@@ -121,7 +121,7 @@
             classes: &[],
             prefix_hash: None,
             parts: &[],
-            not: &[],
+            excluded: &[],
         };
         let chosen = self.tables[router].choose(&wanted, self.now_ms, &mut self.rng);
         let Ok(servers::Choice { slot, .. }) = chosen else { return };
--- a/core/tests/server_lives.rs
+++ b/core/tests/server_lives.rs
@@ -44,7 +44,7 @@
             classes: &[],
             prefix_hash: None,
             parts,
-            not: &[],
+            excluded: &[],
         };
         self.table.choose(&wanted, NOW_MS, &mut self.rng)
     }
@@ -62,7 +62,7 @@
 #[test]
 fn a_leaving_is_forgotten() {
     let mut bench = Bench::new();
-    bench.table.leaving("one", ids::ServerLife(5));
+    bench.table.mark_leaving("one", ids::ServerLife(5));
     assert_eq!(bench.choose(&[]).unwrap_err(), servers::Unavailable::None);
     bench.restart();
     assert!(bench.choose(&[]).is_ok());
@@ -72,9 +72,9 @@
 fn a_leaving_of_the_earlier_life_that_comes_late_changes_nothing() {
     let mut bench = Bench::new();
     bench.restart();
-    bench.table.leaving("one", ids::ServerLife(5));
+    bench.table.mark_leaving("one", ids::ServerLife(5));
     assert!(bench.choose(&[]).is_ok());
-    bench.table.leaving("one", ids::ServerLife(6));
+    bench.table.mark_leaving("one", ids::ServerLife(6));
     assert_eq!(bench.choose(&[]).unwrap_err(), servers::Unavailable::None);
 }
 
--- a/core/tests/servers.rs
+++ b/core/tests/servers.rs
@@ -42,10 +42,11 @@
         &mut self,
         classes: &[String],
         prefix_hash: Option<u64>,
-        not: &[ids::ServerSlot],
+        excluded: &[ids::ServerSlot],
     ) -> Result<ids::ServerSlot, servers::Unavailable> {
         let parts = &[];
-        let wanted = servers::Criteria { service: "service", classes, prefix_hash, parts, not };
+        let wanted =
+            servers::Criteria { service: "service", classes, prefix_hash, parts, excluded };
         self.table.choose(&wanted, self.now_ms, &mut self.rng).map(|choice| choice.slot)
     }
 
@@ -73,7 +74,7 @@
 #[test]
 fn a_leaving_server_gets_nothing_new_and_stays_leaving_in_an_older_list() {
     let mut bench = Bench::two();
-    bench.table.leaving("one", ids::ServerLife::UNKNOWN);
+    bench.table.mark_leaving("one", ids::ServerLife::UNKNOWN);
     let live = servers::VmState::Live;
     bench.table.apply_list(&[vm("one", "new", live), vm("two", "old", live)], 0);
     for _ in 0..8 {
@@ -161,8 +162,13 @@
 }
 
 fn choose_for_prompt(bench: &mut Bench, parts: &[servers::Part]) -> servers::Choice {
-    let wanted =
-        servers::Criteria { service: "service", classes: &[], prefix_hash: None, parts, not: &[] };
+    let wanted = servers::Criteria {
+        service: "service",
+        classes: &[],
+        prefix_hash: None,
+        parts,
+        excluded: &[],
+    };
     bench.table.choose(&wanted, bench.now_ms, &mut bench.rng).unwrap()
 }
 
@@ -248,7 +254,7 @@
     let live = servers::VmState::Live;
     let mut bench = Bench::new(&[vm("one", "new", live)]);
     bench.choose().unwrap();
-    bench.table.leaving("one", ids::ServerLife::UNKNOWN);
+    bench.table.mark_leaving("one", ids::ServerLife::UNKNOWN);
     bench.table.apply_list(&[], 0);
     bench.table.apply_list(&[vm("one", "new", live)], 0);
     assert_eq!(bench.choose(), Err(servers::Unavailable::None));
--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -114,7 +114,7 @@
     for service in node.config().iter().flat_map(|config| &config.document.services) {
         let of_service = |server: &servers::Server| server.vm.service == service.name;
         let backing_off = servers.backing_off().filter_map(|(slot, _)| servers.get(slot));
-        let leaving = servers.iter().filter(|(_, server)| server.leaves());
+        let leaving = servers.iter().filter(|(_, server)| server.is_leaving());
         let counts = [
             ("doorswitch_limited_servers", limited.get(service.name.as_str()).map_or(0, Vec::len)),
             ("doorswitch_backing_off_servers", backing_off.filter(|it| of_service(it)).count()),
