--- a/core/src/message.rs
+++ b/core/src/message.rs
@@ -125,7 +125,7 @@
         /// What the asker knows of the server's limit.
         known: servers::LimitUpdate,
         /// What is of use.
-        wanted: servers::PermitsWanted,
+        wanted: servers::PermitsRequested,
     },
     /// The answer to [`Message::PermitAsk`].
     Permits {
--- a/core/src/node/limits.rs
+++ b/core/src/node/limits.rs
@@ -213,7 +213,7 @@
                 return;
             }
             let permits = waiting - expected;
-            let wanted = servers::PermitsWanted { permits, within_ms, trial: false };
+            let wanted = servers::PermitsRequested { permits, within_ms, trial: false };
             expected += self.ask_for(*slot, wanted, now_ms);
         }
     }
@@ -237,7 +237,7 @@
                 continue;
             }
             let wanted =
-                servers::PermitsWanted { permits: 1, within_ms: TRIAL_WITHIN_MS, trial: true };
+                servers::PermitsRequested { permits: 1, within_ms: TRIAL_WITHIN_MS, trial: true };
             self.ask_for(slot, wanted, now_ms);
         }
     }
@@ -260,7 +260,7 @@
     fn ask_for(
         &mut self,
         slot: ids::ServerSlot,
-        wanted: servers::PermitsWanted,
+        wanted: servers::PermitsRequested,
         now_ms: u64,
     ) -> u64 {
         let known = self.servers.limits().limited(slot);
@@ -292,7 +292,7 @@
     fn grant_permits(
         &mut self,
         slot: ids::ServerSlot,
-        wanted: servers::PermitsWanted,
+        wanted: servers::PermitsRequested,
         now_ms: u64,
     ) -> servers::PermitsGranted {
         // A router that has just started does not know yet with whom it shares.
@@ -326,7 +326,7 @@
         from: ids::Incarnation,
         number: u64,
         known: servers::LimitUpdate,
-        wanted: servers::PermitsWanted,
+        wanted: servers::PermitsRequested,
         now_ms: u64,
     ) {
         self.hear_limits(std::slice::from_ref(&known), now_ms);
--- a/core/src/servers.rs
+++ b/core/src/servers.rs
@@ -22,7 +22,7 @@
 pub use directives::{AnswerAge, Directive, Directives, Header};
 pub use limits::{AnswerId, KnownLimit, LimitChange, LimitReport, LimitUpdate, Limits};
 pub use permits::{
-    PERMIT_TTL_MS, PermitsGranted, PermitsWanted, TRIAL_INTERVAL_MAX_MS, trial_interval_ms,
+    PERMIT_TTL_MS, PermitsGranted, PermitsRequested, TRIAL_INTERVAL_MAX_MS, trial_interval_ms,
 };
 pub use restarts::Restarted;
 pub use vm::{Load, Vm, VmState};
--- a/core/src/servers/permits.rs
+++ b/core/src/servers/permits.rs
@@ -31,7 +31,7 @@
 
 /// A request for permits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PermitsWanted {
+pub struct PermitsRequested {
     /// Number of permits that can be used.
     pub permits: u64,
     /// Permits that are valid only after this time are of no use, in milliseconds from now.
@@ -64,7 +64,7 @@
     expires_ms: u64,
     trial: bool,
     /// Unanswered permit request: its number, when it was sent, and its content.
-    pending: Option<(u64, u64, PermitsWanted)>,
+    pending: Option<(u64, u64, PermitsRequested)>,
     /// Time until which no permits are available.
     refused_until_ms: u64,
 }
@@ -109,7 +109,7 @@
     }
 
     /// Records a permit request that was sent.
-    pub fn record_request(&mut self, number: u64, wanted: PermitsWanted, now_ms: u64) {
+    pub fn record_request(&mut self, number: u64, wanted: PermitsRequested, now_ms: u64) {
         self.pending = Some((number, now_ms, wanted));
     }
 
@@ -142,7 +142,7 @@
         self.trial = trial;
     }
 
-    fn pending_request(&self, now_ms: u64) -> Option<PermitsWanted> {
+    fn pending_request(&self, now_ms: u64) -> Option<PermitsRequested> {
         let (_, requested_ms, wanted) = self.pending?;
         (now_ms < requested_ms + REPLY_TIMEOUT_MS).then_some(wanted)
     }
@@ -183,7 +183,7 @@
     pub fn grant(
         &mut self,
         milli_per_s: u64,
-        wanted: PermitsWanted,
+        wanted: PermitsRequested,
         now_ms: u64,
     ) -> PermitsGranted {
         let now_us = now_ms * US_PER_MS;
--- a/core/tests/arbitrary_messages.rs
+++ b/core/tests/arbitrary_messages.rs
@@ -51,7 +51,7 @@
 /// A question for permits and an answer, which a router in calm does not send.
 fn permits(fleet: &Fleet, (vm, life): &(String, ids::ServerLife)) -> Vec<Vec<u8>> {
     let id = |place: usize| fleet.routers[place].node.members().own().id;
-    let wanted = servers::PermitsWanted { permits: 2, within_ms: 400, trial: false };
+    let wanted = servers::PermitsRequested { permits: 2, within_ms: 400, trial: false };
     let granted = servers::PermitsGranted { permits: 1, in_ms: 300 };
     let (vm, life) = (vm.clone(), *life);
     let answer = servers::AnswerId { router: id(0), number: 1 };
--- a/core/tests/limit_schedules.rs
+++ b/core/tests/limit_schedules.rs
@@ -518,7 +518,7 @@
         sent_age_ms: 100,
         received_age_ms: 50,
     };
-    let wanted = servers::PermitsWanted { permits: 1, within_ms: 400, trial: false };
+    let wanted = servers::PermitsRequested { permits: 1, within_ms: 400, trial: false };
     let message = message::Message::PermitAsk { number: 1, known, wanted };
     let envelope = message::Envelope { from: id(asker), to: id(place), message };
     let now_ms = fleet.now_ms;
--- a/core/tests/wire_format.rs
+++ b/core/tests/wire_format.rs
@@ -197,7 +197,7 @@
     permit_ask_keeps_its_bytes: message::Message::PermitAsk {
         number: 1,
         known: limit(),
-        wanted: servers::PermitsWanted { permits: 2, within_ms: 3, trial: true },
+        wanted: servers::PermitsRequested { permits: 2, within_ms: 3, trial: true },
     } => "0101021101016101010203040506020301";
     permits_keeps_its_bytes: message::Message::Permits {
         number: 1,
