--- a/core/src/node/said.rs
+++ b/core/src/node/said.rs
@@ -20,7 +20,7 @@
             self.note_unreadable(vm, life, header);
         }
         // What ends a limit lets requests go that wait, so what forbids them comes before it.
-        if said.leaving == servers::Directive::Value(true) {
+        if said.is_leaving == servers::Directive::Value(true) {
             self.hear_leaving(vm, life, leaving_servers::Source::Answer, None);
         }
         if let servers::Directive::Value(backoff_ms) = said.backoff_ms {
--- a/core/src/servers/directives.rs
+++ b/core/src/servers/directives.rs
@@ -19,7 +19,7 @@
     /// second.
     pub limit_milli_per_s: Directive<u64>,
     /// Whether the server is leaving.
-    pub leaving: Directive<bool>,
+    pub is_leaving: Directive<bool>,
     /// Time for which the server requests a backoff from this router, in milliseconds.
     pub backoff_ms: Directive<u64>,
 }
@@ -38,7 +38,7 @@
 pub enum Header {
     /// Carries [`Directives::limit_milli_per_s`].
     Limit,
-    /// Carries [`Directives::leaving`].
+    /// Carries [`Directives::is_leaving`].
     Leaving,
     /// Carries [`Directives::backoff_ms`].
     Backoff,
@@ -65,7 +65,7 @@
     pub fn unreadable(&self) -> impl Iterator<Item = Header> {
         let headers = [
             (Header::Limit, self.limit_milli_per_s == Directive::Unreadable),
-            (Header::Leaving, self.leaving == Directive::Unreadable),
+            (Header::Leaving, self.is_leaving == Directive::Unreadable),
             (Header::Backoff, self.backoff_ms == Directive::Unreadable),
         ];
         headers.into_iter().filter(|(_, unreadable)| *unreadable).map(|(header, _)| header)
--- a/core/tests/limit_schedules.rs
+++ b/core/tests/limit_schedules.rs
@@ -613,7 +613,7 @@
         |fleet: &mut Fleet| (0..7).filter(|place| grants(fleet, *place, (place + 1) % 7)).count();
     assert_eq!(granting(&mut fleet), 1);
     let said =
-        servers::Directives { leaving: servers::Directive::Value(true), ..Default::default() };
+        servers::Directives { is_leaving: servers::Directive::Value(true), ..Default::default() };
     let now_ms = fleet.now_ms;
     for router in &mut fleet.routers {
         let age = servers::AnswerAge::default();
--- a/core/tests/node.rs
+++ b/core/tests/node.rs
@@ -317,7 +317,7 @@
 
 words_while_a_claim_is_recorded! {
     a_claimed_request_does_not_go_to_a_server_that_leaves_meanwhile:
-        servers::Directives { leaving: servers::Directive::Value(true), ..Default::default() },
+        servers::Directives { is_leaving: servers::Directive::Value(true), ..Default::default() },
         node::Reason::NoServer;
     a_claimed_request_does_not_go_to_a_server_that_backs_off_meanwhile:
         servers::Directives { backoff_ms: servers::Directive::Value(60_000), ..Default::default() },
--- a/core/tests/said_schedules.rs
+++ b/core/tests/said_schedules.rs
@@ -252,7 +252,7 @@
         match run.manner {
             Manner::Serves | Manner::Sheds { .. } => {}
             Manner::Leaves => {
-                said.leaving = servers::Directive::Value(true);
+                said.is_leaving = servers::Directive::Value(true);
                 told.leaving.entry(of).or_insert(now_ms);
             }
             Manner::TurnsAway { backoff_ms } => {
@@ -557,7 +557,7 @@
         scenario.traffic.fleet.loss_percent = 10;
         let now_ms = scenario.traffic.fleet.now_ms;
         let said = servers::Directives {
-            leaving: servers::Directive::Value(true),
+            is_leaving: servers::Directive::Value(true),
             ..servers::Directives::default()
         };
         for place in 0..leaving {
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -146,7 +146,7 @@
         upstream::report_head(context.control, context.published, place, head.said, sent);
     }
     connection.note_keep_alive(answer.headers());
-    if of_server && head.said.leaving == servers::Directive::Value(true) {
+    if of_server && head.said.is_leaving == servers::Directive::Value(true) {
         connection.close_after_exchange();
         context.backends.close_resting(place);
     }
