--- a/core/src/servers.rs
+++ b/core/src/servers.rs
@@ -295,12 +295,12 @@
         }
     }
 
-    /// Servers whose load this router polls: at most `max` per service. The subset differs between
+    /// Servers whose load this router polls: at most `max_per_service` per service. The subset differs between
     /// routers and stays the same while the servers do.
     pub fn subset(
         &self,
         own: ids::Incarnation,
-        max: usize,
+        max_per_service: usize,
         now_ms: u64,
     ) -> Vec<(ids::ServerSlot, &Server)> {
         let mut chosen = Vec::new();
@@ -316,7 +316,7 @@
                     rendezvous::digest(&self.servers[*slot].vm.vm),
                 ))
             });
-            ranked.truncate(max);
+            ranked.truncate(max_per_service);
             chosen.extend(ranked.into_iter().map(|slot| (slot, &self.servers[slot])));
         }
         chosen
