--- a/core/src/servers.rs
+++ b/core/src/servers.rs
@@ -295,8 +295,8 @@
         }
     }
 
-    /// Servers whose load this router polls: at most `max_per_service` per service. The subset differs between
-    /// routers and stays the same while the servers do.
+    /// Servers whose load this router polls, at most `max_per_service` of each service. The subset
+    /// differs between routers and stays the same while the servers do.
     pub fn subset(
         &self,
         own: ids::Incarnation,
