--- a/benches/capacity/quarantine.rs
+++ b/benches/capacity/quarantine.rs
@@ -50,16 +50,16 @@
     println!("each request, another head suspected: {:.0} ns", nanoseconds(look));
     published.set_suspected([head().digest().key()].into());
     println!("its own head suspected, {BODY_BYTES} bytes: {:.0} ns", nanoseconds(look));
-    let calm = quarantine::News::default();
+    let calm = quarantine::Updates::default();
     println!("calm datagram: {} bytes more", postcard::to_stdvec(&calm).unwrap_or_default().len());
     for crashes in [1, 3, 8] {
         let before = allocated_bytes();
         let mut table = full_table(crashes);
         let bytes = allocated_bytes() - before;
-        let news = table.news(true, NOW_MS + 10_000);
+        let news = table.next_updates(true, NOW_MS + 10_000);
         let told = postcard::to_stdvec(&news).unwrap_or_default().len();
         let tick = nanoseconds(|| {
-            black_box(table.fresh());
+            black_box(table.urgency());
         });
         println!(
             "{ENTRIES} requests with {crashes} crashes: {} bytes each, {told} bytes for {} in a datagram, \
--- a/core/src/evacuation.rs
+++ b/core/src/evacuation.rs
@@ -1,46 +1,47 @@
-//! Failure domains that the operator evacuates: nothing new goes to their servers until that is taken back.
+//! Failure domains that an operator evacuates: their servers receive no new requests until the
+//! evacuation is revoked.
 
 use crate::store;
 use serde::{Deserialize, Serialize};
 use std::collections;
 
-/// The failure domains that are evacuated, as a router knows them.
+/// The evacuated failure domains in a router's copy.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuations {
-    /// The position in the store's history that this stands for.
+    /// Position in the store's history to which the copy corresponds.
     pub position: store::Position,
-    /// The evacuated failure domains.
+    /// Names of the evacuated failure domains.
     pub domains: collections::BTreeSet<String>,
 }
 
-/// A failure domain is evacuated, or that is taken back.
+/// Start or end of the evacuation of a failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// The position of the change in the store's history.
+    /// Position of the change in the store's history.
     pub position: store::Position,
-    /// The failure domain.
+    /// Name of the failure domain.
     pub domain: String,
-    /// Whether it is evacuated from then on.
+    /// Whether the failure domain is evacuated after the change.
     pub evacuated: bool,
 }
 
-/// What the store says of evacuations.
+/// Evacuations in an answer of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
-    /// What changed since the revision that was asked for.
+pub enum Update {
+    /// Changes since the requested revision.
     Changes(Vec<Change>),
     /// All evacuated failure domains.
     All(collections::BTreeSet<String>),
 }
 
-impl Default for News {
+impl Default for Update {
     fn default() -> Self {
         Self::Changes(Vec::new())
     }
 }
 
-impl News {
-    /// Whether there is any.
+impl Update {
+    /// Whether the update contains any change or domain.
     pub fn any(&self) -> bool {
         match self {
             Self::Changes(changes) => !changes.is_empty(),
@@ -50,10 +51,11 @@
 }
 
 impl Evacuations {
-    /// Takes in an answer of the store that stands for `position`; what is older than the copy is passed over.
-    pub fn take(&mut self, position: store::Position, news: News) {
-        match news {
-            News::Changes(changes) => {
+    /// Applies an answer of the store that corresponds to `position`. Changes older than the copy
+    /// are ignored.
+    pub fn apply(&mut self, position: store::Position, update: Update) {
+        match update {
+            Update::Changes(changes) => {
                 let known = self.position;
                 for change in changes.into_iter().filter(|change| change.position > known) {
                     match change.evacuated {
@@ -63,12 +65,12 @@
                 }
                 self.position = known.max(position);
             }
-            News::All(domains) => self.take_over(&Self { position, domains }),
+            Update::All(domains) => self.replace_if_newer(&Self { position, domains }),
         }
     }
 
-    /// Takes over a copy that is newer.
-    pub fn take_over(&mut self, other: &Self) {
+    /// Replaces the copy with another one if that is newer.
+    pub fn replace_if_newer(&mut self, other: &Self) {
         if other.position > self.position {
             self.clone_from(other);
         }
--- /dev/null
+++ b/core/src/leaving_servers.rs
@@ -0,0 +1,135 @@
+//! Servers that are leaving according to their records in the store or to their own answers.
+//!
+//! An entry applies to one incarnation of a server. One that came from an answer is kept even if
+//! the record expires, reappears or still lists the server as ready.
+
+use crate::{gossip_rotation, ids, message};
+use serde::{Deserialize, Serialize};
+use std::collections;
+
+/// Time for which an entry from an answer is kept after the server's record is gone.
+const UNLISTED_TTL_MS: u64 = 3_600_000;
+/// Maximum number of kept entries without a record.
+const UNLISTED_MAX: usize = 4_096;
+
+/// Source of the information that a server is leaving. The later variant here is kept longer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum Source {
+    /// The server's record in the store.
+    Record,
+    /// An answer of the server itself.
+    Answer,
+}
+
+impl Source {
+    /// Value of the key `source` in log lines.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Record => "Record",
+            Self::Answer => "Answer",
+        }
+    }
+}
+
+/// A server that is leaving.
+#[derive(Clone, Debug)]
+pub struct LeavingServer {
+    /// Incarnation that is leaving.
+    pub life: ids::ServerLife,
+    /// Source of the information.
+    pub source: Source,
+    /// Time since which no record of the server is known.
+    unlisted_since_ms: Option<u64>,
+    sends_left: u32,
+}
+
+impl gossip_rotation::Gossiped for LeavingServer {
+    fn sends_left(&self) -> u32 {
+        self.sends_left
+    }
+
+    fn sends_left_mut(&mut self) -> &mut u32 {
+        &mut self.sends_left
+    }
+}
+
+/// All servers that are leaving, by VM.
+#[derive(Debug, Default)]
+pub struct LeavingServers {
+    known: collections::BTreeMap<String, LeavingServer>,
+    rotation: gossip_rotation::Rotation<String>,
+}
+
+impl LeavingServers {
+    /// Records that an incarnation of a server is leaving; returns whether this is new or from a
+    /// source that is kept longer.
+    pub fn record(&mut self, vm: &str, life: ids::ServerLife, source: Source) -> bool {
+        let sends_left = if source == Source::Answer { gossip_rotation::TRANSMISSIONS } else { 0 };
+        let known = self.known.get(vm).map(|known| (known.life, known.source));
+        if known.is_some_and(|known| known >= (life, source)) {
+            return false;
+        }
+        let leaving = LeavingServer { life, source, unlisted_since_ms: None, sends_left };
+        self.known.insert(vm.to_owned(), leaving);
+        true
+    }
+
+    /// Whether an incarnation of a server is known to be leaving.
+    pub fn contains(&self, vm: &str, life: ids::ServerLife) -> bool {
+        self.known.get(vm).is_some_and(|leaving| leaving.life >= life)
+    }
+
+    /// Iterates over all leaving servers with their VMs.
+    pub fn iter(&self) -> impl Iterator<Item = (&str, &LeavingServer)> {
+        self.known.iter().map(|(vm, leaving)| (vm.as_str(), leaving))
+    }
+
+    /// Whether an update is queued that was not sent yet.
+    pub fn has_unsent(&self) -> bool {
+        gossip_rotation::has_unsent(&self.known)
+    }
+
+    /// Takes the updates for the next datagram.
+    pub fn take_updates(&mut self) -> Vec<message::LeavingUpdate> {
+        let vms = self.rotation.take(&mut self.known, String::len);
+        let updates = vms.into_iter().filter_map(|vm| {
+            let LeavingServer { life, source, .. } = *self.known.get(&vm)?;
+            Some(message::LeavingUpdate { vm, life, source })
+        });
+        updates.collect()
+    }
+
+    /// Removes entries that no longer apply, given the incarnations of all servers with a known
+    /// record; returns the VMs and incarnations of the removed entries.
+    pub fn forget(
+        &mut self,
+        lives: &collections::HashMap<&str, ids::ServerLife>,
+        now_ms: u64,
+    ) -> Vec<(String, ids::ServerLife)> {
+        for (vm, leaving) in &mut self.known {
+            let listed = lives.contains_key(vm.as_str());
+            let since_ms = leaving.unlisted_since_ms.unwrap_or(now_ms);
+            leaving.unlisted_since_ms = (!listed).then_some(since_ms);
+        }
+        let oldest_ms = self.oldest_kept_ms(now_ms);
+        let holds = |vm: &str, leaving: &LeavingServer| match lives.get(vm) {
+            Some(present) => *present <= leaving.life,
+            None => {
+                let since_ms = leaving.unlisted_since_ms.unwrap_or(now_ms);
+                leaving.source == Source::Answer && since_ms >= oldest_ms
+            }
+        };
+        let removed = self.known.extract_if(.., |vm, leaving| !holds(vm, leaving));
+        removed.map(|(vm, leaving)| (vm, leaving.life)).collect()
+    }
+
+    /// Earliest time of a record's disappearance for which an entry is kept.
+    fn oldest_kept_ms(&self, now_ms: u64) -> u64 {
+        let unlisted = self.known.values().filter_map(|leaving| leaving.unlisted_since_ms);
+        let mut unlisted_ms: Vec<u64> = unlisted.collect();
+        unlisted_ms.sort_unstable_by(|one, other| other.cmp(one));
+        let too_many_ms = unlisted_ms.get(UNLISTED_MAX).map_or(0, |since_ms| since_ms + 1);
+        too_many_ms.max((now_ms + 1).saturating_sub(UNLISTED_TTL_MS))
+    }
+}
--- a/core/src/message.rs
+++ b/core/src/message.rs
@@ -2,7 +2,9 @@
 
 mod ages;
 
-use crate::{evacuation, ids, leavings, log_index, members, quarantine, servers, store, watch};
+use crate::{
+    evacuation, ids, leaving_servers, log_index, members, quarantine, servers, store, watch,
+};
 use serde::{Deserialize, Serialize};
 
 /// The version of these types and of their transport encoding. It changes with every change of either.
@@ -120,10 +122,11 @@
     PermitRequest {
         /// The requester's number for the request.
         number: u64,
+
         /// The limit of the server as known to the requester.
-        known: servers::LimitNews,
+        known: servers::LimitUpdate,
         /// The permits that the requester can use.
-        wanted: servers::PermitsWanted,
+        wanted: servers::PermitsRequested,
     },
     /// The reply to [`Message::PermitRequest`].
     PermitReply {
@@ -219,14 +222,15 @@
     pub kind: GossipKind,
     /// A summary of the sender's copies of the store's contents.
     pub digest: Digest,
+
     /// Recently changed records of other routers.
     pub member_updates: Vec<members::Record>,
     /// Updates on VMs whose backend server is leaving.
     pub leaving: Vec<LeavingUpdate>,
     /// Updates on requests that crash servers.
-    pub quarantine: quarantine::News,
+    pub quarantine: quarantine::Updates,
     /// Updates on the request limits that servers state.
-    pub limits: Vec<servers::LimitNews>,
+    pub limits: Vec<servers::LimitUpdate>,
 }
 
 /// The role of a datagram in a probe.
@@ -287,6 +291,7 @@
     pub vm: String,
     /// The server incarnation that is leaving.
     pub life: ids::ServerLife,
+
     /// Where the update comes from.
-    pub source: leavings::Source,
+    pub source: leaving_servers::Source,
 }
--- a/core/src/node.rs
+++ b/core/src/node.rs
@@ -40,8 +40,8 @@
 pub use types::*;
 
 use crate::{
-    config, evacuation, grants, ids, leavings, ledger, ledger_writer, limiter, log_writer, members,
-    outbox, retry, servers, store, watch,
+    config, evacuation, grants, ids, leaving_servers, ledger, ledger_writer, limiter, log_writer,
+    members, outbox, retry, servers, store, watch,
 };
 use rand::SeedableRng;
 use rand::rngs;
@@ -126,7 +126,7 @@
     vms_received_ms: u64,
     /// The position of the first list that contained this router's own VM; [`store::Position::START`] before that.
     listed_index: store::Position,
-    leaving_servers: leavings::Leavings,
+    leaving_servers: leaving_servers::LeavingServers,
     leaving_servers_pushed_ms: u64,
     grants: grants::Table,
     servers: servers::Table,
@@ -167,8 +167,8 @@
     started_ms: u64,
     calls: collections::HashMap<ids::CallId, platform::StoreCall>,
     next_call: u64,
-    read_limiter: limiter::Limiter,
-    write_limiter: limiter::Limiter,
+    read_limiter: limiter::RateLimiter,
+    write_limiter: limiter::RateLimiter,
     measured_ms: u64,
     counters: Counters,
 }
@@ -186,8 +186,8 @@
         };
         let members = members::Table::new(own, settings.seeds.clone());
         let watching = settings.watch.map(watching::Watching::new);
-        let read_limiter = limiter::Limiter::new(settings.platform_reads_per_s, 50, now_ms);
-        let write_limiter = limiter::Limiter::new(settings.platform_writes_per_s, 5, now_ms);
+        let read_limiter = limiter::RateLimiter::new(settings.platform_reads_per_s, 50, now_ms);
+        let write_limiter = limiter::RateLimiter::new(settings.platform_writes_per_s, 5, now_ms);
         Self {
             settings,
             rng: rngs::StdRng::seed_from_u64(seed),
@@ -286,7 +286,7 @@
     }
 
     /// The servers that are leaving.
-    pub fn leaving_servers(&self) -> &leavings::Leavings {
+    pub fn leaving_servers(&self) -> &leaving_servers::LeavingServers {
         &self.leaving_servers
     }
 
--- a/core/src/node/admit.rs
+++ b/core/src/node/admit.rs
@@ -262,7 +262,11 @@
 
     /// Chooses another server for a request if the chosen one may not receive it any more: while the claim was recorded
     /// the server may have reported that it is leaving, or may have become limited.
-    fn confirm_server(&mut self, slot: ids::RequestSlot, now_ms: u64) -> Result<(), servers::Lack> {
+    fn confirm_server(
+        &mut self,
+        slot: ids::RequestSlot,
+        now_ms: u64,
+    ) -> Result<(), servers::Unavailable> {
         let Some(request) = self.requests.get(slot) else { return Ok(()) };
         let Stage::WaitingClaim { server, .. } = request.stage else { return Ok(()) };
         if self.servers.may_still_send(server, request.stage_since_ms, now_ms) {
@@ -366,18 +370,18 @@
     request: &Request,
     now_ms: u64,
     rng: &mut rand::rngs::StdRng,
-) -> Result<servers::Choice, servers::Lack> {
+) -> Result<servers::Choice, servers::Unavailable> {
     table.choose(&servers_for(request), now_ms, rng)
 }
 
 /// The criteria for servers that may run a request.
-pub(super) fn servers_for(request: &Request) -> servers::Wanted<'_> {
-    servers::Wanted {
+pub(super) fn servers_for(request: &Request) -> servers::Criteria<'_> {
+    servers::Criteria {
         service: &request.admission.service,
         classes: &request.admission.classes,
         prefix_hash: request.admission.prefix_hash,
         parts: &request.admission.parts,
-        not: &request.failed_servers,
+        excluded: &request.failed_servers,
     }
 }
 
--- a/core/src/node/config_and_vms.rs
+++ b/core/src/node/config_and_vms.rs
@@ -1,7 +1,7 @@
 //! Applies configurations and lists of VMs that were received from the store or from peers.
 
 use super::{Action, ConfigSource, Lifecycle, Node, Notice, ROUTER_SERVICE};
-use crate::{config, grants, ids, leavings, ledger_writer, log_writer, servers, store};
+use crate::{config, grants, ids, leaving_servers, ledger_writer, log_writer, servers, store};
 use std::collections;
 
 impl Node {
@@ -104,15 +104,15 @@
         let previous_index = std::mem::replace(&mut self.vms_index, index);
         let vms = vms.into_iter().map(|vm| {
             let previous = self.vms.get(&vm.vm);
-            vm.unless_over(previous)
+            vm.unless_superseded(previous)
         });
         let vms: Vec<servers::Vm> = vms.collect();
         for vm in vms.iter().filter(|vm| vm.state == servers::VmState::Leaving) {
-            self.record_leaving(&vm.vm, vm.life, leavings::Source::Record, None);
+            self.record_leaving(&vm.vm, vm.life, leaving_servers::Source::Record, None);
         }
         let routers = vms.iter().filter(|vm| vm.service == ROUTER_SERVICE);
         self.members.add_seeds(routers.map(|vm| vm.address.clone()));
-        self.servers.follow(&self.backends(&vms), now_ms);
+        self.servers.apply_list(&self.backends(&vms), now_ms);
         self.report_restarted();
         let earlier = std::mem::take(&mut self.vms);
         self.vms = vms.into_iter().map(|vm| (vm.vm.clone(), vm)).collect();
@@ -137,7 +137,7 @@
     /// The backend servers: the listed ones, and those whose records expired but may be listed again soon. A server
     /// that is leaving counts as leaving whatever the state in its record.
     fn backends(&self, vms: &[servers::Vm]) -> Vec<servers::Vm> {
-        let stays = |vm: &&servers::Vm| !self.leaving_servers.holds(&vm.vm, vm.life);
+        let stays = |vm: &&servers::Vm| !self.leaving_servers.contains(&vm.vm, vm.life);
         let lapsed = self.lapsed.iter().filter(stays);
         let mut backends: Vec<servers::Vm> = vms
             .iter()
@@ -145,8 +145,9 @@
             .filter(|vm| vm.service != ROUTER_SERVICE && !self.eras.holds_back(&vm.vm))
             .cloned()
             .collect();
+
         // Where servers record when they started, a record without a start time comes from another writer.
-        for vm in backends.iter_mut().filter(|vm| self.leaving_servers.holds(&vm.vm, vm.life)) {
+        for vm in backends.iter_mut().filter(|vm| self.leaving_servers.contains(&vm.vm, vm.life)) {
             vm.state = servers::VmState::Leaving;
         }
         if backends.iter().any(|vm| vm.life != ids::ServerLife::UNKNOWN) {
--- a/core/src/node/directives.rs
+++ b/core/src/node/directives.rs
@@ -1,7 +1,7 @@
 //! Directives of servers in the headers of their answers: that the server leaves, backs off or limits its requests.
 
 use super::{Action, Node, Notice};
-use crate::{ids, leavings, message, servers};
+use crate::{ids, leaving_servers, message, servers};
 
 /// Minimum interval between pushes of updates about leaving servers.
 const PUSH_INTERVAL_MS: u64 = 100;
@@ -12,19 +12,20 @@
         &mut self,
         vm: &str,
         life: ids::ServerLife,
-        directives: &servers::Said,
+        directives: &servers::Directives,
         age: servers::AnswerAge,
         now_ms: u64,
     ) {
         for header in directives.unreadable() {
             self.report_unreadable_header(vm, life, header);
         }
+
         // The end of a limit dispatches waiting requests, so directives that prevent dispatches are applied before it.
-        if directives.leaves == servers::Stated::Value(true) {
-            self.record_leaving(vm, life, leavings::Source::Answer, None);
+        if directives.is_leaving == servers::Directive::Value(true) {
+            self.record_leaving(vm, life, leaving_servers::Source::Answer, None);
         }
-        if let servers::Stated::Value(backoff_ms) = directives.backoff_ms {
-            let left_ms = backoff_ms.saturating_sub(age.heard_ms);
+        if let servers::Directive::Value(backoff_ms) = directives.backoff_ms {
+            let left_ms = backoff_ms.saturating_sub(age.received_ms);
             self.start_backoff(vm, life, now_ms + left_ms, now_ms);
         }
         self.report_limit(vm, life, directives.limit_milli_per_s, age.sent_ms, now_ms);
@@ -61,11 +62,11 @@
         &mut self,
         vm: &str,
         life: ids::ServerLife,
-        source: leavings::Source,
+        source: leaving_servers::Source,
         from: Option<ids::Incarnation>,
     ) {
-        self.servers.leaving(vm, life);
-        if !self.leaving_servers.note(vm, life, source) {
+        self.servers.mark_leaving(vm, life);
+        if !self.leaving_servers.record(vm, life, source) {
             return;
         }
         let slot = self.servers.find_life(vm, life);
@@ -86,7 +87,7 @@
         // Without a live record here the report is ignored: the peer's list may be the older one.
         let live =
             |known: &servers::Vm| known.state == servers::VmState::Live && known.life == *life;
-        if *source == leavings::Source::Answer || self.vms.get(vm).is_some_and(live) {
+        if *source == leaving_servers::Source::Answer || self.vms.get(vm).is_some_and(live) {
             self.record_leaving(vm, *life, *source, Some(from));
         }
     }
@@ -99,7 +100,7 @@
             let notice = Notice::ServerBackoffEnded { vm, service };
             self.actions.push(Action::Notice(notice));
         }
-        if self.leaving_servers.has_news()
+        if self.leaving_servers.has_unsent()
             && now_ms >= self.leaving_servers_pushed_ms + PUSH_INTERVAL_MS
         {
             self.leaving_servers_pushed_ms = now_ms;
--- a/core/src/node/eras.rs
+++ b/core/src/node/eras.rs
@@ -203,7 +203,7 @@
             let watch::ServerRecord::Listed(vm) = &change.record else { continue };
             let leaves = vm.state == servers::VmState::Leaving;
             if leaves && self.vms.get(&vm.vm).is_some_and(|listed| listed.life == vm.life) {
-                let source = crate::leavings::Source::Record;
+                let source = crate::leaving_servers::Source::Record;
                 self.record_leaving(&vm.vm, vm.life, source, Some(from));
             }
         }
@@ -283,23 +283,23 @@
     pub(super) fn retain_evacuations(
         &mut self,
         position: store::Position,
-        update: &evacuation::News,
+        update: &evacuation::Update,
         now_ms: u64,
     ) {
         let current = &self.evacuations;
         let restored =
             current.position != store::Position::START && position.era > current.position.era;
         match update {
-            evacuation::News::All(_) if restored => {
+            evacuation::Update::All(_) if restored => {
                 let mut domains = current.domains.clone();
                 domains.extend(
                     self.eras.evacuated.take().into_iter().flat_map(|(domains, _)| domains),
                 );
                 self.eras.evacuated = Some((domains, now_ms + EVACUATIONS_TTL_MS));
             }
-            evacuation::News::All(_) => {}
+            evacuation::Update::All(_) => {}
             // The operator wrote these domains after the restore.
-            evacuation::News::Changes(changes) => {
+            evacuation::Update::Changes(changes) => {
                 if let Some((domains, _)) = &mut self.eras.evacuated {
                     changes.iter().for_each(|change| _ = domains.remove(&change.domain));
                 }
--- a/core/src/node/evacuate.rs
+++ b/core/src/node/evacuate.rs
@@ -14,11 +14,11 @@
     pub(super) fn apply_evacuations(
         &mut self,
         position: store::Position,
-        update: evacuation::News,
+        update: evacuation::Update,
         now_ms: u64,
     ) {
         self.retain_evacuations(position, &update, now_ms);
-        self.evacuations.take(position, update);
+        self.evacuations.apply(position, update);
         self.update_evacuated_domains(now_ms);
     }
 
@@ -29,10 +29,10 @@
         now_ms: u64,
     ) -> bool {
         if reported.position > self.evacuations.position {
-            let all = evacuation::News::All(reported.domains.clone());
+            let all = evacuation::Update::All(reported.domains.clone());
             self.retain_evacuations(reported.position, &all, now_ms);
         }
-        self.evacuations.take_over(reported);
+        self.evacuations.replace_if_newer(reported);
         self.update_evacuated_domains(now_ms)
     }
 
--- a/core/src/node/limits.rs
+++ b/core/src/node/limits.rs
@@ -78,15 +78,15 @@
         &mut self,
         vm: &str,
         life: ids::ServerLife,
-        directive: servers::Stated<u64>,
+        directive: servers::Directive<u64>,
         took_ms: u64,
         now_ms: u64,
     ) {
         let Some(slot) = self.servers.find_life(vm, life) else { return };
         let limit_milli_per_s = match directive {
-            servers::Stated::Value(limit) => Some(limit),
-            servers::Stated::Nothing => None,
-            servers::Stated::Unreadable => return,
+            servers::Directive::Value(limit) => Some(limit),
+            servers::Directive::Absent => None,
+            servers::Directive::Unreadable => return,
         };
         if limit_milli_per_s.is_none() && self.servers.limits().limited(slot).is_none() {
             return;
@@ -97,13 +97,13 @@
             limit_milli_per_s,
             answer: servers::AnswerId { router, number: self.limits.answer_count },
             sent_ms: now_ms.saturating_sub(took_ms),
-            heard_ms: now_ms,
+            received_ms: now_ms,
         };
         self.apply_limit_report(slot, report, LimitSource::Answer, now_ms);
     }
 
     /// Merges the limits reported by a peer.
-    pub(super) fn merge_limits(&mut self, updates: &[servers::LimitNews], now_ms: u64) {
+    pub(super) fn merge_limits(&mut self, updates: &[servers::LimitUpdate], now_ms: u64) {
         for update in updates {
             let slot = self.servers.find_life(&update.vm, update.life);
             if let (Some(slot), Some(report)) = (slot, update.report(now_ms)) {
@@ -121,7 +121,7 @@
         source: LimitSource,
         now_ms: u64,
     ) {
-        match self.servers.limits_mut().hear(slot, report, now_ms) {
+        match self.servers.limits_mut().merge_report(slot, report, now_ms) {
             servers::LimitChange::Nothing => {}
             servers::LimitChange::Limited(limit) => {
                 self.report_limit_change(slot, Some(limit), source)
@@ -133,7 +133,7 @@
     /// Ends a server's limit, and dispatches requests that waited because of it.
     fn end_limit(&mut self, slot: ids::ServerSlot, source: LimitSource, now_ms: u64) {
         self.report_limit_change(slot, None, source);
-        self.servers.forget_pace(slot);
+        self.servers.reset_answer_time(slot);
         let service = self.servers.get(slot).map(|server| server.vm.service.clone());
         if let Some(service) = service {
             self.drain_queue(&service, now_ms);
@@ -154,11 +154,11 @@
     }
 
     /// The limit updates for the next gossip datagram.
-    pub(super) fn take_limit_updates(&mut self, now_ms: u64) -> Vec<servers::LimitNews> {
+    pub(super) fn take_limit_updates(&mut self, now_ms: u64) -> Vec<servers::LimitUpdate> {
         if self.servers.limits().is_empty() {
             return Vec::new();
         }
-        let updates = self.servers.take_limit_news().into_iter();
+        let updates = self.servers.take_limit_updates().into_iter();
         updates.filter_map(|(slot, report)| self.limit_update(slot, report, now_ms)).collect()
     }
 
@@ -168,15 +168,15 @@
         slot: ids::ServerSlot,
         report: servers::LimitReport,
         now_ms: u64,
-    ) -> Option<servers::LimitNews> {
+    ) -> Option<servers::LimitUpdate> {
         let server = self.servers.get(slot)?;
-        Some(servers::LimitNews {
+        Some(servers::LimitUpdate {
             vm: server.vm.vm.clone(),
             life: server.vm.life,
             limit_milli_per_s: report.limit_milli_per_s,
             answer: report.answer,
             sent_age_ms: now_ms.saturating_sub(report.sent_ms),
-            heard_age_ms: now_ms.saturating_sub(report.heard_ms),
+            received_age_ms: now_ms.saturating_sub(report.received_ms),
         })
     }
 
@@ -195,7 +195,7 @@
             self.shed_limited(&service, now_ms);
         }
         let due = now_ms >= self.limits.pushed_ms + PUSH_INTERVAL_MS;
-        if due && self.servers.limits().has_news() {
+        if due && self.servers.limits().has_unsent() {
             self.limits.pushed_ms = now_ms;
             self.push_to_random_members(now_ms);
         }
@@ -222,7 +222,7 @@
                 return;
             }
             let permits = waiting - expected;
-            let wanted = servers::PermitsWanted { permits, within_ms, trial: false };
+            let wanted = servers::PermitsRequested { permits, within_ms, trial: false };
             expected += self.request_permits_from(*slot, wanted, now_ms);
         }
     }
@@ -233,9 +233,9 @@
         for slot in self.limited_slots(service, now_ms) {
             let Some(limited) = self.servers.limits().limited(slot) else { continue };
             let every_ms =
-                servers::trial_every_ms(limited.report.limit_milli_per_s.unwrap_or_default());
-            let age_ms = now_ms.saturating_sub(limited.report.heard_ms);
-            if age_ms < every_ms || !limited.share.may_ask(now_ms) {
+                servers::trial_interval_ms(limited.report.limit_milli_per_s.unwrap_or_default());
+            let age_ms = now_ms.saturating_sub(limited.report.received_ms);
+            if age_ms < every_ms || !limited.share.may_request(now_ms) {
                 continue;
             }
             let Some(server) = self.servers.get(slot) else { continue };
@@ -246,7 +246,7 @@
                 continue;
             }
             let wanted =
-                servers::PermitsWanted { permits: 1, within_ms: TRIAL_VALID_MS, trial: true };
+                servers::PermitsRequested { permits: 1, within_ms: TRIAL_VALID_MS, trial: true };
             self.request_permits_from(slot, wanted, now_ms);
         }
     }
@@ -269,11 +269,11 @@
     fn request_permits_from(
         &mut self,
         slot: ids::ServerSlot,
-        wanted: servers::PermitsWanted,
+        wanted: servers::PermitsRequested,
         now_ms: u64,
     ) -> u64 {
         let limited = self.servers.limits().limited(slot);
-        if !limited.is_some_and(|limited| limited.share.may_ask(now_ms)) {
+        if !limited.is_some_and(|limited| limited.share.may_request(now_ms)) {
             return 0;
         }
         let Some(router) = self.pacing_router(slot) else { return 0 };
@@ -291,7 +291,7 @@
         self.limits.permit_request_count += 1;
         let number = self.limits.permit_request_count;
         if let Some(limited) = self.servers.limits_mut().limited_mut(slot) {
-            limited.share.ask(number, wanted, now_ms);
+            limited.share.record_request(number, wanted, now_ms);
         }
         self.send(router, message::Message::PermitRequest { number, known, wanted });
         wanted.permits
@@ -301,7 +301,7 @@
     fn grant_permits(
         &mut self,
         slot: ids::ServerSlot,
-        wanted: servers::PermitsWanted,
+        wanted: servers::PermitsRequested,
         now_ms: u64,
     ) -> servers::PermitsGranted {
         // A router that has just started has not discovered the routers with which the server is shared.
@@ -322,8 +322,8 @@
             };
         };
         let limit_milli_per_s = limited.report.limit_milli_per_s.unwrap_or_default();
-        let every_ms = servers::trial_every_ms(limit_milli_per_s);
-        let last_evidence_ms = limited.report.heard_ms.max(limited.pacer.trial_ms());
+        let every_ms = servers::trial_interval_ms(limit_milli_per_s);
+        let last_evidence_ms = limited.report.received_ms.max(limited.pacer.trial_ms());
         let trial_in_ms = (last_evidence_ms + every_ms).saturating_sub(now_ms);
         if trial_in_ms > 0 && (wanted.trial || limit_milli_per_s == 0) {
             return servers::PermitsGranted::none(trial_in_ms);
@@ -339,12 +339,12 @@
         &mut self,
         from: ids::Incarnation,
         number: u64,
-        known: servers::LimitNews,
-        wanted: servers::PermitsWanted,
+        known: servers::LimitUpdate,
+        wanted: servers::PermitsRequested,
         now_ms: u64,
     ) {
         self.merge_limits(std::slice::from_ref(&known), now_ms);
-        let servers::LimitNews { vm, life, .. } = known;
+        let servers::LimitUpdate { vm, life, .. } = known;
         let granted = match self.servers.find_life(&vm, life) {
             Some(slot) => self.grant_permits(slot, wanted, now_ms),
             None => servers::PermitsGranted::none(NOT_PACER_RETRY_MS),
@@ -384,7 +384,7 @@
             let limited = self.servers.limits().limited(slot);
             limited.map_or(0, |limited| {
                 let share = &limited.share;
-                share.expected(now_ms).max(u64::from(share.may_ask(now_ms)))
+                share.expected(now_ms).max(u64::from(share.may_request(now_ms)))
             })
         };
         let permits: u64 = self.limited_slots(service, now_ms).into_iter().map(share).sum();
@@ -396,7 +396,7 @@
     pub(super) fn limited_retry_after_ms(&mut self, service: &str, now_ms: u64) -> u64 {
         let slots = self.limited_slots(service, now_ms);
         let limits = self.servers.limits();
-        let limited: Vec<&servers::Known> =
+        let limited: Vec<&servers::KnownLimit> =
             slots.iter().filter_map(|slot| limits.limited(*slot)).collect();
         let next_ms = limited.iter().map(|limited| limited.share.next_ms(now_ms)).min();
         let limits = limited.iter().filter_map(|limited| limited.report.limit_milli_per_s);
--- a/core/src/node/notices.rs
+++ b/core/src/node/notices.rs
@@ -1,6 +1,6 @@
 //! Events for the log, and the sources from which a router received what they report.
 
-use crate::{ids, leavings, ledger, ledger_writer, servers, store, watch};
+use crate::{ids, leaving_servers, ledger, ledger_writer, servers, store, watch};
 
 /// Source from which a router received its configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -149,8 +149,9 @@
         life: ids::ServerLife,
         /// Service of the server; empty if unknown.
         service: String,
+
         /// How the server announced it.
-        source: leavings::Source,
+        source: leaving_servers::Source,
         /// The router that reported it; `None` if this router received it from the server or the store.
         from: Option<ids::Incarnation>,
     },
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -199,7 +199,7 @@
         member_updates: Vec<members::Record>,
         now_ms: u64,
     ) {
-        let leaving = self.leaving_servers.take_news();
+        let leaving = self.leaving_servers.take_updates();
         let peer_differs = std::mem::take(&mut self.quarantine.peer_differs);
         let gossip = message::Gossip {
             from: self.members.own().clone(),
@@ -207,7 +207,7 @@
             digest: self.digest(now_ms),
             member_updates,
             leaving,
-            quarantine: self.quarantine.table.news(peer_differs, now_ms),
+            quarantine: self.quarantine.table.next_updates(peer_differs, now_ms),
             limits: self.take_limit_updates(now_ms),
         };
         self.counters.gossip_sent += 1;
--- a/core/src/node/quarantine.rs
+++ b/core/src/node/quarantine.rs
@@ -17,8 +17,9 @@
 pub struct BrokenRun {
     /// The request, as long as this router has it.
     pub slot: ids::RequestSlot,
+
     /// The server incarnation that ran it.
-    pub server: quarantine::LifeOf,
+    pub server: quarantine::ServerInstance,
     /// Address of the server.
     pub address: String,
     /// Fingerprint by which equal requests are recognized.
@@ -30,7 +31,7 @@
 pub(super) struct Quarantine {
     pub(super) table: quarantine::Table,
     runs: quarantine::Runs,
-    record_sync: quarantine::Keeper,
+    record_sync: quarantine::RecordSync,
     pushed_ms: u64,
     /// Whether the next datagram goes to a peer whose table differs from this router's.
     pub(super) peer_differs: bool,
@@ -70,13 +71,13 @@
             request.admission.fingerprint = Some(run.request);
         }
         let BrokenRun { server, address, request, .. } = run;
-        if self.quarantine.runs.broke(server, address, *request, now_ms) {
+        if self.quarantine.runs.record_interrupted(server, address, *request, now_ms) {
             self.record_crash_of_request(*request, server, now_ms);
         }
     }
 
     /// Records that a server's address refuses connections, so that the process that listened there has ended.
-    pub fn connection_refused(&mut self, server: &quarantine::LifeOf, now_ms: u64) {
+    pub fn connection_refused(&mut self, server: &quarantine::ServerInstance, now_ms: u64) {
         if let Some(slot) = self.servers.find_life(&server.vm, server.life) {
             self.servers.refused(slot, now_ms);
         }
@@ -88,7 +89,7 @@
     }
 
     /// Records that a server accepts connections after a run broke off.
-    pub fn connection_accepted(&mut self, server: &quarantine::LifeOf) {
+    pub fn connection_accepted(&mut self, server: &quarantine::ServerInstance) {
         self.quarantine.runs.accepted(server);
     }
 
@@ -107,7 +108,7 @@
             return crashes;
         }
         let change = self.quarantine.table.clear(request, now_ms);
-        self.quarantine.record_sync.want_write();
+        self.quarantine.record_sync.schedule_write();
         self.report_change(request, change, QuarantineSource::Operator, now_ms);
         crashes
     }
@@ -138,7 +139,8 @@
             return;
         }
         if let Some(server) = self.servers.get(server) {
-            let server = quarantine::LifeOf { vm: server.vm.vm.clone(), life: server.vm.life };
+            let server =
+                quarantine::ServerInstance { vm: server.vm.vm.clone(), life: server.vm.life };
             self.quarantine.runs.answered(&server, sent_ms);
         }
     }
@@ -146,7 +148,7 @@
     /// Determines, after a change of the list of servers, which server incarnations with broken runs have ended.
     pub(super) fn detect_ended_servers(&mut self, now_ms: u64) {
         let open = self.quarantine.runs.open();
-        let ended: Vec<quarantine::LifeOf> = open
+        let ended: Vec<quarantine::ServerInstance> = open
             .filter(|(server, address)| self.has_ended(server, address))
             .map(|(server, _)| server.clone())
             .collect();
@@ -157,11 +159,11 @@
     }
 
     /// Whether a server incarnation announced that it leaves.
-    fn is_leaving(&self, server: &quarantine::LifeOf) -> bool {
-        self.leaving_servers.holds(&server.vm, server.life)
+    fn is_leaving(&self, server: &quarantine::ServerInstance) -> bool {
+        self.leaving_servers.contains(&server.vm, server.life)
     }
 
-    fn has_ended(&self, server: &quarantine::LifeOf, address: &str) -> bool {
+    fn has_ended(&self, server: &quarantine::ServerInstance, address: &str) -> bool {
         if self.is_leaving(server) || self.lapsed.iter().any(|vm| vm.vm == server.vm) {
             return false;
         }
@@ -178,7 +180,7 @@
 
     fn record_server_crash(
         &mut self,
-        server: &quarantine::LifeOf,
+        server: &quarantine::ServerInstance,
         broken: Vec<(ids::Fingerprint, u64)>,
         now_ms: u64,
     ) {
@@ -200,18 +202,18 @@
     fn record_crash_of_request(
         &mut self,
         request: ids::Fingerprint,
-        server: &quarantine::LifeOf,
+        server: &quarantine::ServerInstance,
         at_ms: u64,
     ) {
         let digest = quarantine::Server::new(&server.vm, server.life);
         let change = self.quarantine.table.crashed(request, digest, at_ms);
         if change == quarantine::Change::Quarantined {
-            self.quarantine.record_sync.want_write();
+            self.quarantine.record_sync.schedule_write();
         }
 
         // Routers that this one does not reach may have quarantined it already.
         if self.members.live_count() < self.max_live_routers {
-            self.quarantine.record_sync.want_read();
+            self.quarantine.record_sync.schedule_read();
         }
         self.report_change(request, change, QuarantineSource::Observed, at_ms);
     }
@@ -240,9 +242,9 @@
     }
 
     /// Merges the reports of a peer; returns whether its table differs from this router's.
-    pub(super) fn merge_quarantine(&mut self, news: &quarantine::News, now_ms: u64) -> bool {
+    pub(super) fn merge_quarantine(&mut self, news: &quarantine::Updates, now_ms: u64) -> bool {
         for report in &news.reports {
-            let change = self.quarantine.table.hear(report, now_ms);
+            let change = self.quarantine.table.merge_report(report, now_ms);
             self.report_change(report.request, change, QuarantineSource::Peer, now_ms);
         }
         news.summary != self.quarantine.table.summary()
@@ -255,7 +257,7 @@
             self.quarantine.table.expire(now_ms);
             self.quarantine.runs.forget_old(now_ms);
         }
-        let due = match self.quarantine.table.fresh() {
+        let due = match self.quarantine.table.urgency() {
             None => false,
             Some(quarantine::Urgency::AtOnce) => true,
             Some(quarantine::Urgency::Soon) => {
@@ -294,11 +296,11 @@
             quarantine::Reply::Value(value) => match quarantine::Record::decode(&value) {
                 Ok(record) => {
                     let own = self.quarantine.table.reports_of_quarantined(now_ms);
-                    if own.iter().all(|report| record.holds(report.request)) {
+                    if own.iter().all(|report| record.contains(report.request)) {
                         self.quarantine.record_sync.cancel_rewrite();
                     }
                     for report in record.reports(self.unix_ms(now_ms)) {
-                        let change = self.quarantine.table.hear(&report, now_ms);
+                        let change = self.quarantine.table.merge_report(&report, now_ms);
                         let source = QuarantineSource::Store;
                         self.report_change(report.request, change, source, now_ms);
                     }
--- a/core/src/node/queue.rs
+++ b/core/src/node/queue.rs
@@ -87,7 +87,7 @@
     /// Where all servers of a service back off, or have not answered a request since, refuses the queued requests
     /// beyond those that the first answers make room for.
     fn shed_backing_off(&mut self, service: &str, now_ms: u64) {
-        if let Some(length_max) = self.servers.places_after_backoffs(service, now_ms) {
+        if let Some(length_max) = self.servers.sends_after_backoffs(service, now_ms) {
             self.shed(service, length_max, Reason::Backoff, now_ms);
         }
     }
@@ -104,7 +104,7 @@
     pub(super) fn enqueue(
         &mut self,
         slot: ids::RequestSlot,
-        unavailable: servers::Lack,
+        unavailable: servers::Unavailable,
         now_ms: u64,
     ) {
         let Some(request) = self.requests.get(slot) else { return };
@@ -182,9 +182,9 @@
 
 /// Whether a request for which no server is available may be queued. One whose servers all back off is refused at once:
 /// the first server that accepts requests again accepts a single one, and most of the queue would expire.
-fn may_wait(unavailable: servers::Lack) -> bool {
+fn may_wait(unavailable: servers::Unavailable) -> bool {
     match unavailable {
-        servers::Lack::Full | servers::Lack::Limited => true,
-        servers::Lack::Backoff | servers::Lack::None => false,
+        servers::Unavailable::Full | servers::Unavailable::Limited => true,
+        servers::Unavailable::Backoff | servers::Unavailable::None => false,
     }
 }
--- a/core/src/node/retries.rs
+++ b/core/src/node/retries.rs
@@ -55,7 +55,7 @@
             Ok(choice) => choice,
             Err(unavailable) => {
                 let reason = match unavailable {
-                    servers::Lack::Full => Reason::NoServer,
+                    servers::Unavailable::Full => Reason::NoServer,
                     unavailable => unavailable.into(),
                 };
                 self.end_retries(slot, reason, now_ms);
--- a/core/src/node/settle.rs
+++ b/core/src/node/settle.rs
@@ -153,14 +153,14 @@
     /// one.
     pub(super) fn record_rejection(&mut self, slot: ids::ServerSlot, sent_ms: u64, now_ms: u64) {
         if !self.leaves_or_backs_off(slot, now_ms) {
-            let ejected_ms = self.servers.turned_away(slot, sent_ms, now_ms);
+            let ejected_ms = self.servers.rejected(slot, sent_ms, now_ms);
             self.report_ejection(slot, ejected_ms);
         }
     }
 
     /// Whether a server leaves or backs off, so that a failed request does not count as a failure of the server.
     fn leaves_or_backs_off(&self, slot: ids::ServerSlot, now_ms: u64) -> bool {
-        let leaves = self.servers.get(slot).is_some_and(servers::Server::leaves);
+        let leaves = self.servers.get(slot).is_some_and(servers::Server::is_leaving);
         leaves || self.servers.backs_off(slot, now_ms)
     }
 
--- a/core/src/node/watching.rs
+++ b/core/src/node/watching.rs
@@ -211,7 +211,7 @@
                 watch::ServerRecord::Listed(vm) => {
                     self.remove_lapsed(&change.vm);
                     self.eras.set_record_revision(&change.vm, change.position.revision);
-                    vms.insert(change.vm.clone(), vm.clone().unless_over(removed.as_ref()));
+                    vms.insert(change.vm.clone(), vm.clone().unless_superseded(removed.as_ref()));
                 }
                 watch::ServerRecord::Gone | watch::ServerRecord::Unreadable => {
                     self.remove_lapsed(&change.vm);
--- /dev/null
+++ b/core/src/servers/directives.rs
@@ -0,0 +1,73 @@
+//! Directives that a server sends in the headers of its answers.
+
+/// Value of one directive.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum Directive<T> {
+    /// The header is absent.
+    #[default]
+    Absent,
+    /// The header is present with this value.
+    Value(T),
+    /// The header is present, but its value cannot be parsed.
+    Unreadable,
+}
+
+/// Directives in the headers of one answer.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Directives {
+    /// Rate of requests that the server accepts from all routers together, in thousandths per
+    /// second.
+    pub limit_milli_per_s: Directive<u64>,
+    /// Whether the server is leaving.
+    pub is_leaving: Directive<bool>,
+    /// Time for which the server requests a backoff from this router, in milliseconds.
+    pub backoff_ms: Directive<u64>,
+}
+
+/// Ages of an answer's request and of its headers, in milliseconds.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct AnswerAge {
+    /// Time since the request was sent.
+    pub sent_ms: u64,
+    /// Time since the headers of the answer were received.
+    pub received_ms: u64,
+}
+
+/// Header that carries one of the [`Directives`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Header {
+    /// Carries [`Directives::limit_milli_per_s`].
+    Limit,
+    /// Carries [`Directives::is_leaving`].
+    Leaving,
+    /// Carries [`Directives::backoff_ms`].
+    Backoff,
+}
+
+impl Header {
+    /// Value of the key `header` in log lines.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Limit => "Limit",
+            Self::Leaving => "Leaving",
+            Self::Backoff => "Backoff",
+        }
+    }
+}
+
+impl Directives {
+    /// Whether all directives are absent.
+    pub fn is_empty(&self) -> bool {
+        *self == Self::default()
+    }
+
+    /// Headers whose values cannot be parsed.
+    pub fn unreadable(&self) -> impl Iterator<Item = Header> {
+        let headers = [
+            (Header::Limit, self.limit_milli_per_s == Directive::Unreadable),
+            (Header::Leaving, self.is_leaving == Directive::Unreadable),
+            (Header::Backoff, self.backoff_ms == Directive::Unreadable),
+        ];
+        headers.into_iter().filter(|(_, unreadable)| *unreadable).map(|(header, _)| header)
+    }
+}
--- a/core/src/watch/updates.rs
+++ b/core/src/watch/updates.rs
@@ -55,8 +55,9 @@
 pub struct ConfigurationUpdate {
     /// The configuration, if it can be decoded and has changed or the full state was requested.
     pub published: Option<Box<config::Published>>,
+
     /// The evacuations that changed.
-    pub evacuations: evacuation::News,
+    pub evacuations: evacuation::Update,
 }
 
 /// The update in the answer to a poll.
--- a/core/tests/cold_servers.rs
+++ b/core/tests/cold_servers.rs
@@ -61,7 +61,7 @@
     }
 
     fn follow(&mut self, vms: &[servers::Vm], now_ms: u64) {
-        self.tables.iter_mut().for_each(|table| table.follow(vms, now_ms));
+        self.tables.iter_mut().for_each(|table| table.apply_list(vms, now_ms));
     }
 
     /// Requests of one prompt or of many come at random routers; each takes a while.
@@ -75,12 +75,12 @@
                 let at = self.rng.random_range(0..self.tables.len());
                 let prompt = self.rng.random_range(0..prompts);
                 let parts = servers::chain([(prompt, 5_000), (self.rng.random(), 500)].into_iter());
-                let wanted = servers::Wanted {
+                let wanted = servers::Criteria {
                     service: SERVICE,
                     classes: &[],
                     prefix_hash: None,
                     parts: &parts,
-                    not: &[],
+                    excluded: &[],
                 };
                 match self.tables[at].choose(&wanted, now_ms, &mut self.rng) {
                     Ok(choice) => {
--- a/core/tests/said_schedules.rs
+++ b/core/tests/said_schedules.rs
@@ -6,7 +6,7 @@
 
 mod watch_fleet;
 
-use doorswitch_core::{ids, leavings, node, servers};
+use doorswitch_core::{ids, leaving_servers, node, servers};
 use rand::RngExt;
 use std::collections::HashMap;
 use watch_fleet::traffic::{Handed, Traffic};
@@ -245,23 +245,23 @@
         let of = (server.name.clone(), run.life);
         let told = self.told.entry(run.router).or_default();
         let limit = server.limit_milli_per_s.filter(|_| server.life == run.life);
-        let mut said = servers::Said {
-            limit_milli_per_s: limit.map_or(servers::Stated::Nothing, servers::Stated::Value),
-            ..servers::Said::default()
+        let mut said = servers::Directives {
+            limit_milli_per_s: limit.map_or(servers::Directive::Absent, servers::Directive::Value),
+            ..servers::Directives::default()
         };
         match run.manner {
             Manner::Serves | Manner::Sheds { .. } => {}
             Manner::Leaves => {
-                said.leaves = servers::Stated::Value(true);
+                said.is_leaving = servers::Directive::Value(true);
                 told.leaving.entry(of).or_insert(now_ms);
             }
             Manner::TurnsAway { backoff_ms } => {
-                said.backoff_ms = servers::Stated::Value(backoff_ms);
+                said.backoff_ms = servers::Directive::Value(backoff_ms);
                 let until_ms = told.backoff_until_ms.entry(of).or_default();
                 *until_ms = (now_ms + backoff_ms).max(*until_ms);
             }
         }
-        let age = servers::AnswerAge { sent_ms: now_ms - run.sent_ms, heard_ms: 0 };
+        let age = servers::AnswerAge { sent_ms: now_ms - run.sent_ms, received_ms: 0 };
         router.node.report_directives(&server.name, run.life, &said, age, now_ms);
         if let Manner::TurnsAway { .. } = run.manner {
             router.node.retry(run.slot, node::AttemptFailure::Rejected, now_ms);
@@ -365,7 +365,9 @@
     fn knows(&self, node: &node::Node, leaving: &[Life]) -> bool {
         let known = |(vm, life): &Life| {
             let source = node.leaving_servers().iter().find(|(known, _)| known == vm);
-            source.is_some_and(|(_, it)| it.life == *life && it.source == leavings::Source::Answer)
+            source.is_some_and(|(_, it)| {
+                it.life == *life && it.source == leaving_servers::Source::Answer
+            })
         };
         leaving.iter().all(known)
     }
@@ -555,8 +557,10 @@
         scenario.run_ms(15_000);
         scenario.traffic.fleet.loss_percent = 10;
         let now_ms = scenario.traffic.fleet.now_ms;
-        let said =
-            servers::Said { leaves: servers::Stated::Value(true), ..servers::Said::default() };
+        let said = servers::Directives {
+            is_leaving: servers::Directive::Value(true),
+            ..servers::Directives::default()
+        };
         for place in 0..leaving {
             let vm = format!("vm-{place}");
             let age = servers::AnswerAge::default();
--- a/core/tests/server_lives.rs
+++ b/core/tests/server_lives.rs
@@ -34,17 +34,17 @@
 impl Bench {
     fn new() -> Self {
         let mut bench = Self { table: servers::Table::default(), rng: StdRng::seed_from_u64(1) };
-        bench.table.follow(&[live(5)], 0);
+        bench.table.apply_list(&[live(5)], 0);
         bench
     }
 
-    fn choose(&mut self, parts: &[servers::Part]) -> Result<servers::Choice, servers::Lack> {
-        let wanted = servers::Wanted {
+    fn choose(&mut self, parts: &[servers::Part]) -> Result<servers::Choice, servers::Unavailable> {
+        let wanted = servers::Criteria {
             service: "service",
             classes: &[],
             prefix_hash: None,
             parts,
-            not: &[],
+            excluded: &[],
         };
         self.table.choose(&wanted, NOW_MS, &mut self.rng)
     }
@@ -55,15 +55,15 @@
 
     /// The server starts again.
     fn restart(&mut self) {
-        self.table.follow(&[live(6)], NOW_MS);
+        self.table.apply_list(&[live(6)], NOW_MS);
     }
 }
 
 #[test]
 fn a_leaving_is_forgotten() {
     let mut bench = Bench::new();
-    bench.table.leaving("one", ids::ServerLife(5));
-    assert_eq!(bench.choose(&[]).unwrap_err(), servers::Lack::None);
+    bench.table.mark_leaving("one", ids::ServerLife(5));
+    assert_eq!(bench.choose(&[]).unwrap_err(), servers::Unavailable::None);
     bench.restart();
     assert!(bench.choose(&[]).is_ok());
 }
@@ -72,17 +72,17 @@
 fn a_leaving_of_the_earlier_life_that_comes_late_changes_nothing() {
     let mut bench = Bench::new();
     bench.restart();
-    bench.table.leaving("one", ids::ServerLife(5));
+    bench.table.mark_leaving("one", ids::ServerLife(5));
     assert!(bench.choose(&[]).is_ok());
-    bench.table.leaving("one", ids::ServerLife(6));
-    assert_eq!(bench.choose(&[]).unwrap_err(), servers::Lack::None);
+    bench.table.mark_leaving("one", ids::ServerLife(6));
+    assert_eq!(bench.choose(&[]).unwrap_err(), servers::Unavailable::None);
 }
 
 #[test]
 fn an_older_record_that_comes_late_changes_nothing() {
     let mut bench = Bench::new();
     bench.restart();
-    bench.table.follow(&[vm(5, servers::VmState::Leaving)], NOW_MS);
+    bench.table.apply_list(&[vm(5, servers::VmState::Leaving)], NOW_MS);
     assert_eq!(bench.present().vm, live(6));
     assert!(bench.choose(&[]).is_ok());
 }
@@ -106,7 +106,7 @@
     }
     let slot = bench.table.find("one").unwrap();
     bench.table.reported(slot, servers::Load { running: 4, queued: 9, slots: 4 });
-    assert_eq!(bench.choose(&[]).unwrap_err(), servers::Lack::Full);
+    assert_eq!(bench.choose(&[]).unwrap_err(), servers::Unavailable::Full);
     bench.restart();
     assert_eq!((bench.present().load, bench.present().in_flight), (None, 0));
     assert!(bench.choose(&[]).is_ok());
@@ -139,7 +139,7 @@
     bench.table.failed(earlier, NOW_MS);
     bench.table.ended(earlier);
     assert_eq!((bench.present().in_flight, bench.present().load), (1, None));
-    bench.table.follow(&[live(6)], NOW_MS);
+    bench.table.apply_list(&[live(6)], NOW_MS);
     assert!(bench.table.get(earlier).is_none(), "nothing keeps it");
     assert_eq!(bench.table.find("one"), Some(later));
 }
@@ -149,9 +149,9 @@
     let mut bench = Bench::new();
     let earlier = bench.choose(&[]).unwrap().slot;
     bench.restart();
-    bench.table.follow(&[live(6)], NOW_MS);
+    bench.table.apply_list(&[live(6)], NOW_MS);
     assert!(bench.table.get(earlier).is_some(), "a request is open there");
     bench.table.ended(earlier);
-    bench.table.follow(&[], NOW_MS);
+    bench.table.apply_list(&[], NOW_MS);
     assert_eq!(bench.table.iter().count(), 0);
 }
--- a/core/tests/watch_fleet/store.rs
+++ b/core/tests/watch_fleet/store.rs
@@ -144,9 +144,9 @@
             .then_some(watch::Outcome::Answered { position: self.position(self.revision), update })
     }
 
-    fn evacuations(&self, call: &watch::Poll) -> evacuation::News {
+    fn evacuations(&self, call: &watch::Poll) -> evacuation::Update {
         let Some(after) = call.after else {
-            return evacuation::News::All(self.evacuated.clone());
+            return evacuation::Update::All(self.evacuated.clone());
         };
         let later = self.evacuations.iter().map(|(_, change)| change);
         let later = later.filter(|change| change.position.revision > after.revision);
@@ -154,7 +154,7 @@
             let position = self.position(change.position.revision);
             evacuation::Change { position, ..change.clone() }
         });
-        evacuation::News::Changes(told.collect())
+        evacuation::Update::Changes(told.collect())
     }
 
     fn news(&self, call: &watch::Poll) -> watch::Update {
--- a/core/tests/wire_format.rs
+++ b/core/tests/wire_format.rs
@@ -4,7 +4,8 @@
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use doorswitch_core::{
-    evacuation, ids, leavings, log_index, members, message, quarantine, servers, store, watch,
+    evacuation, ids, leaving_servers, log_index, members, message, quarantine, servers, store,
+    watch,
 };
 use std::collections;
 
@@ -70,14 +71,14 @@
     }
 }
 
-fn limit() -> servers::LimitNews {
-    servers::LimitNews {
+fn limit() -> servers::LimitUpdate {
+    servers::LimitUpdate {
         vm: "a".to_owned(),
         life: ids::ServerLife(1),
         limit_milli_per_s: Some(2),
         answer: servers::AnswerId { router: router(3), number: 4 },
         sent_age_ms: 5,
-        heard_age_ms: 6,
+        received_age_ms: 6,
     }
 }
 
@@ -115,9 +116,9 @@
         leaving: vec![message::LeavingUpdate {
             vm: "a".to_owned(),
             life: ids::ServerLife(1),
-            source: leavings::Source::Answer,
+            source: leaving_servers::Source::Answer,
         }],
-        quarantine: quarantine::News { summary: 8, reports: vec![report] },
+        quarantine: quarantine::Updates { summary: 8, reports: vec![report] },
         limits: vec![limit()],
     }
 }
@@ -196,7 +197,7 @@
     permit_ask_keeps_its_bytes: message::Message::PermitRequest {
         number: 1,
         known: limit(),
-        wanted: servers::PermitsWanted { permits: 2, within_ms: 3, trial: true },
+        wanted: servers::PermitsRequested { permits: 2, within_ms: 3, trial: true },
     } => "0101021101016101010203040506020301";
     permits_keeps_its_bytes: message::Message::PermitReply {
         number: 1,
--- a/src/control/handlers.rs
+++ b/src/control/handlers.rs
@@ -80,7 +80,7 @@
         let messages::DirectivesReported { vm, life, directives, sent_at, received_at } = reported;
         let age = servers::AnswerAge {
             sent_ms: sent_at.elapsed().as_millis() as u64,
-            heard_ms: received_at.elapsed().as_millis() as u64,
+            received_ms: received_at.elapsed().as_millis() as u64,
         };
         self.node.report_directives(&vm, life, &directives, age, now_ms);
         self.perform_actions(context);
--- a/src/control/messages.rs
+++ b/src/control/messages.rs
@@ -55,8 +55,9 @@
     pub vm: String,
     /// The incarnation of the server that sent them.
     pub life: ids::ServerLife,
+
     /// The directives.
-    pub directives: servers::Said,
+    pub directives: servers::Directives,
     /// The time at which the request was sent.
     pub sent_at: Instant,
     /// The time at which the head was received.
@@ -71,12 +72,12 @@
 /// A server instance whose address refuses connections.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
-pub struct ServerRefused(pub quarantine::LifeOf);
+pub struct ServerRefused(pub quarantine::ServerInstance);
 
 /// A server instance that accepted a connection after a run on it broke off.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
-pub struct ServerAccepted(pub quarantine::LifeOf);
+pub struct ServerAccepted(pub quarantine::ServerInstance);
 
 /// A request that a crash may count against, of which a run succeeded.
 #[derive(Debug, Message)]
--- a/src/probe.rs
+++ b/src/probe.rs
@@ -76,7 +76,7 @@
 /// may have been ending during the first probe. Reports a server that refuses connections then.
 pub async fn watch_connection(
     control: Addr<control::Control>,
-    server: quarantine::LifeOf,
+    server: quarantine::ServerInstance,
     address: String,
     local: net::IpAddr,
     ended: impl Future<Output = ()>,
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -90,8 +90,8 @@
 
 impl Placement {
     /// The server's VM and incarnation.
-    pub fn server(&self) -> quarantine::LifeOf {
-        quarantine::LifeOf { vm: self.vm.clone(), life: self.life }
+    pub fn server(&self) -> quarantine::ServerInstance {
+        quarantine::ServerInstance { vm: self.vm.clone(), life: self.life }
     }
 }
 
@@ -111,11 +111,11 @@
     control: &Addr<control::Control>,
     published: &snapshot::Published,
     placement: &Placement,
-    said: servers::Said,
+    said: servers::Directives,
     sent: Instant,
 ) {
     // While limits are in force, an answer without directives matters too.
-    if said.is_silent() && !published.any_limits() {
+    if said.is_empty() && !published.any_limits() {
         return;
     }
     let (vm, life, heard) = (placement.vm.clone(), placement.life, Instant::now());
