--- a/core/tests/broken_runs.rs
+++ b/core/tests/broken_runs.rs
@@ -1,4 +1,4 @@
-//! Which broken runs count as crashes of their servers, and until when.
+//! Which broken runs count as crashes of their servers, and for how long.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -15,40 +15,40 @@
     LifeOf { vm: "vm".to_owned(), life: ids::ServerLife(life) }
 }
 
-/// One run that broke at a moment.
-fn broken(life: u64) -> Runs {
+/// Records of one run on this incarnation that broke off at `NOW_MS`.
+fn one_broken_run(life: u64) -> Runs {
     let mut runs = Runs::default();
     assert!(!runs.broke(&server(life), "10.0.0.1:1", request(1), NOW_MS));
     runs
 }
 
-fn requests(found: Vec<(ids::Fingerprint, u64)>) -> Vec<ids::Fingerprint> {
+fn fingerprints(found: Vec<(ids::Fingerprint, u64)>) -> Vec<ids::Fingerprint> {
     found.into_iter().map(|(request, _)| request).collect()
 }
 
 #[test]
-fn a_refused_connection_tells_of_the_last_second_only() {
-    assert_eq!(requests(broken(1).refused(&server(1), NOW_MS + 900)), [request(1)]);
-    assert!(broken(1).refused(&server(1), NOW_MS + 1_100).is_empty());
+fn a_refused_connection_implicates_runs_of_the_last_second_only() {
+    assert_eq!(fingerprints(one_broken_run(1).refused(&server(1), NOW_MS + 900)), [request(1)]);
+    assert!(one_broken_run(1).refused(&server(1), NOW_MS + 1_100).is_empty());
 }
 
 #[test]
-fn another_life_s_end_tells_nothing() {
-    assert!(broken(1).refused(&server(2), NOW_MS).is_empty());
-    assert!(broken(1).crashed(&server(2), NOW_MS).is_empty());
+fn the_end_of_another_incarnation_implicates_no_run() {
+    assert!(one_broken_run(1).refused(&server(2), NOW_MS).is_empty());
+    assert!(one_broken_run(1).crashed(&server(2), NOW_MS).is_empty());
 }
 
 #[test]
-fn a_run_that_breaks_after_the_crash_was_seen_counts_at_once() {
-    let mut runs = broken(1);
+fn a_run_that_breaks_after_the_crash_was_detected_counts_immediately() {
+    let mut runs = one_broken_run(1);
     runs.refused(&server(1), NOW_MS);
     assert!(runs.broke(&server(1), "10.0.0.1:1", request(2), NOW_MS + 5_000));
 }
 
 #[test]
-fn lives_without_names_are_told_apart_by_time() {
+fn crashes_of_unknown_incarnations_are_distinguished_by_time() {
     let unknown = ids::ServerLife::UNKNOWN.0;
-    let mut runs = broken(unknown);
+    let mut runs = one_broken_run(unknown);
     runs.refused(&server(unknown), NOW_MS);
     assert!(runs.broke(&server(unknown), "10.0.0.1:1", request(2), NOW_MS + 300));
     assert!(!runs.broke(&server(unknown), "10.0.0.1:1", request(2), NOW_MS + 5_000));
@@ -56,16 +56,16 @@
 
 #[test]
 fn a_server_that_answers_a_later_request_has_not_crashed() {
-    let mut runs = broken(1);
+    let mut runs = one_broken_run(1);
     runs.answered(&server(1), NOW_MS - 1);
-    assert_eq!(runs.open().count(), 1, "it was sent before");
+    assert_eq!(runs.open().count(), 1, "the answered request was sent before the break");
     runs.answered(&server(1), NOW_MS + 1);
     assert!(runs.crashed(&server(1), NOW_MS + 2).is_empty());
 }
 
 #[test]
-fn a_server_that_takes_connections_must_be_recorded_anew_soon() {
-    let mut runs = broken(1);
+fn broken_runs_of_a_server_that_accepts_connections_expire_early() {
+    let mut runs = one_broken_run(1);
     runs.accepted(&server(1));
     runs.forget_old(NOW_MS + 2_900);
     assert_eq!(runs.open().count(), 1);
@@ -74,15 +74,15 @@
 }
 
 #[test]
-fn a_good_end_of_a_request_drops_its_broken_runs_only() {
-    let mut runs = broken(1);
+fn a_success_of_a_request_drops_only_its_own_broken_runs() {
+    let mut runs = one_broken_run(1);
     runs.broke(&server(1), "10.0.0.1:1", request(2), NOW_MS);
     runs.ended_well(request(1));
-    assert_eq!(requests(runs.crashed(&server(1), NOW_MS)), [request(2)]);
+    assert_eq!(fingerprints(runs.crashed(&server(1), NOW_MS)), [request(2)]);
 }
 
 #[test]
-fn all_is_forgotten_and_bounded() {
+fn records_of_broken_runs_are_bounded_and_expire() {
     let mut runs = Runs::default();
     for number in 0..2_000 {
         let server = LifeOf { vm: format!("vm-{number}"), life: ids::ServerLife(1) };
--- a/core/tests/crash_cost.rs
+++ b/core/tests/crash_cost.rs
@@ -1,14 +1,12 @@
-//! What a crash of routers costs a workspace of the tokens that it paid in.
+//! The prepaid tokens that a workspace loses when routers crash.
 //!
-//! Five of seven routers were killed one second after the first requests came. Each budget has one holder, and a
-//! holder that had not measured any spending held a third of what was unspent. Six of ten budgets lost that third at
-//! once: `event=balance budget=ziti620/prepaid free_tokens=552311 rate_tokens_per_s=510 undrawn_tokens=1124504
-//! consumed_tokens=0` before, `event=dead_holder_closed written_off_tokens=552311` after it, 1,836,125 of the
-//! 8,621,557 tokens paid in all. A later crash of three routers took 336,970, the loss of all routers at
-//! second 34 only 35,468. The budgets ended early: the first at second 13, six of ten at second 26, all
-//! ten at second 36. When all routers were back, `code=budget_exhausted` was the answer to four in five requests,
-//! and 83 of 344 were served. So not what the last loss took left nothing to serve, but what the first one took of
-//! budgets that nobody had used yet. What a holder has in hand must follow what is spent, not what there is.
+//! Guards against a holder that keeps tokens in proportion to what a budget has left instead of what is spent from it.
+//! Each budget has one holder, and a holder that had not measured any spending held a third of the unspent tokens
+//! (552,311 with 1,124,504 undrawn and none consumed, at a rate of 510 tokens a second). When five of seven routers
+//! were killed one second after the first requests, six of ten budgets lost that third: 1,836,125 of 8,621,557 paid
+//! tokens were written off. Later crashes cost less: 336,970 with three routers, 35,468 with all of them at second 34.
+//! The budgets ended early, the first at second 13, six at second 26 and all ten at second 36; four in five requests
+//! were then refused with `budget_exhausted`, and 83 of 344 were served.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -21,12 +19,12 @@
 const COVER_S: u64 = 15;
 const BOUND_TOKENS: u64 = 500;
 
-/// A fleet in which one router holds each budget, as on a platform whose machines may all be lost at once.
+/// A fleet in which one router holds each budget, as on a platform whose machines may all fail at once.
 fn fleet(seed: u64) -> World {
-    fleet_that_holds(33, seed)
+    fleet_with_held_percent(33, seed)
 }
 
-fn fleet_that_holds(held_percent: u64, seed: u64) -> World {
+fn fleet_with_held_percent(held_percent: u64, seed: u64) -> World {
     let mut shape = Shape { routers: ROUTERS, paid_tokens: PAID_TOKENS, ..Shape::default() };
     for budget in &mut shape.budgets {
         budget.cover_s = COVER_S;
@@ -39,7 +37,7 @@
     world
 }
 
-/// Has routers in turn spend from each budget for a while.
+/// Spends from each budget at a constant rate, through the routers in turn.
 fn spend(world: &mut World, tokens_per_s: u64, time_ms: u64) {
     let pause_ms = BOUND_TOKENS * 1_000 / tokens_per_s;
     let end_ms = world.now_ms + time_ms;
@@ -62,23 +60,24 @@
     world.routers.iter().position(holds).unwrap()
 }
 
-/// Kills routers and starts them again where they were; they close what the earlier lives held.
-fn crash(world: &mut World, places: &[usize]) {
-    places.iter().for_each(|at| world.kill(*at));
+/// Kills routers and restarts them at the same addresses; they close the grants of their earlier incarnations.
+fn crash(world: &mut World, routers: &[usize]) {
+    routers.iter().for_each(|router| world.kill(*router));
     world.run_ms(600);
-    places.iter().for_each(|at| world.restart(*at, true));
+    routers.iter().for_each(|router| world.restart(*router, true));
     world.run_ms(1_000);
     spend(world, 1_000, 5_000);
 }
 
 #[test]
-fn a_crash_before_anything_was_spent_takes_next_to_nothing() {
+fn a_crash_before_any_spending_loses_at_most_a_hundredth() {
     for seed in 1..6 {
         let mut world = fleet(seed);
         let (first, second) = (holder(&world, 0), holder(&world, 1));
-        let spared = (0..ROUTERS).filter(|at| *at != first && *at != second).take(2);
-        let spared: Vec<usize> = spared.collect();
-        let killed: Vec<usize> = (0..ROUTERS).filter(|at| !spared.contains(at)).collect();
+        let survivors = (0..ROUTERS).filter(|router| *router != first && *router != second).take(2);
+        let survivors: Vec<usize> = survivors.collect();
+        let killed: Vec<usize> =
+            (0..ROUTERS).filter(|router| !survivors.contains(router)).collect();
         crash(&mut world, &killed);
         let lost_tokens = world.written_off_tokens;
         assert!(
@@ -89,7 +88,7 @@
 }
 
 #[test]
-fn a_crash_takes_seconds_of_what_a_budget_spends_however_much_was_paid() {
+fn the_loss_in_a_crash_is_bounded_by_spending_and_not_by_the_paid_tokens() {
     const TOKENS_PER_S: u64 = 1_000;
     for seed in 1..6 {
         let mut world = fleet(seed);
@@ -98,44 +97,47 @@
         let life = world.routers[holder].life;
         let before_tokens = world.ledger(0).written_off_tokens;
         crash(&mut world, &[holder]);
-        assert!(!world.ledger(0).grants.contains_key(&life), "seed {seed}: it was closed");
+        assert!(
+            !world.ledger(0).grants.contains_key(&life),
+            "seed {seed}: the grant was not closed"
+        );
         let lost_tokens = world.ledger(0).written_off_tokens - before_tokens;
         assert!(
             lost_tokens <= 2 * COVER_S * TOKENS_PER_S,
-            "seed {seed}: {lost_tokens} tokens lost, {TOKENS_PER_S} a second were spent"
+            "seed {seed}: {lost_tokens} tokens lost at {TOKENS_PER_S} spent a second"
         );
     }
 }
 
 #[test]
-fn a_router_that_takes_over_has_in_hand_what_is_spent() {
+fn the_grant_of_a_new_holder_follows_spending() {
     const TOKENS_PER_S: u64 = 5_000;
     for seed in 1..6 {
         let mut world = fleet(seed);
         spend(&mut world, TOKENS_PER_S, 15_000);
-        let dead = holder(&world, 0);
-        world.kill(dead);
+        let killed = holder(&world, 0);
+        world.kill(killed);
         world.run_ms(3_000);
         let mut most_tokens = 0;
         for _ in 0..50 {
             spend(&mut world, TOKENS_PER_S, 200);
-            let held = world.routers.iter().map(|router| held(&world, router));
-            most_tokens = most_tokens.max(held.max().unwrap());
+            let granted = world.routers.iter().map(|router| granted_tokens(&world, router));
+            most_tokens = most_tokens.max(granted.max().unwrap());
         }
         let needed = COVER_S * TOKENS_PER_S / 2..2 * COVER_S * TOKENS_PER_S;
-        assert!(needed.contains(&most_tokens), "seed {seed}: {most_tokens} in hand at the most");
+        assert!(needed.contains(&most_tokens), "seed {seed}: {most_tokens} granted at the most");
     }
 }
 
-/// What a router has in hand of the first budget, if it holds it.
-fn held(world: &World, router: &world::Router) -> u64 {
+/// The free tokens that a router is granted of the first budget, or 0 if it is not the holder.
+fn granted_tokens(world: &World, router: &world::Router) -> u64 {
     let grants = router.node.grants();
     let account = grants.account(grants.find(&world.budget_name(0)).unwrap());
     if account.holder { account.free_tokens() } else { 0 }
 }
 
 #[test]
-fn an_outage_soon_after_the_first_requests_is_ridden_out() {
+fn no_request_is_refused_in_an_outage_soon_after_the_first_requests() {
     for seed in 1..6 {
         let mut world = fleet(seed);
         spend(&mut world, 10_000, 2_000);
@@ -163,33 +165,41 @@
     }
 }
 
-/// All routers were cut from the store for 8 s and used up what they held; all died two seconds after that. Holders
-/// had filled up at once, and 5.8 million tokens were lost, three seconds of spending of the busiest budget.
+/// Guards against holders that refill completely right after an outage: all routers were cut from the store for 8 s,
+/// spent their grants, drew new ones in full and were killed two seconds later. That lost 5.8 million tokens, three seconds of
+/// spending of the busiest budget.
 #[test]
-fn a_loss_just_after_an_outage_takes_seconds_of_spending() {
+fn grants_refill_gradually_after_an_outage() {
     const TOKENS_PER_S: u64 = 10_000;
     for seed in 1..6 {
-        let mut world = fleet_that_holds(50, seed);
+        let mut world = fleet_with_held_percent(50, seed);
         spend(&mut world, TOKENS_PER_S, 15_000);
         world.faults.store_out = true;
         spend(&mut world, TOKENS_PER_S, 17_000);
         world.faults.store_out = false;
         spend(&mut world, TOKENS_PER_S, 2_000);
-        let most = world.routers.iter().map(|router| held(&world, router)).max().unwrap();
-        assert!(most <= 5 * TOKENS_PER_S, "seed {seed}: {most} in hand two seconds after");
+        let most = world.routers.iter().map(|router| granted_tokens(&world, router)).max().unwrap();
+        assert!(
+            most <= 5 * TOKENS_PER_S,
+            "seed {seed}: {most} granted two seconds after the outage"
+        );
         spend(&mut world, TOKENS_PER_S, 8_000);
-        let most = world.routers.iter().map(|router| held(&world, router)).max().unwrap();
-        assert!(most >= 5 * TOKENS_PER_S, "seed {seed}: {most} in hand ten seconds after");
+        let most = world.routers.iter().map(|router| granted_tokens(&world, router)).max().unwrap();
+        assert!(
+            most >= 5 * TOKENS_PER_S,
+            "seed {seed}: {most} granted ten seconds after the outage"
+        );
     }
 }
 
-/// A workspace sent several times its usual for six seconds before all routers were cut from the store. At that rate the
-/// budget would have ended in twelve seconds; its holder had two seconds of it in hand, refused 1,684 requests in
-/// that day, most of them in the cut, and 2.9 million of 17.3 million tokens were undrawn nine seconds after it.
+/// Guards against a grant that is too small for an outage during a burst. A workspace sent several times its usual load
+/// for six seconds before all routers were cut from the store. At that rate the budget would have ended in twelve
+/// seconds, but its holder was granted only two seconds of it: 1,684 requests were refused that day, most of them
+/// during the cut, and 2.9 million of 17.3 million tokens were still undrawn nine seconds after it.
 #[test]
-fn a_budget_that_a_burst_would_use_up_soon_serves_through_an_outage() {
+fn a_burst_does_not_leave_a_budget_unserved_in_an_outage() {
     for seed in 1..6 {
-        let mut world = fleet_that_holds(50, seed);
+        let mut world = fleet_with_held_percent(50, seed);
         spend(&mut world, 25_000, 30_000);
         world.faults.store_out = true;
         let before = world.refusals.len();
--- a/core/tests/node.rs
+++ b/core/tests/node.rs
@@ -1,4 +1,4 @@
-//! Single decisions of a node.
+//! Decisions of one node: admission, priorities, configurations, server records and directives.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -25,23 +25,23 @@
 fn a_request_that_nobody_can_cover_is_refused_at_once() {
     let mut world = World::new(Shape::default(), 1);
     world.run_ms(2_000);
-    let place = world.admit(0, 0, 1, 10_001, 1, false).unwrap();
+    let index = world.admit(0, 0, 1, 10_001, 1, false).unwrap();
     world.run_ms(500);
-    assert_eq!(world.given[place].end, Some(End::Refused(node::Reason::BudgetExhausted)));
+    assert_eq!(world.given[index].end, Some(End::Refused(node::Reason::BudgetExhausted)));
 }
 
 #[test]
-fn the_last_tokens_of_a_budget_are_found_wherever_they_are() {
+fn a_request_is_served_with_tokens_that_are_spread_over_all_routers() {
     let mut world = World::new(Shape::default(), 1);
     world.run_ms(2_000);
-    // Each of four routers holds a part; one request wants nearly all.
-    let place = world.admit(2, 0, 1, 9_900, 9_900, false).unwrap();
+    // Each of four routers holds a grant; one request needs nearly all tokens of the budget.
+    let index = world.admit(2, 0, 1, 9_900, 9_900, false).unwrap();
     world.run_ms(3_000);
-    assert_eq!(world.given[place].end, Some(End::Closed { safe: true }));
+    assert_eq!(world.given[index].end, Some(End::Closed { safe: true }));
 }
 
 #[test]
-fn calls_to_the_store_are_counted_by_what_they_are_for() {
+fn store_calls_are_counted_by_purpose() {
     use node::{CallOutcome, CallPurpose};
     let mut world = World::new(Shape::default(), 1);
     world.admit(0, 0, 1, 20, 20, false).unwrap();
@@ -59,7 +59,7 @@
     let written = [CallPurpose::LedgerWrite, CallPurpose::LogWrite, CallPurpose::QuarantineWrite];
     assert_eq!(sent(&read), reads);
     assert_eq!(sent(&written), writes);
-    // A request by the callers' interface is recorded in the log.
+    // A request through the interface for callers is recorded in the log.
     let of = |purpose| sent(&[purpose]);
     assert!(of(CallPurpose::LogWrite) > 0 && of(CallPurpose::LedgerWrite) > 0);
     world.faults.store_out = true;
@@ -72,12 +72,13 @@
             .map(|(_, count)| *count)
             .sum()
     };
-    let unknown: u64 = world.routers.iter().map(|it| it.node.counters().platform_unknown).sum();
+    let unknown: u64 =
+        world.routers.iter().map(|router| router.node.counters().platform_unknown).sum();
     assert_eq!(world.routers.iter().map(silent).sum::<u64>(), unknown);
 }
 
 #[test]
-fn after_an_outage_the_routers_do_not_return_in_step() {
+fn routers_do_not_all_write_at_once_after_an_outage() {
     let shape = Shape { routers: 8, ..Shape::default() };
     let mut world = World::new(shape, 1);
     world.run_ms(3_000);
@@ -93,12 +94,12 @@
         world.run_ms(200);
         most = most.max(world.store_calls.1 - before);
     }
-    // The platform takes 100 writes a second; a burst of each router's bucket may come on top.
+    // The platform allows 100 writes a second; each router may add the burst of its token bucket.
     assert!(most <= 20 + 8 * 5, "{most} writes in 200 ms");
 }
 
 #[test]
-fn the_platform_is_called_within_its_rates_by_eight_busy_routers() {
+fn eight_busy_routers_keep_to_the_rate_limits_of_the_platform() {
     let shape = Shape { routers: 8, paid_tokens: 10_000_000, ..Shape::default() };
     let mut world = World::new(shape, 1);
     world.run_ms(3_000);
@@ -114,7 +115,7 @@
 }
 
 #[test]
-fn membership_costs_a_router_no_more_in_a_larger_fleet() {
+fn gossip_per_router_does_not_grow_with_the_fleet() {
     let sent_a_second = |routers: usize| {
         let shape = Shape { routers, ..Shape::default() };
         let mut world = World::new(shape, 1);
@@ -130,14 +131,14 @@
     assert!(large <= small * 1.2, "{small} datagrams a second at 4 routers, {large} at 32");
 }
 
-/// Fills one server and its queue with requests of a priority; returns their places.
+/// Fills one server and its queue with requests of one priority; returns their indexes in `World::given`.
 fn fill(world: &mut World, count: u64, priority: u8) -> Vec<usize> {
     let first = 1_000 * (1 + world.given.len() as u64);
     world.priority = priority;
-    (0..count).filter_map(|it| world.admit(0, 0, first + it, 1, 1, false)).collect()
+    (0..count).filter_map(|number| world.admit(0, 0, first + number, 1, 1, false)).collect()
 }
 
-fn crowded() -> World {
+fn single_server_with_short_queue() -> World {
     let shape = Shape { routers: 1, servers: 1, queue_length: 4, ..Shape::default() };
     let mut world = World::new(shape, 1);
     world.run_ms(2_000);
@@ -145,21 +146,21 @@
 }
 
 #[test]
-fn of_too_many_the_lowest_priority_is_refused_at_once() {
-    let mut world = crowded();
+fn a_full_queue_refuses_the_lowest_priority_without_delay() {
+    let mut world = single_server_with_short_queue();
     fill(&mut world, 10, 5);
     let low = fill(&mut world, 4, 1);
     let high = fill(&mut world, 3, 8);
     let refused =
-        |place: &usize| world.given[*place].end == Some(End::Refused(node::Reason::Overloaded));
-    // One place is kept for the lowest priority.
+        |index: &usize| world.given[*index].end == Some(End::Refused(node::Reason::Overloaded));
+    // One place in the queue is reserved for the lowest priority.
     assert!(low[1..].iter().all(refused), "{:?}", world.given);
     assert!(!high.iter().any(refused), "{:?}", world.given);
 }
 
 #[test]
-fn the_lowest_priority_is_served_also_while_higher_ones_keep_coming() {
-    let mut world = crowded();
+fn the_lowest_priority_is_not_starved_by_higher_ones() {
+    let mut world = single_server_with_short_queue();
     fill(&mut world, 10, 5);
     let low = fill(&mut world, 1, 1);
     for round in 0..60 {
@@ -172,7 +173,7 @@
 
 #[test]
 fn a_request_whose_deadline_passes_in_the_queue_is_refused_as_not_run() {
-    let mut world = crowded();
+    let mut world = single_server_with_short_queue();
     world.serve_ms = 5_000;
     fill(&mut world, 10, 5);
     world.deadline_ms = 1_000;
@@ -183,39 +184,39 @@
 }
 
 #[test]
-fn a_router_with_an_older_list_does_not_count_a_new_vm_as_gone() {
+fn a_router_with_a_stale_vm_list_does_not_write_off_a_new_vm() {
     let mut world = World::new(Shape::default(), 1);
     world.run_ms(3_000);
     world.vms_stale.insert(0);
     world.kill(3);
     world.restart(3, false);
     world.run_ms(1_400);
-    // The one with the older list reads the ledger, in which the new one holds a grant.
+    // The router with the stale list reads the ledger, in which the new router holds a grant.
     world.admit(0, 0, 1, 4_000, 10, false);
     world.admit(0, 1, 2, 4_000, 10, false);
     world.run_ms(5_000);
     assert_eq!(world.routers[3].node.lifecycle(), node::Lifecycle::Ready);
 }
 
-/// The list of VMs that a router tells a peer which asks.
-fn told_vms(world: &mut World) -> Vec<String> {
+/// The VMs that a router sends to a peer that requests the list.
+fn vms_sent_to_peer(world: &mut World) -> Vec<String> {
     let (from, to) = (world.routers[1].life, world.routers[0].life);
-    let ask = message::Envelope { from, to, message: message::Message::VmsRequest };
+    let request = message::Envelope { from, to, message: message::Message::VmsRequest };
     let node = &mut world.routers[0].node;
     node.take_actions();
-    node.handle_message(ask, 100_000);
-    let told = node.take_actions().into_iter().find_map(|action| match action {
+    node.handle_message(request, 100_000);
+    let sent = node.take_actions().into_iter().find_map(|action| match action {
         node::Action::Send { envelope, .. } => match envelope.message {
             message::Message::Vms { vms, .. } => Some(vms),
             _ => None,
         },
         _ => None,
     });
-    told.unwrap().into_iter().map(|vm| vm.vm).collect()
+    sent.unwrap().into_iter().map(|vm| vm.vm).collect()
 }
 
 #[test]
-fn a_server_whose_record_lapsed_is_used_and_not_told_to_peers() {
+fn a_server_whose_record_expired_is_used_but_not_sent_to_peers() {
     let mut world = World::new(Shape { servers: 1, ..Shape::default() }, 1);
     world.run_ms(2_000);
     let server = world.routers[0].node.servers().iter().next().unwrap().1.vm.clone();
@@ -223,18 +224,18 @@
     node.offer_vms_and_lapsed(at(1_000), Vec::new(), vec![server.clone()], 2_000);
     let used = |node: &node::Node| node.servers().find(&server.vm).is_some();
     assert!(used(node));
-    assert!(!told_vms(&mut world).contains(&server.vm), "peers may know better");
+    assert!(!vms_sent_to_peer(&mut world).contains(&server.vm), "the list of a peer may be newer");
 
-    // A peer that saw it leave has said so.
+    // A peer that received that the server leaves gossips it.
     let gossip = gossip_of_leaving(&world, &server.vm);
     let node = &mut world.routers[0].node;
     node.offer_vms(at(1_001), vec![server.clone()], 2_500);
     node.handle_gossip(&gossip, 2_600);
     node.offer_vms_and_lapsed(at(1_002), Vec::<servers::Vm>::new(), vec![server.clone()], 3_000);
-    assert!(!used(node), "it left");
+    assert!(!used(node), "the server left");
 }
 
-/// What the second router tells the first when it knows that a VM is leaving.
+/// Gossip of the second router to the first that reports a VM as leaving.
 fn gossip_of_leaving(world: &World, vm: &str) -> message::Gossip {
     message::Gossip {
         from: world.routers[1].node.members().own().clone(),
@@ -252,68 +253,72 @@
 }
 
 #[test]
-fn a_leaving_that_was_heard_holds_as_long_as_the_record_counts_as_lapsed() {
+fn a_received_leaving_update_holds_while_the_record_counts_as_expired() {
     let mut world = World::new(Shape { servers: 1, ..Shape::default() }, 1);
     world.run_ms(2_000);
     let server = world.routers[0].node.servers().iter().next().unwrap().1.vm.clone();
     let gossip = gossip_of_leaving(&world, &server.vm);
     let node = &mut world.routers[0].node;
     node.handle_gossip(&gossip, 2_000);
-    // The store was away, and its list comes more than once while the record may still be back.
+    // After an outage of the store its list arrives more than once while the record may still return.
     for index in 1_000..1_003 {
         node.offer_vms_and_lapsed(at(index), Vec::new(), vec![server.clone()], 2_000 + index);
-        let live = node.servers().iter().any(|(_, it)| it.vm.state == servers::VmState::Live);
-        assert!(!live, "list {index}: the router knew that it leaves");
+        let live =
+            node.servers().iter().any(|(_, server)| server.vm.state == servers::VmState::Live);
+        assert!(!live, "list {index}: the server is used although it was reported as leaving");
     }
 }
 
 #[test]
-fn the_longer_an_outage_refuses_the_later_callers_shall_come_back() {
+fn the_retry_delay_of_refused_callers_grows_during_an_outage() {
     let mut world = World::new(Shape { routers: 1, paid_tokens: 1_000_000, ..Shape::default() }, 1);
     world.run_ms(2_000);
     world.faults.store_out = true;
-    let mut told_ms = Vec::new();
-    // More than what is held in hand, each time.
+    let mut retry_after_ms = Vec::new();
+    // Each request needs more than the granted tokens.
     for key in 0..12 {
-        let place = world.admit(0, 0, key, 900_000, 1, false).unwrap();
+        let index = world.admit(0, 0, key, 900_000, 1, false).unwrap();
         world.run_ms(1_000);
-        assert_eq!(world.given[place].end, Some(End::Refused(node::Reason::BudgetUnreachable)));
-        told_ms.push(world.given[place].retry_after_ms);
+        assert_eq!(world.given[index].end, Some(End::Refused(node::Reason::BudgetUnreachable)));
+        retry_after_ms.push(world.given[index].retry_after_ms);
     }
-    assert!(told_ms.is_sorted(), "{told_ms:?}");
-    assert!(told_ms[0] >= 2_000 && told_ms[11] >= 2 * told_ms[0], "{told_ms:?}");
+    assert!(retry_after_ms.is_sorted(), "{retry_after_ms:?}");
+    assert!(
+        retry_after_ms[0] >= 2_000 && retry_after_ms[11] >= 2 * retry_after_ms[0],
+        "{retry_after_ms:?}"
+    );
 }
 
-/// What the server of a request says while that request's claim is recorded.
-fn said_while_claimed(servers: usize, said: servers::Said) -> (World, usize, String) {
+/// Reports directives of the server that was chosen for a request while the claim of that request is being recorded.
+fn directives_while_claimed(servers: usize, directives: servers::Said) -> (World, usize, String) {
     let mut world = World::new(Shape { servers, ..Shape::default() }, 1);
     world.run_ms(2_000);
     let given = world.admit(0, 0, 1, 20, 20, true).unwrap();
     let node = &mut world.routers[0].node;
     let chosen = node.servers().iter().find(|(_, server)| server.in_flight == 1);
     let chosen = chosen.unwrap().1.vm.clone();
-    assert!(!world.given[given].dispatched, "the claim takes a while");
+    assert!(!world.given[given].dispatched, "the claim is still being recorded");
     node.report_directives(
         &chosen.vm,
         chosen.life,
-        &said,
+        &directives,
         servers::AnswerAge::default(),
         world.now_ms,
     );
     (world, given, chosen.vm)
 }
 
-macro_rules! words_while_a_claim_is_recorded {
-    ($($name:ident: $said:expr, $reason:expr;)*) => {$(
+macro_rules! directives_while_a_claim_is_recorded {
+    ($($name:ident: $directives:expr, $reason:expr;)*) => {$(
         #[test]
         fn $name() {
-            let (mut world, given, chosen) = said_while_claimed(3, $said);
+            let (mut world, given, chosen) = directives_while_claimed(3, $directives);
             while !world.given[given].dispatched {
                 world.run_ms(world::TICK_MS);
             }
-            let busy = world.routers[0].node.servers().iter().find(|(_, it)| it.in_flight == 1);
+            let busy = world.routers[0].node.servers().iter().find(|(_, server)| server.in_flight == 1);
             assert_ne!(busy.unwrap().1.vm.vm, chosen);
-            let (mut world, given, _) = said_while_claimed(1, $said);
+            let (mut world, given, _) = directives_while_claimed(1, $directives);
             world.run_ms(2_000);
             assert_eq!(world.given[given].end, Some(End::Refused($reason)));
             assert!(world.executions.is_empty());
@@ -321,7 +326,7 @@
     )*};
 }
 
-words_while_a_claim_is_recorded! {
+directives_while_a_claim_is_recorded! {
     a_claimed_request_does_not_go_to_a_server_that_leaves_meanwhile:
         servers::Said { leaves: servers::Stated::Value(true), ..Default::default() },
         node::Reason::NoServer;
@@ -330,8 +335,8 @@
         node::Reason::Backoff;
 }
 
-/// A small request of the first budget.
-fn small(world: &World, number: u64) -> node::AdmissionRequest {
+/// A small request to the first budget.
+fn small_request(world: &World, number: u64) -> node::AdmissionRequest {
     node::AdmissionRequest {
         key: ids::RequestKey { high: number, low: 0 },
         keyed: false,
@@ -350,41 +355,44 @@
     }
 }
 
-/// Ejection is this router's guess: it follows neither from a backoff nor outlasts one.
+/// Guards against an ejection, which only reflects failures that this router saw, that is caused by a backoff or
+/// outlasts it.
 #[test]
-fn a_server_that_turns_requests_away_with_a_backoff_is_not_ejected() {
+fn a_server_that_rejects_requests_with_a_backoff_is_not_ejected() {
     let mut world = World::new(Shape { servers: 1, ..Shape::default() }, 1);
     world.run_ms(2_000);
     let now_ms = world.now_ms;
-    let wanted: Vec<node::AdmissionRequest> = (0..8).map(|number| small(&world, number)).collect();
+    let requests: Vec<node::AdmissionRequest> =
+        (0..8).map(|number| small_request(&world, number)).collect();
     let node = &mut world.routers[0].node;
     let vm = node.servers().iter().next().unwrap().1.vm.clone();
     let slots: Vec<ids::RequestSlot> =
-        wanted.into_iter().map(|wanted| node.admit(wanted, now_ms)).collect();
-    let said = servers::Said { backoff_ms: servers::Stated::Value(1_000), ..Default::default() };
+        requests.into_iter().map(|request| node.admit(request, now_ms)).collect();
+    let directives =
+        servers::Said { backoff_ms: servers::Stated::Value(1_000), ..Default::default() };
     for (number, slot) in slots.into_iter().enumerate() {
         let age = servers::AnswerAge::default();
-        node.report_directives(&vm.vm, vm.life, &said, age, now_ms + 50);
-        // Some answers don't say that the request did not run.
-        let ending = match number % 2 {
+        node.report_directives(&vm.vm, vm.life, &directives, age, now_ms + 50);
+        // Some answers do not state that the request did not run.
+        let outcome = match number % 2 {
             0 => {
                 node.retry(slot, node::AttemptFailure::Rejected, now_ms + 50);
                 node::RequestOutcome::NotRun
             }
             _ => node::RequestOutcome::Ran { consumed_tokens: 0, outcome: None, healthy: false },
         };
-        node.finish(slot, ending, now_ms + 50);
+        node.finish(slot, outcome, now_ms + 50);
     }
     let actions = node.take_actions();
-    let told = |wanted: fn(&node::Notice) -> bool| {
+    let count_notices = |matches: fn(&node::Notice) -> bool| {
         let notices = actions.iter().filter_map(|action| match action {
             node::Action::Notice(notice) => Some(notice),
             _ => None,
         });
-        notices.filter(|notice| wanted(notice)).count()
+        notices.filter(|notice| matches(notice)).count()
     };
-    assert_eq!(told(|notice| matches!(notice, node::Notice::ServerBackoff { .. })), 1);
-    assert_eq!(told(|notice| matches!(notice, node::Notice::Ejected { .. })), 0);
+    assert_eq!(count_notices(|notice| matches!(notice, node::Notice::ServerBackoff { .. })), 1);
+    assert_eq!(count_notices(|notice| matches!(notice, node::Notice::Ejected { .. })), 0);
     let refused = |action: &&node::Action| match action {
         node::Action::Answer {
             answer: node::Answer::Refuse { reason, retry_after_ms }, ..
@@ -394,28 +402,31 @@
     assert_eq!(actions.iter().filter(refused).count(), 4);
 }
 
-/// When the only server takes requests again, one is sent, two may wait for its answer, and the others hear it at once.
+/// When the only server accepts requests again after a backoff, one is sent and two may wait for its answer. Guards
+/// against others that wait too instead of being refused without delay.
 #[test]
-fn requests_that_a_returning_server_does_not_take_soon_are_refused_at_once() {
+fn requests_beyond_the_trial_after_a_backoff_are_refused_without_delay() {
     let mut world = World::new(Shape { servers: 1, ..Shape::default() }, 1);
     world.run_ms(2_000);
-    let wanted: Vec<node::AdmissionRequest> = (0..10).map(|number| small(&world, number)).collect();
+    let requests: Vec<node::AdmissionRequest> =
+        (0..10).map(|number| small_request(&world, number)).collect();
     let now_ms = world.now_ms;
     let node = &mut world.routers[0].node;
     let vm = node.servers().iter().next().unwrap().1.vm.clone();
-    let said = servers::Said { backoff_ms: servers::Stated::Value(100), ..Default::default() };
-    node.report_directives(&vm.vm, vm.life, &said, servers::AnswerAge::default(), now_ms);
+    let directives =
+        servers::Said { backoff_ms: servers::Stated::Value(100), ..Default::default() };
+    node.report_directives(&vm.vm, vm.life, &directives, servers::AnswerAge::default(), now_ms);
     node.take_actions();
-    for wanted in wanted {
-        node.admit(wanted, now_ms + 200);
+    for request in requests {
+        node.admit(request, now_ms + 200);
     }
     let actions = node.take_actions();
-    let count = |wanted: fn(&node::Answer) -> bool| {
+    let count = |matches: fn(&node::Answer) -> bool| {
         let answers = actions.iter().filter_map(|action| match action {
             node::Action::Answer { answer, .. } => Some(answer),
             _ => None,
         });
-        answers.filter(|answer| wanted(answer)).count()
+        answers.filter(|answer| matches(answer)).count()
     };
     assert_eq!(count(|answer| matches!(answer, node::Answer::Dispatch { .. })), 1);
     let refused = |answer: &node::Answer| {
--- a/core/tests/quarantine.rs
+++ b/core/tests/quarantine.rs
@@ -1,4 +1,5 @@
-//! What routers know of requests that crash servers: views merge in any order, are bounded, and are kept by the store.
+//! The table of requests that crash servers. Guards against tables that differ between routers after their reports were
+//! merged in different orders, that grow without bound, or that are lost when routers restart.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -20,19 +21,19 @@
     Server::new(&format!("vm-{number}"), ids::ServerLife(1))
 }
 
-/// Three crashes under a request, a second apart.
+/// Records three crashes caused by a request, one second apart.
 fn quarantine(table: &mut Table, number: u64) {
     for crash in 0..3 {
         table.crashed(request(number), server(crash), NOW_MS + crash * 1_000);
     }
 }
 
-fn told(table: &mut Table, now_ms: u64) -> Vec<Report> {
+fn pending_reports(table: &mut Table, now_ms: u64) -> Vec<Report> {
     table.news(true, now_ms).reports
 }
 
 #[test]
-fn three_crashes_of_different_lives_keep_a_request_from_servers_and_two_do_not() {
+fn three_crashes_of_different_incarnations_quarantine_a_request_and_two_do_not() {
     let mut table = Table::default();
     assert_eq!(table.crashed(request(1), server(1), NOW_MS), Change::Suspected { crashes: 1 });
     assert_eq!(table.crashed(request(1), server(1), NOW_MS + 2_000), Change::None);
@@ -46,17 +47,21 @@
 }
 
 #[test]
-fn a_vm_whose_lives_have_no_names_crashes_again_after_a_while() {
+fn crashes_of_unknown_incarnations_are_distinguished_by_time() {
     let vm = Server::new("vm", ids::ServerLife::UNKNOWN);
     let mut table = Table::default();
     table.crashed(request(1), vm, NOW_MS);
-    assert_eq!(table.crashed(request(1), vm, NOW_MS + 300), Change::None, "seen by another router");
+    assert_eq!(
+        table.crashed(request(1), vm, NOW_MS + 300),
+        Change::None,
+        "the same crash, reported by another router"
+    );
     table.crashed(request(1), vm, NOW_MS + 3_000);
     assert_eq!(table.crashed(request(1), vm, NOW_MS + 6_000), Change::Quarantined);
 }
 
 #[test]
-fn after_the_quarantine_one_more_crash_is_enough() {
+fn one_crash_renews_an_expired_quarantine() {
     let mut table = Table::default();
     quarantine(&mut table, 1);
     let over_ms = NOW_MS + 2_000 + quarantine::QUARANTINE_MS as u64;
@@ -66,18 +71,23 @@
 }
 
 #[test]
-fn a_good_end_voids_what_was_before_it_and_not_what_comes_after() {
+fn a_success_voids_earlier_crashes_and_not_later_ones() {
     let mut table = Table::default();
     quarantine(&mut table, 1);
     assert_eq!(table.clear(request(1), NOW_MS + 5_000), Change::Cleared { crashes: 3 });
     assert_eq!(table.quarantined_ms(&request(1), NOW_MS + 5_000), None);
-    assert_eq!(table.crashed(request(1), server(7), NOW_MS + 4_000), Change::None, "late news");
+    assert_eq!(
+        table.crashed(request(1), server(7), NOW_MS + 4_000),
+        Change::None,
+        "a report of a crash from before the success"
+    );
     let after = table.crashed(request(1), server(8), NOW_MS + 6_000);
     assert_eq!(after, Change::Suspected { crashes: 1 });
 }
 
-/// Crashes and a good end at several routers, told in any order, more than once, some only at the end: all know the same.
-fn views_merge(seed: u64) {
+/// Crashes and successes at several routers, reported in random order, repeatedly, some only at the end. All tables
+/// must be equal afterwards.
+fn check_merge(seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut tables: Vec<Table> = (0..5).map(|_| Table::default()).collect();
     let mut reports: Vec<Report> = Vec::new();
@@ -89,11 +99,11 @@
         if rng.random_range(0..6) == 0 {
             table.clear(request(1), at_ms + 500);
         }
-        reports.extend(told(table, end_ms));
+        reports.extend(pending_reports(table, end_ms));
     }
     for _ in 0..4 {
         for table in &mut tables {
-            reports.extend(told(table, end_ms));
+            reports.extend(pending_reports(table, end_ms));
         }
         let repeated: Vec<Report> = reports.sample(&mut rng, 3).cloned().collect();
         reports.extend(repeated);
@@ -120,18 +130,18 @@
 impl ChooseMut for Vec<Table> {
     type Item = Table;
     fn choose_mut_in(&mut self, rng: &mut StdRng) -> &mut Table {
-        let place = rng.random_range(0..self.len());
-        &mut self[place]
+        let index = rng.random_range(0..self.len());
+        &mut self[index]
     }
 }
 
 #[test]
-fn views_merge_in_any_order() {
-    (0..300).for_each(views_merge);
+fn reports_merge_in_any_order() {
+    (0..300).for_each(check_merge);
 }
 
 #[test]
-fn endless_new_requests_drive_out_no_request_that_is_kept_from_servers() {
+fn many_suspected_requests_do_not_evict_a_quarantined_one() {
     let mut table = Table::default();
     quarantine(&mut table, 1);
     for number in 0..20_000 {
@@ -142,7 +152,7 @@
 }
 
 #[test]
-fn a_datagram_tells_a_bounded_part_and_all_is_told_in_the_end() {
+fn datagrams_are_bounded_and_all_reports_are_sent() {
     let mut table = Table::default();
     for number in 0..100 {
         quarantine(&mut table, number);
@@ -150,19 +160,19 @@
     let mut other = Table::default();
     let mut datagrams = 0;
     while other.summary() != table.summary() {
-        let news = table.news(true, NOW_MS + 5_000);
-        let bytes = postcard::to_stdvec(&news).unwrap().len();
+        let updates = table.news(true, NOW_MS + 5_000);
+        let bytes = postcard::to_stdvec(&updates).unwrap().len();
         assert!(bytes <= 2_500, "{bytes} bytes");
-        for report in &news.reports {
+        for report in &updates.reports {
             other.hear(report, NOW_MS + 5_000);
         }
         datagrams += 1;
-        assert!(datagrams < 200, "not all is told");
+        assert!(datagrams < 200, "not all reports are sent");
     }
 }
 
 #[test]
-fn a_calm_fleet_is_told_nothing() {
+fn without_new_crashes_no_reports_are_sent() {
     let mut table = Table::default();
     assert_eq!(table.news(false, NOW_MS), quarantine::News::default());
     assert_eq!(table.fresh(), None);
@@ -174,7 +184,7 @@
 }
 
 #[test]
-fn reports_of_any_age_and_length_are_taken() {
+fn reports_of_any_age_and_length_are_merged_without_a_panic() {
     let mut table = Table::default();
     for age_ms in [0, 1, u64::MAX, u64::MAX / 2, i64::MAX as u64, 3_600_000] {
         let crashes = (0..500).map(|number| quarantine::Crash { server: server(number), age_ms });
@@ -191,7 +201,7 @@
 }
 
 #[test]
-fn what_the_store_keeps_is_the_same_for_the_next_life() {
+fn a_stored_quarantine_keeps_its_end_for_the_next_process() {
     let mut table = Table::default();
     quarantine(&mut table, 1);
     table.crashed(request(2), server(1), NOW_MS);
@@ -199,25 +209,25 @@
     let unix_ms = 1_796_000_000_000;
     let record = quarantine::Record::new(table.reports_of_quarantined(now_ms), unix_ms);
     let record = quarantine::Record::decode(&record.encode()).unwrap();
-    // Another process, whose clock has just begun, five seconds later.
+    // Another process, five seconds later, whose monotonic clock has just started.
     let mut next = Table::default();
     for report in record.reports(unix_ms + 5_000) {
         next.hear(&report, 20);
     }
     let left_ms = table.quarantined_ms(&request(1), now_ms).unwrap();
     assert_eq!(next.quarantined_ms(&request(1), 20), Some(left_ms - 5_000));
-    assert_eq!(next.crashes(&request(2)), 0, "only what is kept from servers");
+    assert_eq!(next.crashes(&request(2)), 0, "only quarantined requests are stored");
 }
 
 #[test]
-fn a_value_that_is_no_record_is_an_error() {
+fn a_value_that_is_not_a_record_is_an_error() {
     for value in [&b""[..], b"{", b"[]", b"null", b"{\"requests\":[{}]}", b"\xff"] {
         assert!(quarantine::Record::decode(value).is_err());
     }
 }
 
 #[test]
-fn a_fingerprint_reads_as_it_is_written() {
+fn a_fingerprint_is_parsed_from_its_own_text_only() {
     let fingerprint = request(0x0123_4567_89ab_cdef);
     assert_eq!(fingerprint.to_string().parse(), Ok(fingerprint));
     for text in
--- a/core/tests/restarting_servers.rs
+++ b/core/tests/restarting_servers.rs
@@ -1,4 +1,5 @@
-//! Servers that start again under their names, and records that are spoilt, before fleets of routers that follow a store.
+//! Guards against routers that disagree about the servers after these have restarted under the same names and their
+//! records were corrupted, while the routers follow the store.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -9,11 +10,11 @@
 use rand::{RngExt, SeedableRng};
 use watch_fleet::{BOUNDS, Fleet, Store};
 
-/// The bounds of the deployments that exist.
-const TIGHT: watch::Bounds = watch::Bounds { configuration_ms: 2_000, servers_ms: 2_000 };
+/// The staleness bounds of existing deployments.
+const DEPLOYED_BOUNDS: watch::Bounds = watch::Bounds { configuration_ms: 2_000, servers_ms: 2_000 };
 
-/// Schedules in which servers crash and start again under their names, leave, lapse and have their records spoilt, while
-/// news come late and in any order. In the end all routers agree.
+/// A random schedule in which servers restart under the same names, leave, and lose or corrupt their records, while
+/// updates arrive late and in any order. All routers must agree in the end.
 fn restarts_and_bad_records(routers: usize, bounds: watch::Bounds, seed: u64) {
     let mut fleet = Fleet::new(routers, 3, bounds, seed);
     let mut rng = StdRng::seed_from_u64(seed ^ 0x11fe);
@@ -21,30 +22,30 @@
     fleet.answer_ms = rng.random_range(20..900);
     fleet.run_ms(5_000);
     for _ in 0..60 {
-        let place = rng.random_range(0..routers);
+        let index = rng.random_range(0..routers);
         let name = format!("server-{}", rng.random_range(0..6));
         match rng.random_range(0..14) {
-            0 => fleet.restart(place),
+            0 => fleet.restart(index),
             1 => fleet.set_store(Store::Refuses),
             2 => fleet.set_store(Store::Silent),
             3 | 4 => fleet.set_store(Store::Well),
-            5 => fleet.set_turned_away(place, true),
-            6 => fleet.set_turned_away(place, false),
+            5 => fleet.set_turned_away(index, true),
+            6 => fleet.set_turned_away(index, false),
             7 => fleet.put_server(&name, servers::VmState::Leaving),
             8 => fleet.remove_server(&name),
             9 => fleet.forget_history(),
             10 => fleet.spoil_server(&name),
-            11 => fleet.routers[place].group = rng.random_range(0..2),
+            11 => fleet.routers[index].group = rng.random_range(0..2),
             _ => fleet.restart_server(&name, servers::VmState::Live),
         }
         fleet.run_ms(rng.random_range(20..1_500));
     }
     fleet.set_store(Store::Well);
-    for place in 0..routers {
-        fleet.set_turned_away(place, false);
-        fleet.routers[place].group = 0;
+    for index in 0..routers {
+        fleet.set_turned_away(index, false);
+        fleet.routers[index].group = 0;
     }
-    fleet.run_until("all agree", 20_000, Fleet::all_know_latest);
+    fleet.run_until("all routers agree", 20_000, Fleet::all_know_latest);
 }
 
 macro_rules! restarts {
@@ -59,6 +60,6 @@
 }
 
 restarts! {
-    servers_that_start_again_before_a_small_fleet: 6, TIGHT, 0..60;
-    servers_that_start_again_before_a_larger_fleet: 24, BOUNDS, 100..130;
+    a_small_fleet_agrees_after_server_restarts: 6, DEPLOYED_BOUNDS, 0..60;
+    a_larger_fleet_agrees_after_server_restarts: 24, BOUNDS, 100..130;
 }
--- a/core/tests/retry.rs
+++ b/core/tests/retry.rs
@@ -1,25 +1,25 @@
-//! The retry budget of a fleet.
+//! The retry budget of a fleet: guards against more retries than the ratio allows, in a burst or in the long run.
 
 #![allow(missing_docs)]
 
 use doorswitch_core::retry;
 
-/// The most retries that routers can make at once after a long calm.
+/// The number of retries that all routers together can make at once after a long time without retries.
 fn burst(routers: u64) -> u64 {
-    let one = || {
+    let one_router = || {
         let mut budget = retry::Budget::default();
         (0..1_000).for_each(|_| budget.earn(routers));
         (0..1_000).take_while(|_| budget.try_spend(routers)).count() as u64
     };
-    (0..routers).map(|_| one()).sum()
+    (0..routers).map(|_| one_router()).sum()
 }
 
 #[test]
-fn all_routers_together_save_up_no_more_than_a_few_routers_do() {
+fn the_burst_of_retries_does_not_grow_with_the_fleet() {
     for routers in [1, 3, 7, 8, 20, 40] {
         assert!(burst(routers) <= 40, "{routers} routers: {}", burst(routers));
     }
-    assert!(burst(8) >= 30, "and it is not much less");
+    assert!(burst(8) >= 30, "the burst is too small");
 }
 
 #[test]
--- /dev/null
+++ b/core/tests/server_incarnations.rs
@@ -0,0 +1,162 @@
+//! Guards against state of one server incarnation (leaving, ejection, load, prompts, open requests) that the server
+//! table applies to the next one.
+
+#![allow(clippy::unwrap_used, missing_docs)]
+
+use doorswitch_core::{ids, servers};
+use rand::SeedableRng;
+use rand::rngs::StdRng;
+
+const NOW_MS: u64 = 1_000;
+
+fn vm(life: u64, state: servers::VmState) -> servers::Vm {
+    servers::Vm {
+        vm: "one".to_owned(),
+        service: "service".to_owned(),
+        address: "one:1".to_owned(),
+        class: String::new(),
+        failure_domain: "a".to_owned(),
+        state,
+        slots: 4,
+        life: ids::ServerLife(life),
+        cold_ms: 0,
+    }
+}
+
+fn live(life: u64) -> servers::Vm {
+    vm(life, servers::VmState::Live)
+}
+
+struct Fixture {
+    table: servers::Table,
+    rng: StdRng,
+}
+
+impl Fixture {
+    fn new() -> Self {
+        let mut fixture = Self { table: servers::Table::default(), rng: StdRng::seed_from_u64(1) };
+        fixture.table.follow(&[live(5)], 0);
+        fixture
+    }
+
+    fn choose(&mut self, parts: &[servers::Part]) -> Result<servers::Choice, servers::Lack> {
+        let criteria = servers::Wanted {
+            service: "service",
+            classes: &[],
+            prefix_hash: None,
+            parts,
+            not: &[],
+        };
+        self.table.choose(&criteria, NOW_MS, &mut self.rng)
+    }
+
+    fn present(&self) -> &servers::Server {
+        self.table.get(self.table.find("one").unwrap()).unwrap()
+    }
+
+    /// Restarts the server: the table receives its next incarnation.
+    fn restart(&mut self) {
+        self.table.follow(&[live(6)], NOW_MS);
+    }
+}
+
+#[test]
+fn leaving_does_not_outlast_a_restart() {
+    let mut fixture = Fixture::new();
+    fixture.table.leaving("one", ids::ServerLife(5));
+    assert_eq!(fixture.choose(&[]).unwrap_err(), servers::Lack::None);
+    fixture.restart();
+    assert!(fixture.choose(&[]).is_ok());
+}
+
+#[test]
+fn a_late_leaving_update_of_the_earlier_incarnation_is_ignored() {
+    let mut fixture = Fixture::new();
+    fixture.restart();
+    fixture.table.leaving("one", ids::ServerLife(5));
+    assert!(fixture.choose(&[]).is_ok());
+    fixture.table.leaving("one", ids::ServerLife(6));
+    assert_eq!(fixture.choose(&[]).unwrap_err(), servers::Lack::None);
+}
+
+#[test]
+fn a_late_record_of_the_earlier_incarnation_is_ignored() {
+    let mut fixture = Fixture::new();
+    fixture.restart();
+    fixture.table.follow(&[vm(5, servers::VmState::Leaving)], NOW_MS);
+    assert_eq!(fixture.present().vm, live(6));
+    assert!(fixture.choose(&[]).is_ok());
+}
+
+#[test]
+fn an_ejection_does_not_outlast_a_restart() {
+    let mut fixture = Fixture::new();
+    let slot = fixture.table.find("one").unwrap();
+    let ejected = (0..5).filter_map(|_| fixture.table.failed(slot, NOW_MS)).count();
+    assert!(ejected > 0);
+    fixture.restart();
+    let slot = fixture.table.find("one").unwrap();
+    assert_eq!(
+        fixture.table.failed(slot, NOW_MS),
+        None,
+        "failures of the earlier incarnation are counted"
+    );
+}
+
+#[test]
+fn load_and_open_requests_do_not_outlast_a_restart() {
+    let mut fixture = Fixture::new();
+    for _ in 0..4 {
+        fixture.choose(&[]).unwrap();
+    }
+    let slot = fixture.table.find("one").unwrap();
+    fixture.table.reported(slot, servers::Load { running: 4, queued: 9, slots: 4 });
+    assert_eq!(fixture.choose(&[]).unwrap_err(), servers::Lack::Full);
+    fixture.restart();
+    assert_eq!((fixture.present().load, fixture.present().in_flight), (None, 0));
+    assert!(fixture.choose(&[]).is_ok());
+}
+
+#[test]
+fn cached_prompts_do_not_outlast_a_restart() {
+    let parts = servers::chain([(1, 100), (2, 50)].into_iter());
+    let mut fixture = Fixture::new();
+    let first = fixture.choose(&parts).unwrap();
+    let again = fixture.choose(&parts).unwrap();
+    assert_eq!((first.slot, again.unread_tokens), (again.slot, 0));
+    fixture.restart();
+    let next = fixture.choose(&parts).unwrap();
+    assert_ne!(next.slot, first.slot);
+    assert!(next.unread_tokens > 0, "the last part must be read again: {}", next.unread_tokens);
+}
+
+#[test]
+fn results_of_the_earlier_incarnation_are_not_counted_for_the_later_one() {
+    let mut fixture = Fixture::new();
+    let earlier = fixture.choose(&[]).unwrap().slot;
+    fixture.restart();
+    assert_eq!(
+        fixture.table.take_restarted(),
+        [servers::Restarted { vm: "one".to_owned(), life: ids::ServerLife(6), open_requests: 1 }]
+    );
+    let later = fixture.choose(&[]).unwrap().slot;
+    fixture.table.reported(earlier, servers::Load { running: 9, queued: 9, slots: 1 });
+    fixture.table.failed(earlier, NOW_MS);
+    fixture.table.ended(earlier);
+    assert_eq!((fixture.present().in_flight, fixture.present().load), (1, None));
+    fixture.table.follow(&[live(6)], NOW_MS);
+    assert!(fixture.table.get(earlier).is_none(), "the earlier incarnation has no open request");
+    assert_eq!(fixture.table.find("one"), Some(later));
+}
+
+#[test]
+fn the_earlier_incarnation_is_removed_with_its_last_request_although_its_name_is_listed() {
+    let mut fixture = Fixture::new();
+    let earlier = fixture.choose(&[]).unwrap().slot;
+    fixture.restart();
+    fixture.table.follow(&[live(6)], NOW_MS);
+    assert!(fixture.table.get(earlier).is_some(), "the earlier incarnation has an open request");
+    fixture.table.ended(earlier);
+    fixture.table.follow(&[], NOW_MS);
+    assert_eq!(fixture.table.iter().count(), 0);
+}
--- a/core/tests/servers.rs
+++ b/core/tests/servers.rs
@@ -1,4 +1,4 @@
-//! The choice among backend servers.
+//! The choice among backend servers: classes, slots, ejection, prompt affinity and backoff.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -6,7 +6,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-struct Bench {
+struct Fixture {
     table: servers::Table,
     rng: StdRng,
     now_ms: u64,
@@ -26,7 +26,7 @@
     }
 }
 
-impl Bench {
+impl Fixture {
     fn new(vms: &[servers::Vm]) -> Self {
         let mut table = servers::Table::default();
         table.follow(vms, 0);
@@ -45,8 +45,8 @@
         not: &[ids::ServerSlot],
     ) -> Result<ids::ServerSlot, servers::Lack> {
         let parts = &[];
-        let wanted = servers::Wanted { service: "service", classes, prefix_hash, parts, not };
-        self.table.choose(&wanted, self.now_ms, &mut self.rng).map(|choice| choice.slot)
+        let criteria = servers::Wanted { service: "service", classes, prefix_hash, parts, not };
+        self.table.choose(&criteria, self.now_ms, &mut self.rng).map(|choice| choice.slot)
     }
 
     fn choose(&mut self) -> Result<ids::ServerSlot, servers::Lack> {
@@ -60,88 +60,88 @@
 
 #[test]
 fn only_the_allowed_classes_are_chosen() {
-    let mut bench = Bench::two();
+    let mut fixture = Fixture::two();
     for _ in 0..8 {
-        let slot = bench.choose_for(&["old".to_owned()], None, &[]).unwrap();
-        assert_eq!(bench.name(slot), "two");
-        bench.table.ended(slot);
+        let slot = fixture.choose_for(&["old".to_owned()], None, &[]).unwrap();
+        assert_eq!(fixture.name(slot), "two");
+        fixture.table.ended(slot);
     }
-    let none = bench.choose_for(&["other".to_owned()], None, &[]);
+    let none = fixture.choose_for(&["other".to_owned()], None, &[]);
     assert_eq!(none, Err(servers::Lack::None));
 }
 
 #[test]
-fn a_leaving_server_gets_nothing_new_and_stays_leaving_in_an_older_list() {
-    let mut bench = Bench::two();
-    bench.table.leaving("one", ids::ServerLife::UNKNOWN);
+fn a_leaving_server_receives_no_requests_although_an_older_list_has_it_live() {
+    let mut fixture = Fixture::two();
+    fixture.table.leaving("one", ids::ServerLife::UNKNOWN);
     let live = servers::VmState::Live;
-    bench.table.follow(&[vm("one", "new", live), vm("two", "old", live)], 0);
+    fixture.table.follow(&[vm("one", "new", live), vm("two", "old", live)], 0);
     for _ in 0..8 {
-        let slot = bench.choose().unwrap();
-        assert_eq!(bench.name(slot), "two");
+        let slot = fixture.choose().unwrap();
+        assert_eq!(fixture.name(slot), "two");
     }
 }
 
 #[test]
-fn full_servers_are_told_from_none() {
-    let mut bench = Bench::two();
-    let chosen = (0..1_000).map_while(|_| bench.choose().ok()).count();
+fn full_servers_are_reported_differently_from_none() {
+    let mut fixture = Fixture::two();
+    let chosen = (0..1_000).map_while(|_| fixture.choose().ok()).count();
     assert_eq!(chosen, 16, "eight slots on each of two");
-    assert_eq!(bench.choose(), Err(servers::Lack::Full));
-    bench.table.follow(&[], 0);
-    assert_eq!(bench.choose(), Err(servers::Lack::None));
+    assert_eq!(fixture.choose(), Err(servers::Lack::Full));
+    fixture.table.follow(&[], 0);
+    assert_eq!(fixture.choose(), Err(servers::Lack::None));
 }
 
 #[test]
-fn a_failing_server_is_ejected_and_tried_again_with_one_request() {
-    let mut bench = Bench::two();
-    let bad = bench.choose().unwrap();
+fn a_failing_server_is_ejected_and_probed_with_one_request() {
+    let mut fixture = Fixture::two();
+    let bad = fixture.choose().unwrap();
     for _ in 0..3 {
-        bench.table.failed(bad, bench.now_ms);
+        fixture.table.failed(bad, fixture.now_ms);
     }
     for _ in 0..5 {
-        assert_ne!(bench.choose().unwrap(), bad);
+        assert_ne!(fixture.choose().unwrap(), bad);
     }
-    bench.now_ms += 60_000;
-    let tries = (0..12).filter(|_| bench.choose() == Ok(bad)).count();
-    assert_eq!(tries, 1);
-    bench.table.succeeded(bad, 10, 0);
-    let tries = (0..4).filter(|_| bench.choose() == Ok(bad)).count();
-    assert!(tries > 0);
+    fixture.now_ms += 60_000;
+    let probes = (0..12).filter(|_| fixture.choose() == Ok(bad)).count();
+    assert_eq!(probes, 1);
+    fixture.table.succeeded(bad, 10, 0);
+    let chosen = (0..4).filter(|_| fixture.choose() == Ok(bad)).count();
+    assert!(chosen > 0);
 }
 
 #[test]
 fn a_server_that_failed_the_request_is_not_chosen_for_it_again() {
-    let mut bench = Bench::two();
-    let first = bench.choose().unwrap();
+    let mut fixture = Fixture::two();
+    let first = fixture.choose().unwrap();
     for _ in 0..5 {
-        assert_ne!(bench.choose_for(&[], None, &[first]).unwrap(), first);
+        assert_ne!(fixture.choose_for(&[], None, &[first]).unwrap(), first);
     }
 }
 
 #[test]
-fn a_prefix_goes_where_it_went_unless_that_server_is_much_busier() {
-    let mut bench = Bench::two();
-    let first = bench.choose_for(&[], Some(9), &[]).unwrap();
-    bench.table.ended(first);
+fn a_prefix_returns_to_its_server_unless_that_one_is_much_busier() {
+    let mut fixture = Fixture::two();
+    let first = fixture.choose_for(&[], Some(9), &[]).unwrap();
+    fixture.table.ended(first);
     for _ in 0..6 {
-        let slot = bench.choose_for(&[], Some(9), &[]).unwrap();
+        let slot = fixture.choose_for(&[], Some(9), &[]).unwrap();
         assert_eq!(slot, first);
-        bench.table.ended(slot);
+        fixture.table.ended(slot);
     }
     for _ in 0..40 {
-        bench.table.reported(first, servers::Load { running: 7, queued: 0, slots: 8 });
+        fixture.table.reported(first, servers::Load { running: 7, queued: 0, slots: 8 });
     }
-    assert_ne!(bench.choose_for(&[], Some(9), &[]).unwrap(), first);
+    assert_ne!(fixture.choose_for(&[], Some(9), &[]).unwrap(), first);
 }
 
 #[test]
-fn the_polled_subset_is_bounded_and_stays_the_same() {
+fn the_polled_subset_is_bounded_and_stable() {
     let vms: Vec<servers::Vm> =
-        (0..100).map(|it| vm(&format!("vm-{it}"), "new", servers::VmState::Live)).collect();
-    let bench = Bench::new(&vms);
+        (0..100).map(|index| vm(&format!("vm-{index}"), "new", servers::VmState::Live)).collect();
+    let fixture = Fixture::new(&vms);
     let names = |own: u64| -> Vec<String> {
-        let subset = bench.table.subset(ids::Incarnation(own), 8, 0);
+        let subset = fixture.table.subset(ids::Incarnation(own), 8, 0);
         subset.into_iter().map(|(_, server)| server.vm.vm.clone()).collect()
     };
     assert_eq!(names(1).len(), 8);
@@ -149,26 +149,27 @@
     assert_ne!(names(1), names(2));
 }
 
-fn many(names: &[&str]) -> Bench {
+fn live_servers(names: &[&str]) -> Fixture {
     let vms: Vec<servers::Vm> =
         names.iter().map(|name| vm(name, "new", servers::VmState::Live)).collect();
-    Bench::new(&vms)
+    Fixture::new(&vms)
 }
 
-/// A prompt of a shared part and one of its own.
+/// A prompt that consists of a shared part and a part of its own.
 fn prompt(shared: u64, own: u64) -> Vec<servers::Part> {
     servers::chain([(shared, 6_000), (own, 2_000)].into_iter())
 }
 
-fn choose_for_prompt(bench: &mut Bench, parts: &[servers::Part]) -> servers::Choice {
-    let wanted =
+fn choose_for_prompt(fixture: &mut Fixture, parts: &[servers::Part]) -> servers::Choice {
+    let criteria =
         servers::Wanted { service: "service", classes: &[], prefix_hash: None, parts, not: &[] };
-    bench.table.choose(&wanted, bench.now_ms, &mut bench.rng).unwrap()
+    fixture.table.choose(&criteria, fixture.now_ms, &mut fixture.rng).unwrap()
 }
 
 #[test]
-fn routers_agree_on_the_home_of_a_shared_part_whatever_order_they_heard_the_servers_in() {
-    let (mut one, mut other) = (many(&["a", "b", "c", "d"]), many(&["d", "c", "b", "a"]));
+fn routers_agree_on_the_server_of_a_shared_part_in_any_order_of_the_server_list() {
+    let (mut one, mut other) =
+        (live_servers(&["a", "b", "c", "d"]), live_servers(&["d", "c", "b", "a"]));
     for shared in 0..50 {
         let first = choose_for_prompt(&mut one, &prompt(shared, 1)).slot;
         let second = choose_for_prompt(&mut other, &prompt(shared, 2)).slot;
@@ -181,13 +182,14 @@
 }
 
 #[test]
-fn a_home_that_leaves_moves_only_its_own_prompts() {
-    let (mut whole, mut less) = (many(&["a", "b", "c", "d"]), many(&["a", "b", "c"]));
+fn the_removal_of_a_server_moves_only_its_own_prompts() {
+    let (mut whole, mut less) =
+        (live_servers(&["a", "b", "c", "d"]), live_servers(&["a", "b", "c"]));
     for shared in 0..50 {
         let before = choose_for_prompt(&mut whole, &prompt(shared, 1)).slot;
         let after = choose_for_prompt(&mut less, &prompt(shared, 1)).slot;
-        let home = whole.name(before);
-        assert!(home == "d" || home == less.name(after));
+        let server = whole.name(before);
+        assert!(server == "d" || server == less.name(after));
         whole.table.has_read(before, u64::MAX);
         less.table.has_read(after, u64::MAX);
         whole.table.ended(before);
@@ -196,119 +198,120 @@
 }
 
 #[test]
-fn a_prompt_leaves_its_home_only_when_waiting_there_costs_more_than_reading_again() {
-    let mut bench = many(&["a", "b", "c"]);
-    let first = choose_for_prompt(&mut bench, &prompt(7, 1));
-    assert_eq!(first.unread_tokens, 2_000, "the shared part is taken to be at its home");
-    let second = choose_for_prompt(&mut bench, &prompt(7, 2));
+fn a_prompt_leaves_its_server_only_when_waiting_costs_more_than_reading_it_again() {
+    let mut fixture = live_servers(&["a", "b", "c"]);
+    let first = choose_for_prompt(&mut fixture, &prompt(7, 1));
+    assert_eq!(first.unread_tokens, 2_000, "the shared part counts as cached at its server");
+    let second = choose_for_prompt(&mut fixture, &prompt(7, 2));
     assert_eq!(second.slot, first.slot);
-    let mut away = second;
+    let mut moved = second;
     for own in 3..10 {
-        away = choose_for_prompt(&mut bench, &prompt(7, own));
-        if away.slot != first.slot {
+        moved = choose_for_prompt(&mut fixture, &prompt(7, own));
+        if moved.slot != first.slot {
             break;
         }
     }
-    assert_ne!(away.slot, first.slot, "a hot part gets a second home");
-    assert_eq!(away.unread_tokens, 8_000, "and is read there once more");
-    bench.table.has_read(first.slot, u64::MAX);
-    assert_eq!(choose_for_prompt(&mut bench, &prompt(7, 20)).slot, first.slot);
+    assert_ne!(moved.slot, first.slot, "a frequent part is assigned to a second server");
+    assert_eq!(moved.unread_tokens, 8_000, "the second server reads the whole prompt");
+    fixture.table.has_read(first.slot, u64::MAX);
+    assert_eq!(choose_for_prompt(&mut fixture, &prompt(7, 20)).slot, first.slot);
 }
 
 #[test]
-fn servers_that_were_all_ejected_are_better_than_none() {
-    let mut bench = many(&["a", "b"]);
+fn an_ejected_server_is_chosen_if_all_servers_are_ejected() {
+    let mut fixture = live_servers(&["a", "b"]);
     for _ in 0..3 {
         for _ in 0..2 {
-            let slot = bench.choose().unwrap();
-            bench.table.ended(slot);
+            let slot = fixture.choose().unwrap();
+            fixture.table.ended(slot);
         }
-        let slots: Vec<ids::ServerSlot> = bench.table.iter().map(|(slot, _)| slot).collect();
+        let slots: Vec<ids::ServerSlot> = fixture.table.iter().map(|(slot, _)| slot).collect();
         for slot in slots {
-            bench.table.failed(slot, bench.now_ms);
+            fixture.table.failed(slot, fixture.now_ms);
         }
     }
-    assert!(bench.choose().is_ok(), "both failed lately, and nobody else is there");
-    assert!(choose_for_prompt(&mut bench, &prompt(1, 1)).unread_tokens > 0);
+    assert!(fixture.choose().is_ok(), "both servers failed recently, and there is no other");
+    assert!(choose_for_prompt(&mut fixture, &prompt(1, 1)).unread_tokens > 0);
 }
 
 #[test]
-fn a_server_that_comes_back_to_the_list_is_used_again_although_it_was_busy_when_it_went() {
+fn a_server_that_is_listed_again_is_used_although_it_was_busy_when_removed() {
     let live = servers::VmState::Live;
-    let mut bench = Bench::new(&[vm("one", "new", live)]);
-    bench.choose().unwrap();
-    bench.table.follow(&[], 0);
-    assert_eq!(bench.choose(), Err(servers::Lack::None), "it is not listed");
-    bench.table.follow(&[vm("one", "new", live)], 0);
-    assert!(bench.choose().is_ok(), "it is listed again");
+    let mut fixture = Fixture::new(&[vm("one", "new", live)]);
+    fixture.choose().unwrap();
+    fixture.table.follow(&[], 0);
+    assert_eq!(fixture.choose(), Err(servers::Lack::None), "the server is not listed");
+    fixture.table.follow(&[vm("one", "new", live)], 0);
+    assert!(fixture.choose().is_ok(), "the server is listed again");
 }
 
 #[test]
-fn a_server_that_said_it_leaves_stays_out_although_an_older_list_comes_later() {
+fn a_leaving_server_is_not_used_although_an_older_list_has_it_again() {
     let live = servers::VmState::Live;
-    let mut bench = Bench::new(&[vm("one", "new", live)]);
-    bench.choose().unwrap();
-    bench.table.leaving("one", ids::ServerLife::UNKNOWN);
-    bench.table.follow(&[], 0);
-    bench.table.follow(&[vm("one", "new", live)], 0);
-    assert_eq!(bench.choose(), Err(servers::Lack::None));
+    let mut fixture = Fixture::new(&[vm("one", "new", live)]);
+    fixture.choose().unwrap();
+    fixture.table.leaving("one", ids::ServerLife::UNKNOWN);
+    fixture.table.follow(&[], 0);
+    fixture.table.follow(&[vm("one", "new", live)], 0);
+    assert_eq!(fixture.choose(), Err(servers::Lack::None));
 }
 
 #[test]
-fn a_server_that_comes_back_from_a_backoff_gets_one_request_first() {
-    let mut bench = Bench::two();
-    let one = bench.table.find("one").unwrap();
-    let until_ms = bench.now_ms + 3_000;
-    assert!(bench.table.back_off(one, until_ms, bench.now_ms, &mut bench.rng));
-    while bench.table.backs_off(one, bench.now_ms) {
-        assert!((0..3).all(|_| bench.choose() != Ok(one)));
-        bench.now_ms += 50;
+fn a_server_after_a_backoff_receives_one_trial_request_first() {
+    let mut fixture = Fixture::two();
+    let one = fixture.table.find("one").unwrap();
+    let until_ms = fixture.now_ms + 3_000;
+    assert!(fixture.table.back_off(one, until_ms, fixture.now_ms, &mut fixture.rng));
+    while fixture.table.backs_off(one, fixture.now_ms) {
+        assert!((0..3).all(|_| fixture.choose() != Ok(one)));
+        fixture.now_ms += 50;
     }
-    assert!(bench.now_ms >= until_ms);
-    let sent = |bench: &mut Bench| {
-        let not: Vec<ids::ServerSlot> = bench.table.find("two").into_iter().collect();
-        (0..6).filter(|_| bench.choose_for(&[], None, &not) == Ok(one)).count()
+    assert!(fixture.now_ms >= until_ms);
+    let sent = |fixture: &mut Fixture| {
+        let not: Vec<ids::ServerSlot> = fixture.table.find("two").into_iter().collect();
+        (0..6).filter(|_| fixture.choose_for(&[], None, &not) == Ok(one)).count()
     };
-    assert_eq!(sent(&mut bench), 1);
-    bench.table.answered(one, bench.now_ms);
-    assert_eq!(sent(&mut bench), 2, "two follow an answer");
-    bench.now_ms += 1_000;
-    assert_eq!(sent(&mut bench), 1, "one is tried though none is answered");
+    assert_eq!(sent(&mut fixture), 1);
+    fixture.table.answered(one, fixture.now_ms);
+    assert_eq!(sent(&mut fixture), 2, "an answer allows two requests");
+    fixture.now_ms += 1_000;
+    assert_eq!(sent(&mut fixture), 1, "one more trial is allowed without an answer");
 }
 
 #[test]
-fn routers_that_were_turned_away_together_come_back_apart() {
-    let opens_ms = |seed: u64| {
-        let mut bench = Bench { rng: StdRng::seed_from_u64(seed), ..Bench::two() };
-        let one = bench.table.find("one").unwrap();
-        bench.table.back_off(one, bench.now_ms + 4_000, bench.now_ms, &mut bench.rng);
-        bench.table.backing_off().next().unwrap().1.opens_ms()
+fn routers_return_from_the_same_backoff_at_different_times() {
+    let open_ms_with = |seed: u64| {
+        let mut fixture = Fixture { rng: StdRng::seed_from_u64(seed), ..Fixture::two() };
+        let one = fixture.table.find("one").unwrap();
+        fixture.table.back_off(one, fixture.now_ms + 4_000, fixture.now_ms, &mut fixture.rng);
+        fixture.table.backing_off().next().unwrap().1.opens_ms()
     };
-    let mut moments: Vec<u64> = (0..30).map(opens_ms).collect();
-    moments.sort_unstable();
-    assert!(moments.last().unwrap() - moments[0] >= 250, "{moments:?}");
-    moments.dedup();
-    assert!(moments.len() >= 20, "{moments:?}");
+    let mut open_times_ms: Vec<u64> = (0..30).map(open_ms_with).collect();
+    open_times_ms.sort_unstable();
+    assert!(open_times_ms.last().unwrap() - open_times_ms[0] >= 250, "{open_times_ms:?}");
+    open_times_ms.dedup();
+    assert!(open_times_ms.len() >= 20, "{open_times_ms:?}");
 }
 
 #[test]
-fn an_answer_to_a_request_from_before_a_backoff_does_not_end_it() {
-    let mut bench = Bench::two();
-    let one = bench.table.find("one").unwrap();
-    bench.table.back_off(one, bench.now_ms + 1_000, bench.now_ms, &mut bench.rng);
-    (0..20).for_each(|_| bench.table.answered(one, bench.now_ms));
-    bench.now_ms += 2_000;
-    bench.table.end_backoffs(bench.now_ms);
-    assert_eq!(bench.table.backing_off().count(), 1);
+fn an_answer_to_a_request_sent_before_a_backoff_does_not_end_it() {
+    let mut fixture = Fixture::two();
+    let one = fixture.table.find("one").unwrap();
+    fixture.table.back_off(one, fixture.now_ms + 1_000, fixture.now_ms, &mut fixture.rng);
+    (0..20).for_each(|_| fixture.table.answered(one, fixture.now_ms));
+    fixture.now_ms += 2_000;
+    fixture.table.end_backoffs(fixture.now_ms);
+    assert_eq!(fixture.table.backing_off().count(), 1);
 }
 
 #[test]
-fn a_server_in_its_backoff_is_not_polled_for_its_load() {
-    let mut bench = Bench::two();
-    let one = bench.table.find("one").unwrap();
-    bench.table.back_off(one, bench.now_ms + 1_000, bench.now_ms, &mut bench.rng);
-    let polled = |bench: &Bench| bench.table.subset(ids::Incarnation(1), 8, bench.now_ms).len();
-    assert_eq!(polled(&bench), 1);
-    bench.now_ms += 2_000;
-    assert_eq!(polled(&bench), 2);
+fn the_load_of_a_server_is_not_polled_during_its_backoff() {
+    let mut fixture = Fixture::two();
+    let one = fixture.table.find("one").unwrap();
+    fixture.table.back_off(one, fixture.now_ms + 1_000, fixture.now_ms, &mut fixture.rng);
+    let polled =
+        |fixture: &Fixture| fixture.table.subset(ids::Incarnation(1), 8, fixture.now_ms).len();
+    assert_eq!(polled(&fixture), 1);
+    fixture.now_ms += 2_000;
+    assert_eq!(polled(&fixture), 2);
 }
