--- a/core/benches/measures/main.rs
+++ b/core/benches/measures/main.rs
@@ -1,8 +1,8 @@
-//! Measures overspend and false refusals for the two sites of today, in calm and under failure, beside
-//! two baselines on the same arrivals: a static equal split, and a store call for each request.
+//! Measures overspend and false refusals at the two existing sites, without and with faults, and compares them with two
+//! baselines on the same arrivals: a static equal split of budgets, and a store call for each request.
 //!
-//! `cargo bench -p doorswitch-core --bench measures` prints the table. Names of sites or scenarios as
-//! arguments choose among them; `cover` shows what the cover time buys and costs.
+//! `cargo bench -p doorswitch-core --bench measures` prints the table. Names of sites or scenarios as arguments select
+//! among them; `cover` compares cover times by the false refusals and the lost tokens that they lead to.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -14,9 +14,10 @@
 use scenario::{Figures, Scenario, Site};
 
 fn main() {
-    let wanted: Vec<String> = std::env::args().skip(1).filter(|it| !it.starts_with("--")).collect();
-    let chosen =
-        |name: &str| wanted.is_empty() || wanted.iter().any(|it| name.contains(it.as_str()));
+    let names: Vec<String> =
+        std::env::args().skip(1).filter(|argument| !argument.starts_with("--")).collect();
+    let selected =
+        |name: &str| names.is_empty() || names.iter().any(|part| name.contains(part.as_str()));
     println!(
         "{:<7} {:<16} {:<12} {:>8} {:>9} {:>8} {:>8} {:>9} {:>8} {:>8} {:>10} {:>9}",
         "site",
@@ -34,27 +35,37 @@
     );
     for site in Site::ALL {
         for scenario in Scenario::ALL {
-            if !chosen(site.name()) && !chosen(scenario.name()) {
+            if !selected(site.name()) && !selected(scenario.name()) {
                 continue;
             }
             let arrivals = scenario::arrivals(site, scenario, 11);
-            show(
+            print_row(
                 site,
                 scenario,
                 "grants",
                 &scenario::run(site, scenario, site.cover_s(), &arrivals),
             );
-            show(site, scenario, "equal split", &baselines::equal_split(site, scenario, &arrivals));
-            show(site, scenario, "store call", &baselines::store_call(site, scenario, &arrivals));
+            print_row(
+                site,
+                scenario,
+                "equal split",
+                &baselines::equal_split(site, scenario, &arrivals),
+            );
+            print_row(
+                site,
+                scenario,
+                "store call",
+                &baselines::store_call(site, scenario, &arrivals),
+            );
         }
     }
-    if chosen("cover") {
-        show_cover();
+    if selected("cover") {
+        print_cover();
     }
 }
 
-/// What more cover buys in a cut region, and what it costs when routers die.
-fn show_cover() {
+/// Prints, by cover time, the false refusals in a region that is cut off and the tokens lost per router crash.
+fn print_cover() {
     println!(
         "\n{:<8} {:>24} {:>24}",
         "cover s", "falsely in region-cut-1h", "lost/death in deaths"
@@ -66,17 +77,17 @@
             scenario::run(site, scenario, cover_s, &arrivals)
         };
         let cut = figures(Scenario::RegionCut);
-        let deaths = figures(Scenario::Deaths);
-        let lost = deaths.lost_tokens / deaths.deaths.max(1);
+        let crashes = figures(Scenario::Crashes);
+        let lost = crashes.lost_tokens / crashes.crashes.max(1);
         println!("{cover_s:<8} {:>24} {lost:>24}", cut.falsely_refused);
     }
 }
 
-fn show(site: Site, scenario: Scenario, strategy: &str, figures: &Figures) {
+fn print_row(site: Site, scenario: Scenario, strategy: &str, figures: &Figures) {
     let early = figures.early_ms.map_or("-".to_owned(), |ms| format!("{:.1}", ms as f64 / 1000.0));
-    let per_death = match figures.deaths {
+    let per_crash = match figures.crashes {
         0 => "-".to_owned(),
-        deaths => (figures.lost_tokens / deaths).to_string(),
+        crashes => (figures.lost_tokens / crashes).to_string(),
     };
     println!(
         "{:<7} {:<16} {:<12} {:>8} {:>9} {:>8} {:>8} {:>9} {:>8.1} {:>8.1} {:>10} {:>9}",
@@ -90,7 +101,7 @@
         figures.unavoidable.map_or("-".to_owned(), |count| count.to_string()),
         figures.reads as f64 / scenario::DURATION_S as f64,
         figures.writes as f64 / scenario::DURATION_S as f64,
-        per_death,
+        per_crash,
         early,
     );
 }
--- a/core/benches/measures/scenario.rs
+++ b/core/benches/measures/scenario.rs
@@ -1,16 +1,16 @@
-//! The sites, what happens to them, and a run of the product's own strategy.
+//! The sites, the fault scenarios, and a run of doorswitch itself.
 
 use crate::world::{self, End, Shape, World};
 use doorswitch_core::{config, node};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// A run covers a cut of an hour with some time before and after.
+/// Length of a run, in seconds: a cut of one hour with some time before and after it.
 pub const DURATION_S: u64 = 4_800;
 const FAULT_BEGINS_S: u64 = 600;
 const CUT_ENDS_S: u64 = FAULT_BEGINS_S + 3_600;
 const OUTAGE_ENDS_S: u64 = FAULT_BEGINS_S + 600;
-const DEATH_EVERY_S: u64 = 300;
+const CRASH_EVERY_S: u64 = 300;
 pub const SERVE_MS: u64 = 4_000;
 const REQUESTS_PER_S: u64 = 8;
 const PROMPT_TOKENS: std::ops::Range<u64> = 60..400;
@@ -47,7 +47,7 @@
         }
     }
 
-    /// As the sample configurations have it: Muscat holds more in hand, against false refusals.
+    /// The cover time of the sample configurations. Muscat is granted more in advance, to avoid false refusals.
     pub fn cover_s(self) -> u64 {
         match self {
             Self::Bursa => 600,
@@ -61,7 +61,7 @@
     Calm,
     RegionCut,
     Outage,
-    Deaths,
+    Crashes,
     BudgetsEnd,
     BudgetsEndCut,
 }
@@ -71,7 +71,7 @@
         Scenario::Calm,
         Scenario::RegionCut,
         Scenario::Outage,
-        Scenario::Deaths,
+        Scenario::Crashes,
         Scenario::BudgetsEnd,
         Scenario::BudgetsEndCut,
     ];
@@ -81,7 +81,7 @@
             Self::Calm => "calm",
             Self::RegionCut => "region-cut-1h",
             Self::Outage => "outage-10min",
-            Self::Deaths => "deaths",
+            Self::Crashes => "deaths",
             Self::BudgetsEnd => "budgets-end",
             Self::BudgetsEndCut => "budgets-end-cut",
         }
@@ -90,7 +90,7 @@
     pub fn store_reachable(self, router: usize, at_s: u64) -> bool {
         match self {
             Self::Outage => !(FAULT_BEGINS_S..OUTAGE_ENDS_S).contains(&at_s),
-            _ => !(self.cut(at_s) && far(router)),
+            _ => !(self.cut(at_s) && in_cut_region(router)),
         }
     }
 
@@ -99,14 +99,14 @@
         cuts && (FAULT_BEGINS_S..CUT_ENDS_S).contains(&at_s)
     }
 
-    /// The router that dies at this second.
-    pub fn dies(self, site: Site, at_s: u64) -> Option<usize> {
+    /// The router that is killed at this second.
+    pub fn killed_router(self, site: Site, at_s: u64) -> Option<usize> {
         let due =
-            self == Self::Deaths && at_s >= FAULT_BEGINS_S && at_s.is_multiple_of(DEATH_EVERY_S);
-        due.then_some((at_s / DEATH_EVERY_S) as usize % site.routers())
+            self == Self::Crashes && at_s >= FAULT_BEGINS_S && at_s.is_multiple_of(CRASH_EVERY_S);
+        due.then_some((at_s / CRASH_EVERY_S) as usize % site.routers())
     }
 
-    /// What each workspace has paid, as a part of what it will ask for.
+    /// Prepaid tokens of each workspace, in percent of the tokens that its requests use.
     fn paid_percent(self) -> u64 {
         match self {
             Self::BudgetsEnd | Self::BudgetsEndCut => 60,
@@ -115,8 +115,8 @@
     }
 }
 
-/// Every other router is in the region that is cut off from the store.
-pub fn far(router: usize) -> bool {
+/// Whether a router is in the region that is cut off from the store; every second router is.
+pub fn in_cut_region(router: usize) -> bool {
     router % 2 == 1
 }
 
@@ -135,17 +135,17 @@
     pub overspend_tokens: u64,
     pub refused: u64,
     pub falsely_refused: u64,
-    /// Of the false refusals: nobody who could be reached had the tokens.
+    /// False refusals for which neither the store nor any reachable router had the tokens.
     pub unavoidable: Option<u64>,
     pub reads: u64,
     pub writes: u64,
-    pub deaths: u64,
+    pub crashes: u64,
     pub lost_tokens: u64,
-    /// From a budget's first refusal to the moment when it could truly not serve, on average.
+    /// Mean time from the first refusal of a budget until it could no longer cover a request.
     pub early_ms: Option<u64>,
 }
 
-/// Ten workspaces: three large ones with a quarter of the requests each, seven share the rest.
+/// Budgets of ten workspaces: three large ones with a quarter of the requests each, and seven that share the rest.
 const BUDGETS: usize = 10;
 
 pub fn arrivals(site: Site, scenario: Scenario, seed: u64) -> Vec<Arrival> {
@@ -167,13 +167,13 @@
         .collect()
 }
 
-/// What each budget has paid.
+/// Prepaid tokens of each budget.
 pub fn paid(scenario: Scenario, arrivals: &[Arrival]) -> Vec<u64> {
-    let mut asked = vec![0; BUDGETS];
+    let mut used_tokens = vec![0; BUDGETS];
     for arrival in arrivals {
-        asked[arrival.budget] += arrival.actual_tokens;
+        used_tokens[arrival.budget] += arrival.actual_tokens;
     }
-    asked.into_iter().map(|tokens| tokens * scenario.paid_percent() / 100).collect()
+    used_tokens.into_iter().map(|tokens| tokens * scenario.paid_percent() / 100).collect()
 }
 
 pub fn run(site: Site, scenario: Scenario, cover_s: u64, arrivals: &[Arrival]) -> Figures {
@@ -211,16 +211,16 @@
     world: World,
     figures: Figures,
     first_refusal_ms: Vec<Option<u64>>,
-    truly_empty_ms: Vec<Option<u64>>,
-    seen_refusals: usize,
+    exhausted_ms: Vec<Option<u64>>,
+    counted_refusals: usize,
 }
 
 impl Run {
     fn new(site: Site, scenario: Scenario, world: World) -> Self {
         let figures = Figures { unavoidable: Some(0), ..Figures::default() };
         let first_refusal_ms = vec![None; BUDGETS];
-        let truly_empty_ms = vec![None; BUDGETS];
-        Self { site, scenario, world, figures, first_refusal_ms, truly_empty_ms, seen_refusals: 0 }
+        let exhausted_ms = vec![None; BUDGETS];
+        Self { site, scenario, world, figures, first_refusal_ms, exhausted_ms, counted_refusals: 0 }
     }
 
     fn run(mut self, arrivals: &[Arrival]) -> Figures {
@@ -231,26 +231,26 @@
         while self.world.now_ms - begin_ms < DURATION_S * 1_000 {
             let at_ms = self.world.now_ms - begin_ms;
             if at_ms / 1_000 >= second {
-                self.faults(second);
+                self.apply_faults(second);
                 second += 1;
             }
             while let Some(arrival) = next.next_if(|arrival| arrival.at_ms <= at_ms) {
                 self.arrive(arrival);
             }
             self.world.step();
-            self.judge_refusals();
+            self.count_refusals();
         }
         self.figures.reads = self.world.store_calls.0 - calls.0;
         self.figures.writes = self.world.store_calls.1 - calls.1;
-        self.figures.deaths = self.world.deaths;
+        self.figures.crashes = self.world.deaths;
         self.figures.lost_tokens = self.world.written_off_tokens;
-        // The world itself fails the run on any overspend.
+        // `World` fails the run on any overspend.
         self.figures.overspend_tokens = 0;
         self.figures.early_ms = self.early_ms();
         self.figures
     }
 
-    fn faults(&mut self, second: u64) {
+    fn apply_faults(&mut self, second: u64) {
         let routers = self.site.routers();
         let store_out =
             self.scenario == Scenario::Outage && !self.scenario.store_reachable(0, second);
@@ -258,42 +258,46 @@
         self.world.faults.store_cut.clear();
         self.world.faults.pairs_cut.clear();
         if self.scenario.cut(second) {
-            self.world.faults.store_cut.extend((0..routers).filter(|it| far(*it)));
+            self.world
+                .faults
+                .store_cut
+                .extend((0..routers).filter(|router| in_cut_region(*router)));
             for one in 0..routers {
-                let others = (one + 1..routers).filter(|other| far(*other) != far(one));
+                let others =
+                    (one + 1..routers).filter(|other| in_cut_region(*other) != in_cut_region(one));
                 self.world.faults.pairs_cut.extend(others.map(|other| (one, other)));
             }
         }
-        if let Some(at) = self.scenario.dies(self.site, second) {
-            self.world.kill(at);
-            self.world.restart(at, false);
+        if let Some(killed) = self.scenario.killed_router(self.site, second) {
+            self.world.kill(killed);
+            self.world.restart(killed, false);
         }
     }
 
     fn arrive(&mut self, arrival: &Arrival) {
         self.figures.requests += 1;
         let key = 10_000_000 + self.figures.requests;
-        // The balancer passes over a router that takes no work.
+        // The load balancer skips routers that are not ready.
         let routers = self.site.routers();
-        let ready = |at: &usize| self.world.routers[*at].node.lifecycle() == node::Lifecycle::Ready;
-        let turn = (0..routers).map(|step| (arrival.router + step) % routers).find(ready);
-        let at = turn.unwrap_or(arrival.router);
+        let ready =
+            |router: &usize| self.world.routers[*router].node.lifecycle() == node::Lifecycle::Ready;
+        let next_ready = (0..routers).map(|step| (arrival.router + step) % routers).find(ready);
+        let router = next_ready.unwrap_or(arrival.router);
         let (bound, actual) = (arrival.bound_tokens, arrival.actual_tokens);
-        self.world.admit(at, arrival.budget, key, bound, actual, false);
+        self.world.admit(router, arrival.budget, key, bound, actual, false);
         for budget in 0..BUDGETS {
-            if self.world.truth[budget].left_tokens() < bound
-                && self.truly_empty_ms[budget].is_none()
+            if self.world.truth[budget].left_tokens() < bound && self.exhausted_ms[budget].is_none()
             {
-                self.truly_empty_ms[budget] = Some(self.world.now_ms);
+                self.exhausted_ms[budget] = Some(self.world.now_ms);
             }
         }
     }
 
-    fn judge_refusals(&mut self) {
-        let refusals = self.world.refusals[self.seen_refusals..].to_vec();
-        self.seen_refusals += refusals.len();
-        for place in refusals {
-            let given = self.world.given[place].clone();
+    fn count_refusals(&mut self) {
+        let refusals = self.world.refusals[self.counted_refusals..].to_vec();
+        self.counted_refusals += refusals.len();
+        for index in refusals {
+            let given = self.world.given[index].clone();
             self.figures.refused += 1;
             let Some(End::Refused(reason)) = given.end else { continue };
             let budget_reason =
@@ -312,14 +316,15 @@
         }
     }
 
-    /// What the store and the routers that can be reached from the refusing one have free.
+    /// Free tokens of a budget in the store and at all routers that the refusing router can reach.
     fn reachable_tokens(&self, given: &world::Given) -> u64 {
         let name = self.world.budget_name(given.budget);
-        let reached = |at: &usize| *at == given.at || self.world.connected(given.at, *at);
+        let reached =
+            |router: &usize| *router == given.at || self.world.connected(given.at, *router);
         let free: u64 = (0..self.world.routers.len())
             .filter(reached)
-            .filter_map(|at| {
-                let grants = self.world.routers[at].node.grants();
+            .filter_map(|router| {
+                let grants = self.world.routers[router].node.grants();
                 grants.find(&name).map(|slot| grants.account(slot).free_tokens())
             })
             .sum();
@@ -329,9 +334,9 @@
 
     fn early_ms(&self) -> Option<u64> {
         let mut gaps = Vec::new();
-        for (refused, empty) in self.first_refusal_ms.iter().zip(&self.truly_empty_ms) {
-            if let (Some(refused), Some(empty)) = (refused, empty) {
-                gaps.push(empty.saturating_sub(*refused));
+        for (refused, exhausted) in self.first_refusal_ms.iter().zip(&self.exhausted_ms) {
+            if let (Some(refused), Some(exhausted)) = (refused, exhausted) {
+                gaps.push(exhausted.saturating_sub(*refused));
             }
         }
         let count = gaps.len() as u64;
--- a/core/benches/routing/main.rs
+++ b/core/benches/routing/main.rs
@@ -1,5 +1,5 @@
-//! Measures goodput and time to first token past capacity, beside round robin and least outstanding
-//! requests on the same arrivals and the same engines.
+//! Measures goodput and time to first token at loads up to and beyond capacity, and compares them with round robin and
+//! least outstanding requests on the same arrivals and the same engines.
 //!
 //! `cargo bench -p doorswitch-core --bench routing` prints the table.
 
@@ -8,7 +8,7 @@
 mod engines;
 mod strategies;
 
-use engines::{Engines, Trouble};
+use engines::{Engines, Fault};
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -18,11 +18,11 @@
 pub const ROUTERS: usize = 4;
 pub const STEP_MS: u64 = 10;
 const DURATION_MS: u64 = 60_000;
-/// Callers wait this long for a whole answer.
+/// Time that callers wait for the complete answer.
 pub const DEADLINE_MS: u64 = 10_000;
-/// Trouble begins after this.
-const TROUBLE_MS: u64 = 10_000;
-/// A caller that retries does so this often.
+/// Time at which the fault begins.
+const FAULT_BEGINS_MS: u64 = 10_000;
+/// Number of retries of a caller that retries.
 const RETRIES: u32 = 2;
 const ANSWER_TOKENS: std::ops::RangeInclusive<u64> = 50..=150;
 
@@ -31,7 +31,7 @@
     pub number: usize,
     pub router: usize,
     pub tokens: u64,
-    pub given_ms: u64,
+    pub submitted_ms: u64,
     pub retries_left: u32,
 }
 
@@ -43,7 +43,7 @@
 }
 
 fn main() {
-    let capacity = Engines::new(Trouble::None)
+    let capacity = Engines::new(Fault::None)
         .capacity_milli_per_s(*ANSWER_TOKENS.start() / 2 + *ANSWER_TOKENS.end() / 2);
     println!("capacity of the engines: {:.1} requests a second", capacity as f64 / 1e3);
     println!(
@@ -58,74 +58,73 @@
         "p95 ms",
         "p99 ms"
     );
-    for trouble in Trouble::ALL {
-        let loads: &[u64] =
-            if trouble == Trouble::None { &[50, 100, 200, 400] } else { &[80, 200] };
+    for fault in Fault::ALL {
+        let loads: &[u64] = if fault == Fault::None { &[50, 100, 200, 400] } else { &[80, 200] };
         for load_percent in loads {
-            let arrivals = arrivals(capacity * load_percent / 100, trouble);
+            let arrivals = arrivals(capacity * load_percent / 100, fault);
             for name in ["doorswitch", "round robin", "least outstanding"] {
-                let outcome = run(strategies::named(name), trouble, &arrivals);
-                show(trouble, *load_percent, name, &outcome);
+                let outcome = run(strategies::by_name(name), fault, &arrivals);
+                print_row(fault, *load_percent, name, &outcome);
             }
         }
     }
 }
 
-fn show(trouble: Trouble, load_percent: u64, name: &str, outcome: &Outcome) {
+fn print_row(fault: Fault, load_percent: u64, name: &str, outcome: &Outcome) {
     let per_s = |count: u64| count as f64 * 1e3 / DURATION_MS as f64;
-    let at = |quantile| outcome.first_token_ms.value_at_quantile(quantile);
+    let first_token_ms = |quantile| outcome.first_token_ms.value_at_quantile(quantile);
     println!(
         "{:<22} {:>4.1}x {name:<18} {:>9.1} {:>9.1} {:>8.1} {:>8} {:>8} {:>8}",
-        trouble.name(),
+        fault.name(),
         load_percent as f64 / 100.0,
         per_s(outcome.good),
         per_s(outcome.refused),
         per_s(outcome.late),
-        at(0.5),
-        at(0.95),
-        at(0.99)
+        first_token_ms(0.5),
+        first_token_ms(0.95),
+        first_token_ms(0.99)
     );
 }
 
-fn arrivals(rate_milli_per_s: u64, trouble: Trouble) -> Vec<Request> {
+fn arrivals(rate_milli_per_s: u64, fault: Fault) -> Vec<Request> {
     let mut rng = StdRng::seed_from_u64(17);
     let count = rate_milli_per_s * DURATION_MS / 1_000_000;
-    let retries_left = if trouble == Trouble::CallersRetry { RETRIES } else { 0 };
+    let retries_left = if fault == Fault::CallersRetry { RETRIES } else { 0 };
     let mut requests: Vec<Request> = (0..count)
         .map(|_| Request {
             number: 0,
             router: rng.random_range(0..ROUTERS),
             tokens: rng.random_range(ANSWER_TOKENS),
-            given_ms: rng.random_range(0..DURATION_MS),
+            submitted_ms: rng.random_range(0..DURATION_MS),
             retries_left,
         })
         .collect();
-    requests.sort_by_key(|request| request.given_ms);
+    requests.sort_by_key(|request| request.submitted_ms);
     requests
 }
 
-fn run(mut strategy: Box<dyn Strategy>, trouble: Trouble, arrivals: &[Request]) -> Outcome {
-    let mut engines = Engines::new(trouble);
+fn run(mut strategy: Box<dyn Strategy>, fault: Fault, arrivals: &[Request]) -> Outcome {
+    let mut engines = Engines::new(fault);
     let mut outcome =
         Outcome { good: 0, refused: 0, late: 0, first_token_ms: Histogram::new(3).unwrap() };
     let mut requests: Vec<Request> = Vec::new();
-    // Callers by when they come (again); the caller of a request that waits leaves at its deadline.
-    let mut coming: BTreeMap<(u64, usize), Request> = BTreeMap::new();
-    for (place, request) in arrivals.iter().enumerate() {
-        coming.insert((request.given_ms, place), *request);
+    // Requests by the time of their next attempt; the caller of a waiting request leaves at its deadline.
+    let mut arriving: BTreeMap<(u64, usize), Request> = BTreeMap::new();
+    for (index, request) in arrivals.iter().enumerate() {
+        arriving.insert((request.submitted_ms, index), *request);
     }
     let mut serial = arrivals.len();
     for now_ms in (0..DURATION_MS + DEADLINE_MS).step_by(STEP_MS as usize) {
-        if now_ms == TROUBLE_MS {
-            engines.trouble();
+        if now_ms == FAULT_BEGINS_MS {
+            engines.begin_fault();
         }
-        while let Some(entry) = coming.first_entry() {
+        while let Some(entry) = arriving.first_entry() {
             if entry.key().0 > now_ms {
                 break;
             }
             let mut request = entry.remove();
             request.number = requests.len();
-            request.given_ms = now_ms;
+            request.submitted_ms = now_ms;
             requests.push(request);
             strategy.arrive(&request, now_ms);
         }
@@ -137,11 +136,11 @@
             }
             if ended.cancelled {
                 outcome.late += 1;
-                again(&mut coming, &mut serial, request, now_ms + 1);
+                schedule_retry(&mut arriving, &mut serial, request, now_ms + 1);
                 continue;
             }
             outcome.good += 1;
-            outcome.first_token_ms.record(ended.first_token_ms - request.given_ms).unwrap();
+            outcome.first_token_ms.record(ended.first_token_ms - request.submitted_ms).unwrap();
         }
         strategy.tick(&engines, now_ms);
         for decision in strategy.decisions() {
@@ -151,7 +150,12 @@
                 }
                 Decision::Refuse { number, retry_after_ms } => {
                     outcome.refused += 1;
-                    again(&mut coming, &mut serial, requests[number], now_ms + retry_after_ms);
+                    schedule_retry(
+                        &mut arriving,
+                        &mut serial,
+                        requests[number],
+                        now_ms + retry_after_ms,
+                    );
                 }
             }
         }
@@ -159,15 +163,15 @@
     outcome
 }
 
-/// A caller that retries comes back; others are gone.
-fn again(
-    coming: &mut BTreeMap<(u64, usize), Request>,
+/// Schedules the next attempt of a caller that has retries left.
+fn schedule_retry(
+    arriving: &mut BTreeMap<(u64, usize), Request>,
     serial: &mut usize,
     request: Request,
     at_ms: u64,
 ) {
     if let Some(retries_left) = request.retries_left.checked_sub(1) {
         *serial += 1;
-        coming.insert((at_ms, *serial), Request { retries_left, ..request });
+        arriving.insert((at_ms, *serial), Request { retries_left, ..request });
     }
 }
--- a/core/benches/routing/strategies.rs
+++ b/core/benches/routing/strategies.rs
@@ -1,4 +1,4 @@
-//! The product's own choice, and two common ones.
+//! The routing strategies that are compared: doorswitch and two common ones.
 
 use crate::engines::{Ended, Engines};
 use crate::{DEADLINE_MS, ROUTERS, Request, STEP_MS};
@@ -20,48 +20,48 @@
     fn decisions(&mut self) -> Vec<Decision>;
 }
 
-pub fn named(name: &str) -> Box<dyn Strategy> {
+pub fn by_name(name: &str) -> Box<dyn Strategy> {
     match name {
-        "doorswitch" => Box::new(Product::new()),
-        "round robin" => Box::new(Simple::new(|simple, router| {
-            simple.turn[router] = (simple.turn[router] + 1) % Engines::len();
-            simple.turn[router]
+        "doorswitch" => Box::new(Doorswitch::new()),
+        "round robin" => Box::new(Baseline::new(|baseline, router| {
+            baseline.next[router] = (baseline.next[router] + 1) % Engines::len();
+            baseline.next[router]
         })),
-        _ => Box::new(Simple::new(|simple, router| {
-            let outstanding = &simple.outstanding[router];
+        _ => Box::new(Baseline::new(|baseline, router| {
+            let outstanding = &baseline.outstanding[router];
             (0..Engines::len()).min_by_key(|server| outstanding[*server]).unwrap()
         })),
     }
 }
 
-/// Sends everything at once, each router by its own count; a broken request goes to the next choice.
-struct Simple {
-    choose: fn(&mut Simple, usize) -> usize,
-    turn: Vec<usize>,
+/// Sends every request immediately, by the counts of its own router; a broken request is sent to the next choice.
+struct Baseline {
+    choose: fn(&mut Baseline, usize) -> usize,
+    next: Vec<usize>,
     outstanding: Vec<Vec<u64>>,
     routers: HashMap<usize, usize>,
-    out: Vec<Decision>,
+    decisions: Vec<Decision>,
 }
 
-impl Simple {
-    fn new(choose: fn(&mut Simple, usize) -> usize) -> Self {
+impl Baseline {
+    fn new(choose: fn(&mut Baseline, usize) -> usize) -> Self {
         Self {
             choose,
-            turn: (0..ROUTERS).collect(),
+            next: (0..ROUTERS).collect(),
             outstanding: vec![vec![0; Engines::len()]; ROUTERS],
             routers: HashMap::new(),
-            out: Vec::new(),
+            decisions: Vec::new(),
         }
     }
 
     fn send(&mut self, number: usize, router: usize) {
         let server = (self.choose)(self, router);
         self.outstanding[router][server] += 1;
-        self.out.push(Decision::Send { number, server });
+        self.decisions.push(Decision::Send { number, server });
     }
 }
 
-impl Strategy for Simple {
+impl Strategy for Baseline {
     fn arrive(&mut self, request: &Request, _now_ms: u64) {
         self.routers.insert(request.number, request.router);
         self.send(request.number, request.router);
@@ -78,45 +78,45 @@
     fn tick(&mut self, _engines: &Engines, _now_ms: u64) {}
 
     fn decisions(&mut self) -> Vec<Decision> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.decisions)
     }
 }
 
-/// The product's core: one node for each router, with tokens enough.
-struct Product {
+/// The core of doorswitch: one node for each router, with budgets that do not run out.
+struct Doorswitch {
     nodes: Vec<node::Node>,
     slots: HashMap<(usize, ids::RequestSlot), usize>,
     numbers: HashMap<usize, (usize, ids::RequestSlot)>,
-    /// A store for each router: this bench is about servers.
+    /// A store for each router, because this benchmark measures the choice of servers only.
     stores: Vec<HashMap<String, (u64, Vec<u8>)>>,
-    out: Vec<Decision>,
+    decisions: Vec<Decision>,
 }
 
-impl Product {
+impl Doorswitch {
     fn new() -> Self {
-        let mut product = Self {
+        let mut doorswitch = Self {
             nodes: (0..ROUTERS).map(new_node).collect(),
             slots: HashMap::new(),
             numbers: HashMap::new(),
             stores: vec![HashMap::new(); ROUTERS],
-            out: Vec::new(),
+            decisions: Vec::new(),
         };
         let mut shard = ledger::Shard::default();
         shard.pay(BUDGET, "paid", 1 << 50).unwrap();
         let shards = config::Layout::default().ledger_shards;
         let key = ledger::key(ledger::shard_of(BUDGET, shards));
-        for store in &mut product.stores {
+        for store in &mut doorswitch.stores {
             store.insert(key.clone(), (1, shard.encode()));
         }
-        // The grants are drawn before the first request.
+        // Draws the grants before the first request.
         for router in 0..ROUTERS {
-            product.nodes[router].tick(0);
-            product.carry_out(router, 0);
+            doorswitch.nodes[router].tick(0);
+            doorswitch.perform_actions(router, 0);
         }
-        product
+        doorswitch
     }
 
-    fn carry_out(&mut self, router: usize, now_ms: u64) {
+    fn perform_actions(&mut self, router: usize, now_ms: u64) {
         loop {
             let actions = self.nodes[router].take_actions();
             if actions.is_empty() {
@@ -125,51 +125,54 @@
             for action in actions {
                 match action {
                     node::Action::Store { call, request } => {
-                        let reply = answer(&mut self.stores[router], request);
+                        let reply = store_reply(&mut self.stores[router], request);
                         self.nodes[router].handle_store_reply(call, reply, now_ms);
                     }
-                    node::Action::Answer { slot, answer } => self.answer(router, slot, answer),
+                    node::Action::Answer { slot, answer } => {
+                        self.handle_answer(router, slot, answer)
+                    }
                     _ => {}
                 }
             }
         }
     }
 
-    fn answer(&mut self, router: usize, slot: ids::RequestSlot, answer: node::Answer) {
+    fn handle_answer(&mut self, router: usize, slot: ids::RequestSlot, answer: node::Answer) {
         let Some(number) = self.slots.get(&(router, slot)).copied() else { return };
         match answer {
             node::Answer::Dispatch { vm, .. } => {
                 let server = vm.trim_start_matches("server-").parse().unwrap();
-                self.out.push(Decision::Send { number, server });
+                self.decisions.push(Decision::Send { number, server });
             }
             node::Answer::Refuse { retry_after_ms, .. } => {
-                self.out.push(Decision::Refuse { number, retry_after_ms });
+                self.decisions.push(Decision::Refuse { number, retry_after_ms });
             }
             _ => {}
         }
     }
 }
 
-impl Strategy for Product {
+impl Strategy for Doorswitch {
     fn arrive(&mut self, request: &Request, now_ms: u64) {
         let router = request.router;
-        let slot = self.nodes[router].admit(wanted(request, now_ms), now_ms);
+        let slot = self.nodes[router].admit(admission_request(request, now_ms), now_ms);
         self.slots.insert((router, slot), request.number);
         self.numbers.insert(request.number, (router, slot));
-        self.carry_out(router, now_ms);
+        self.perform_actions(router, now_ms);
     }
 
     fn ended(&mut self, ended: &Ended, now_ms: u64) {
         let (router, slot) = self.numbers[&ended.number];
         if ended.broken {
             self.nodes[router].retry(slot, node::AttemptFailure::MayHaveRun, now_ms);
-            self.carry_out(router, now_ms);
+            self.perform_actions(router, now_ms);
             return;
         }
-        // A caller that left is no fault of the server.
-        let ending = node::RequestOutcome::Ran { consumed_tokens: 1, outcome: None, healthy: true };
-        self.nodes[router].finish(slot, ending, now_ms);
-        self.carry_out(router, now_ms);
+        // A caller that leaves does not count as a failure of the server.
+        let outcome =
+            node::RequestOutcome::Ran { consumed_tokens: 1, outcome: None, healthy: true };
+        self.nodes[router].finish(slot, outcome, now_ms);
+        self.perform_actions(router, now_ms);
     }
 
     fn tick(&mut self, engines: &Engines, now_ms: u64) {
@@ -188,12 +191,12 @@
                 }
             }
             self.nodes[router].tick(now_ms);
-            self.carry_out(router, now_ms);
+            self.perform_actions(router, now_ms);
         }
     }
 
     fn decisions(&mut self) -> Vec<Decision> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.decisions)
     }
 }
 
@@ -269,7 +272,7 @@
     }
 }
 
-fn wanted(request: &Request, now_ms: u64) -> node::AdmissionRequest {
+fn admission_request(request: &Request, now_ms: u64) -> node::AdmissionRequest {
     node::AdmissionRequest {
         attempts_max: u32::MAX,
         fingerprint: None,
@@ -288,7 +291,10 @@
     }
 }
 
-fn answer(values: &mut HashMap<String, (u64, Vec<u8>)>, request: store::Request) -> store::Reply {
+fn store_reply(
+    values: &mut HashMap<String, (u64, Vec<u8>)>,
+    request: store::Request,
+) -> store::Reply {
     match request {
         store::Request::Read { key } => match values.get(&key) {
             Some((index, value)) => {
