--- a/core/tests/crashing_request_schedules.rs
+++ b/core/tests/crashing_request_schedules.rs
@@ -143,8 +143,8 @@
             if self.servers[index].down_until_ms.is_some_and(|at_ms| now_ms >= at_ms) {
                 self.restart_server(index);
             }
-            let ended = |run: &mut Run| now_ms >= run.ends_ms;
-            let ended: Vec<Run> = self.servers[index].runs.extract_if(.., ended).collect();
+            let has_ended = |run: &mut Run| now_ms >= run.ends_ms;
+            let ended: Vec<Run> = self.servers[index].runs.extract_if(.., has_ended).collect();
             let crashing =
                 ended.iter().find(|run| self.kinds[run.kind].crashing).map(|run| run.kind);
             let crashes = self.rng.random_range(0..40_000) < TICK_MS;
--- a/core/tests/directive_schedules.rs
+++ b/core/tests/directive_schedules.rs
@@ -246,7 +246,7 @@
             return;
         }
         let server = &self.servers[run.server];
-        let server_life = (server.name.clone(), run.life);
+        let instance = (server.name.clone(), run.life);
         let received = self.received.entry(run.router).or_default();
         let limit = server.limit_milli_per_s.filter(|_| server.life == run.life);
         let mut directives = servers::Said {
@@ -257,11 +257,11 @@
             Behaviour::Serves | Behaviour::Sheds { .. } => {}
             Behaviour::Leaves => {
                 directives.leaves = servers::Stated::Value(true);
-                received.leaving.entry(server_life).or_insert(now_ms);
+                received.leaving.entry(instance).or_insert(now_ms);
             }
             Behaviour::Rejects { backoff_ms } => {
                 directives.backoff_ms = servers::Stated::Value(backoff_ms);
-                let until_ms = received.backoff_until_ms.entry(server_life).or_default();
+                let until_ms = received.backoff_until_ms.entry(instance).or_default();
                 *until_ms = (now_ms + backoff_ms).max(*until_ms);
             }
         }
