--- a/core/benches/limits/main.rs
+++ b/core/benches/limits/main.rs
@@ -71,15 +71,15 @@
         for milli_per_s in [1_100, 7_700] {
             let shape = Shape { routers, servers: ALLOTTED_SERVERS, milli_per_s, load_percent: 0 };
             for name in ["chance", "ranked"] {
-                let sums = strategies::sums(name, &shape, &mut StdRng::seed_from_u64(1));
-                let percent = |sum: f64| sum / milli_per_s as f64 * 100.0;
-                let none = sums.iter().filter(|sum| **sum == 0.0).count();
+                let rates = strategies::summed_rates(name, &shape, &mut StdRng::seed_from_u64(1));
+                let percent = |rate: f64| rate / milli_per_s as f64 * 100.0;
+                let none = rates.iter().filter(|rate| **rate == 0.0).count();
                 println!(
                     "{name:<9} {routers:>7} {:>6}  {:>6.1} {:>6.0} {:>6.0}",
                     milli_per_s as f64 / 1e3,
                     none as f64 / ALLOTTED_SERVERS as f64 * 100.0,
-                    percent(sums.iter().sum::<f64>() / ALLOTTED_SERVERS as f64),
-                    percent(sums.iter().copied().fold(0.0, f64::max)),
+                    percent(rates.iter().sum::<f64>() / ALLOTTED_SERVERS as f64),
+                    percent(rates.iter().copied().fold(0.0, f64::max)),
                 );
             }
         }
--- a/core/benches/limits/strategies.rs
+++ b/core/benches/limits/strategies.rs
@@ -38,7 +38,7 @@
 }
 
 /// The summed rates of all routers at each server, in thousandths of a request a second.
-pub fn sums(name: &str, shape: &Shape, rng: &mut StdRng) -> Vec<f64> {
+pub fn summed_rates(name: &str, shape: &Shape, rng: &mut StdRng) -> Vec<f64> {
     let buckets = Buckets::new(shape, rng, if name == "chance" { chance } else { ranked });
     let rates = |server: usize| buckets.buckets.iter().skip(server).step_by(shape.servers);
     (0..shape.servers).map(|server| rates(server).map(|(rate, ..)| rate).sum()).collect()
--- a/core/benches/measures/baselines.rs
+++ b/core/benches/measures/baselines.rs
@@ -12,7 +12,7 @@
 /// Each router owns a fixed, equal part of every budget. The part of a router that crashes is lost, because without a
 /// ledger its spending is not recorded.
 pub fn equal_split(site: Site, scenario: Scenario, arrivals: &[Arrival]) -> Figures {
-    let paid = scenario::paid(scenario, arrivals);
+    let paid = scenario::prepaid_tokens(scenario, arrivals);
     let routers = site.routers();
     let mut free: Vec<Vec<u64>> =
         paid.iter().map(|tokens| vec![tokens / routers as u64; routers]).collect();
@@ -47,7 +47,7 @@
 
 /// Every request reserves and settles its tokens in the store, with two writes. Without the store no request is served.
 pub fn store_call(site: Site, scenario: Scenario, arrivals: &[Arrival]) -> Figures {
-    let paid = scenario::paid(scenario, arrivals);
+    let paid = scenario::prepaid_tokens(scenario, arrivals);
     let mut free = paid.clone();
     let mut accounting = Accounting::new(&paid);
     let mut running = Running::new();
--- a/core/benches/measures/scenario.rs
+++ b/core/benches/measures/scenario.rs
@@ -90,11 +90,11 @@
     pub fn store_reachable(self, router: usize, at_s: u64) -> bool {
         match self {
             Self::Outage => !(FAULT_BEGINS_S..OUTAGE_ENDS_S).contains(&at_s),
-            _ => !(self.cut(at_s) && in_cut_region(router)),
+            _ => !(self.is_cut(at_s) && in_cut_region(router)),
         }
     }
 
-    pub fn cut(self, at_s: u64) -> bool {
+    pub fn is_cut(self, at_s: u64) -> bool {
         let cuts = matches!(self, Self::RegionCut | Self::BudgetsEndCut);
         cuts && (FAULT_BEGINS_S..CUT_ENDS_S).contains(&at_s)
     }
@@ -168,7 +168,7 @@
 }
 
 /// Prepaid tokens of each budget.
-pub fn paid(scenario: Scenario, arrivals: &[Arrival]) -> Vec<u64> {
+pub fn prepaid_tokens(scenario: Scenario, arrivals: &[Arrival]) -> Vec<u64> {
     let mut used_tokens = vec![0; BUDGETS];
     for arrival in arrivals {
         used_tokens[arrival.budget] += arrival.actual_tokens;
@@ -198,7 +198,7 @@
     let mut world = World::new(shape, 5);
     world.serve_ms = SERVE_MS;
     world.vms_lag_ms = 30_000;
-    for (budget, tokens) in paid(scenario, arrivals).into_iter().enumerate() {
+    for (budget, tokens) in prepaid_tokens(scenario, arrivals).into_iter().enumerate() {
         world.pay(budget, tokens);
     }
     world.run_ms(WARM_UP_S * 1_000);
@@ -257,7 +257,7 @@
         self.world.faults.store_out = store_out;
         self.world.faults.store_cut.clear();
         self.world.faults.pairs_cut.clear();
-        if self.scenario.cut(second) {
+        if self.scenario.is_cut(second) {
             self.world
                 .faults
                 .store_cut
--- a/core/tests/node.rs
+++ b/core/tests/node.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_request_that_nobody_can_cover_is_refused_at_once() {
+fn a_request_beyond_the_budget_is_refused_without_delay() {
     let mut world = World::new(Shape::default(), 1);
     world.run_ms(2_000);
     let index = world.admit(0, 0, 1, 10_001, 1, false).unwrap();
