--- a/tests/fleet/http.rs
+++ b/tests/fleet/http.rs
@@ -1,10 +1,10 @@
-//! A caller: plain HTTP over one connection, so that a test sees every byte.
+//! A plain HTTP client that uses one connection for each request, so that a test receives the answer's raw bytes.
 
 use std::io::Read;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An answer as a caller sees it.
+/// An HTTP answer as received by a caller.
 #[derive(Clone, Debug)]
 pub struct Answer {
     pub status: u16,
@@ -30,15 +30,16 @@
         headers.find(|(key, _)| key.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
     }
 
-    /// The answer's text, whole or streamed.
+    /// The generated text of a completion, from a JSON body or from stream events.
     pub fn text(&self) -> String {
         if let Some(text) = self.json()["choices"][0]["message"]["content"].as_str() {
             return text.to_owned();
         }
         let events = self.body.lines().filter_map(|line| line.strip_prefix("data: "));
         let chunks = events.filter_map(|data| serde_json::from_str::<serde_json::Value>(data).ok());
-        let texts = chunks
-            .filter_map(|it| it["choices"][0]["delta"]["content"].as_str().map(str::to_owned));
+        let texts = chunks.filter_map(|chunk| {
+            chunk["choices"][0]["delta"]["content"].as_str().map(str::to_owned)
+        });
         texts.collect()
     }
 
@@ -47,7 +48,7 @@
     }
 }
 
-/// One call over HTTP; `None` if the connection failed before an answer began.
+/// Sends a request and reads the answer; `None` if the connection failed before an answer began.
 pub fn call(
     address: SocketAddr,
     method: &str,
@@ -65,7 +66,7 @@
     parse(&received)
 }
 
-/// Sends a request and leaves its answer to be read.
+/// Sends a request and returns the connection, from which the answer is still to be read.
 pub fn send(
     address: SocketAddr,
     method: &str,
@@ -90,8 +91,8 @@
 }
 
 pub fn parse(received: &[u8]) -> Option<Answer> {
-    let split = received.windows(4).position(|window| window == b"\r\n\r\n")?;
-    let head = String::from_utf8_lossy(&received[..split]).into_owned();
+    let head_end = received.windows(4).position(|window| window == b"\r\n\r\n")?;
+    let head = String::from_utf8_lossy(&received[..head_end]).into_owned();
     let mut lines = head.lines();
     let status = lines.next()?.split_whitespace().nth(1)?.parse().ok()?;
     let headers: Vec<(String, String)> = lines
@@ -101,21 +102,21 @@
     let chunked = headers.iter().any(|(key, value)| {
         key.eq_ignore_ascii_case("transfer-encoding") && value.contains("chunked")
     });
-    let body = &received[split + 4..];
+    let body = &received[head_end + 4..];
     let body = if chunked { unchunk(body) } else { body.to_vec() };
     Some(Answer { status, headers, body: String::from_utf8_lossy(&body).into_owned() })
 }
 
 fn unchunk(mut body: &[u8]) -> Vec<u8> {
-    let mut whole = Vec::new();
+    let mut data = Vec::new();
     while let Some(end) = body.windows(2).position(|window| window == b"\r\n") {
         let length = std::str::from_utf8(&body[..end]).ok();
         let length = length.and_then(|text| usize::from_str_radix(text.trim(), 16).ok());
         let Some(length) = length.filter(|length| *length > 0) else { break };
         let start = end + 2;
         let stop = (start + length).min(body.len());
-        whole.extend_from_slice(&body[start..stop]);
+        data.extend_from_slice(&body[start..stop]);
         body = &body[(stop + 2).min(body.len())..];
     }
-    whole
+    data
 }
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A small fleet for integration tests: real router processes behind faulty networks, with the
-//! stand-ins in the test's own process.
+//! A small fleet for integration tests: router processes behind proxies that inject network faults, with
+//! stand-ins for the platform and the backend servers in the test's own process.
 
 #![allow(dead_code, clippy::unwrap_used, missing_docs, unused_imports)]
 
@@ -20,8 +20,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a condition may take to come true. Only a broken build waits this long.
-pub const PATIENCE: Duration = Duration::from_secs(40);
+/// Time within which a condition of [`eventually`] has to hold; reached only by a test that fails.
+pub const CONDITION_TIMEOUT: Duration = Duration::from_secs(40);
 
 pub const OPERATOR_KEY: &str = "test-operator-key";
 
@@ -74,9 +74,9 @@
     net: [u8; 2],
 }
 
-/// Waits until a condition holds.
+/// Waits until a condition holds; panics after [`CONDITION_TIMEOUT`].
 pub fn eventually(what: &str, condition: impl FnMut() -> bool) {
-    assert!(holds_within(PATIENCE, condition), "never came true: {what}");
+    assert!(holds_within(CONDITION_TIMEOUT, condition), "condition did not hold in time: {what}");
 }
 
 pub fn holds_within(time: Duration, mut condition: impl FnMut() -> bool) -> bool {
@@ -91,38 +91,43 @@
 }
 
 impl Fleet {
-    /// The address that a router's process listens on for peers.
-    pub fn peer_address(&self, place: usize) -> SocketAddr {
-        self.routers[place].peer.unwrap()
+    /// The address at which a router's process receives messages of its peers.
+    pub fn peer_address(&self, index: usize) -> SocketAddr {
+        self.routers[index].peer.unwrap()
     }
 
     pub fn wait_ready(&self) {
         let count = self.routers.len();
-        for place in 0..count {
-            self.wait_router_ready(place);
-            let knows = holds_within(PATIENCE, || self.members_alive(place) == count - 1);
-            assert!(knows, "router {place} does not know the others: {}", self.report());
+        for index in 0..count {
+            self.wait_router_ready(index);
+            let all_alive =
+                holds_within(CONDITION_TIMEOUT, || self.members_alive(index) == count - 1);
+            assert!(
+                all_alive,
+                "router {index} does not list every peer as alive: {}",
+                self.report()
+            );
         }
     }
 
-    pub fn wait_router_ready(&self, place: usize) {
-        eventually("router takes work", || {
-            let answer = self.get(place, "/readyz", "none");
-            let dump = self.dump(place);
-            let roast = self.engines.len() + self.services.len();
+    pub fn wait_router_ready(&self, index: usize) {
+        eventually("the router is ready and lists every server", || {
+            let answer = self.get(index, "/readyz", "none");
+            let dump = self.dump(index);
+            let server_count = self.engines.len() + self.services.len();
             let servers = dump["servers"].as_object().map_or(0, serde_json::Map::len);
-            answer.is_some_and(|answer| answer.status == 200) && servers == roast
+            answer.is_some_and(|answer| answer.status == 200) && servers == server_count
         });
     }
 
-    pub fn members_alive(&self, place: usize) -> usize {
-        let dump = self.dump(place);
+    pub fn members_alive(&self, index: usize) -> usize {
+        let dump = self.dump(index);
         let members = dump["members"].as_array().cloned().unwrap_or_default();
         members.iter().filter(|member| member["health"] == "Alive").count()
     }
 
-    pub fn dump(&self, place: usize) -> serde_json::Value {
-        let url = self.routers[place].operators;
+    pub fn dump(&self, index: usize) -> serde_json::Value {
+        let url = self.routers[index].operators;
         let answer = call(url, "GET", "/dump", OPERATOR_KEY, &[], "");
         answer.map_or(serde_json::Value::Null, |answer| answer.json())
     }
@@ -134,8 +139,8 @@
             let client =
                 doorswitch::platform::Client::new(&format!("http://{platform}"), 500, None);
             let base = doorswitch::publish::current(&client).await.unwrap().version();
-            let operation = uuid_like();
-            doorswitch::publish::publish(&client, &document, base, &operation, PATIENCE)
+            let operation = unique_operation_id();
+            doorswitch::publish::publish(&client, &document, base, &operation, CONDITION_TIMEOUT)
                 .await
                 .unwrap()
         })
@@ -147,30 +152,37 @@
         on_system(move || async move {
             let client =
                 doorswitch::platform::Client::new(&format!("http://{platform}"), 500, None);
-            doorswitch::publish::pay(&client, &workspace, "main", tokens, &operation, PATIENCE)
-                .await
-                .unwrap();
+            doorswitch::publish::pay(
+                &client,
+                &workspace,
+                "main",
+                tokens,
+                &operation,
+                CONDITION_TIMEOUT,
+            )
+            .await
+            .unwrap();
         });
     }
 
-    pub fn get(&self, place: usize, path: &str, key: &str) -> Option<Answer> {
-        call(self.routers[place].callers, "GET", path, key, &[], "")
+    pub fn get(&self, index: usize, path: &str, key: &str) -> Option<Answer> {
+        call(self.routers[index].callers, "GET", path, key, &[], "")
     }
 
-    /// A completion; `None` if the connection failed.
+    /// Requests a completion; `None` if the connection failed.
     pub fn complete(
         &self,
-        place: usize,
+        index: usize,
         prompt: &str,
         tokens: u64,
         stream: bool,
     ) -> Option<Answer> {
-        self.complete_as(place, "kitchen-key", None, prompt, tokens, stream)
+        self.complete_as(index, "kitchen-key", None, prompt, tokens, stream)
     }
 
     pub fn complete_as(
         &self,
-        place: usize,
+        index: usize,
         key: &str,
         id: Option<&str>,
         prompt: &str,
@@ -179,23 +191,23 @@
     ) -> Option<Answer> {
         let headers: Vec<(&str, &str)> = id.map(|id| ("Idempotency-Key", id)).into_iter().collect();
         let body = completion_body(prompt, tokens, stream);
-        call(self.routers[place].callers, "POST", "/v1/chat/completions", key, &headers, &body)
+        call(self.routers[index].callers, "POST", "/v1/chat/completions", key, &headers, &body)
     }
 
-    pub fn release(&self, place: usize, id: &str, body: &str) -> Option<Answer> {
+    pub fn release(&self, index: usize, id: &str, body: &str) -> Option<Answer> {
         let headers = [("Idempotency-Key", id)];
         let path = "/services/payments/release/7";
-        call(self.routers[place].callers, "POST", path, "kitchen-key", &headers, body)
+        call(self.routers[index].callers, "POST", path, "kitchen-key", &headers, body)
     }
 }
 
 impl Drop for Fleet {
     fn drop(&mut self) {
         if thread::panicking() {
-            eprintln!("{}", self.remains());
+            eprintln!("{}", self.failure_report());
         }
-        for place in 0..self.routers.len() {
-            self.kill(place);
+        for index in 0..self.routers.len() {
+            self.kill(index);
         }
     }
 }
@@ -210,18 +222,18 @@
     .to_string()
 }
 
-pub fn uuid_like() -> String {
+pub fn unique_operation_id() -> String {
     use std::sync::atomic::{AtomicU64, Ordering};
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let count = NEXT.fetch_add(1, Ordering::Relaxed);
     format!("operation-{}-{count}", std::process::id())
 }
 
-/// Runs asynchronous work on a thread and a system of its own.
-pub fn on_system<T, W>(work: impl FnOnce() -> W + Send + 'static) -> T
+/// Runs a future to its end on a new thread with its own actix system.
+pub fn on_system<T, F>(start: impl FnOnce() -> F + Send + 'static) -> T
 where
     T: Send + 'static,
-    W: Future<Output = T>,
+    F: Future<Output = T>,
 {
-    thread::spawn(move || actix_web::rt::System::new().block_on(work())).join().unwrap()
+    thread::spawn(move || actix_web::rt::System::new().block_on(start())).join().unwrap()
 }
--- a/tests/fleet/observe.rs
+++ b/tests/fleet/observe.rs
@@ -1,33 +1,33 @@
-//! What a fleet has truly done: the store as it is, the engines and the services.
+//! Reads of a fleet's actual state: the ledger and the log in the store, and the counters of engines and services.
 
 use super::Fleet;
 use doorswitch_core::{config, ledger, log_index};
 use std::fs;
 
-/// Lines of each router's log in a report.
+/// Number of last lines of each router's log in a report.
 const LOG_LINES: usize = 20;
 
 impl Fleet {
     pub fn ledger(&self, workspace: &str) -> ledger::Budget {
         let name = config::budget_name(workspace, "main");
-        let mut found = ledger::Budget::default();
+        let mut budget = ledger::Budget::default();
         for (_, value) in self.platform.values("doorswitch/ledger/") {
             let shard = ledger::Shard::decode(&value).unwrap();
-            if let Some(budget) = shard.budgets.get(&name) {
-                found = budget.clone();
+            if let Some(stored) = shard.budgets.get(&name) {
+                budget = stored.clone();
             }
         }
-        found
+        budget
     }
 
-    /// Waits until every router has drawn of a budget.
+    /// Waits until every router has a grant of a budget in the ledger.
     pub fn wait_drawn(&self, workspace: &str) {
-        super::eventually("every router holds a grant", || {
+        super::eventually("every router has a grant", || {
             self.ledger(workspace).grants.len() == self.routers.len()
         });
     }
 
-    /// The log as it lies in the store.
+    /// The index that results from the checkpoints and log segments in the store.
     pub fn log(&self) -> log_index::Index {
         let mut index = log_index::Index::default();
         for shard in 0..2 {
@@ -36,13 +36,14 @@
             let checkpoint =
                 checkpoint.map(|(_, value)| log_index::Checkpoint::decode(&value).unwrap());
             let upto = checkpoint.as_ref().map_or(0, |checkpoint| checkpoint.upto);
-            let mut own = checkpoint.map(log_index::Checkpoint::restore).unwrap_or_default();
+            let mut shard_index =
+                checkpoint.map(log_index::Checkpoint::restore).unwrap_or_default();
             for (key, value) in segments {
                 if log_index::segment_number(&key).unwrap() >= upto {
-                    own.apply_segment(&log_index::Segment::decode(&value).unwrap());
+                    shard_index.apply_segment(&log_index::Segment::decode(&value).unwrap());
                 }
             }
-            index.merge(own);
+            index.merge(shard_index);
         }
         index
     }
@@ -69,23 +70,24 @@
     }
 
     pub fn executions(&self, id: &str) -> u64 {
-        let counts = self.services.iter().map(|it| it.executions().get(id).copied().unwrap_or(0));
+        let counts =
+            self.services.iter().map(|service| service.executions().get(id).copied().unwrap_or(0));
         counts.sum()
     }
 
-    /// What each router says of itself, for a test that fails.
+    /// Each router's list of members and last log lines, for the message of a failed test.
     pub fn report(&self) -> String {
-        let report = |place: usize| {
-            let members = &self.dump(place)["members"];
-            format!("router {place}: members {members}\n{}", self.last_lines(place))
+        let report = |router: usize| {
+            let members = &self.dump(router)["members"];
+            format!("router {router}: members {members}\n{}", self.last_lines(router))
         };
         (0..self.routers.len()).map(report).collect::<Vec<_>>().join("\n")
     }
 
-    /// What is billed, and the last lines of each router, which need not answer.
-    pub fn remains(&self) -> String {
+    /// The billed totals and each router's last log lines; works also when routers do not answer.
+    pub fn failure_report(&self) -> String {
         let routers = 0..self.routers.len();
-        let lines = routers.map(|place| format!("router {place}:\n{}", self.last_lines(place)));
+        let lines = routers.map(|router| format!("router {router}:\n{}", self.last_lines(router)));
         let billed: Vec<String> = self
             .log()
             .totals()
@@ -94,13 +96,13 @@
         billed.into_iter().chain(lines).collect::<Vec<_>>().join("\n")
     }
 
-    fn last_lines(&self, place: usize) -> String {
-        let log = self.log_text(place);
+    fn last_lines(&self, router: usize) -> String {
+        let log = self.log_text(router);
         let lines: Vec<&str> = log.lines().collect();
         lines[lines.len().saturating_sub(LOG_LINES)..].join("\n")
     }
 
-    pub fn log_text(&self, place: usize) -> String {
-        fs::read_to_string(self.folder.join(format!("router-{place}.log"))).unwrap_or_default()
+    pub fn log_text(&self, router: usize) -> String {
+        fs::read_to_string(self.folder.join(format!("router-{router}.log"))).unwrap_or_default()
     }
 }
--- a/tests/fleet/scripted.rs
+++ b/tests/fleet/scripted.rs
@@ -1,4 +1,5 @@
-//! Engines and plain services behind the callers' interface whose replies a test changes while callers send.
+//! Engines and plain services behind the callers' interface, whose replies a test changes while callers send
+//! requests.
 
 use super::{Answer, Fleet, Options, call};
 use doorswitch_standins::backend;
@@ -9,20 +10,20 @@
 use std::time::{Duration, Instant};
 
 pub const ROUTERS: usize = 3;
-/// Servers of each service, where a test names no other number.
+/// Default number of servers of each service.
 const SERVERS: usize = 3;
-const SEND_EVERY: Duration = Duration::from_millis(60);
+const SEND_INTERVAL: Duration = Duration::from_millis(60);
 
-/// What callers ask for.
+/// The kind of request that callers send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Work {
     Completion,
     Call,
-    /// It may not be repeated.
+    /// A call that is configured as unrepeatable.
     Release,
 }
 
-/// What a caller got.
+/// The result of one request; `status` is 0 if the connection failed.
 #[derive(Clone, Debug)]
 pub struct Got {
     pub router: usize,
@@ -36,18 +37,17 @@
     pub fleet: Fleet,
     /// Engines first, then plain services.
     pub servers: Vec<backend::Backend>,
-    /// The replies of the first of each service; the others serve.
+    /// Replies of the first server of each service; the other servers answer every request with success.
     pub replies: Replies,
-    /// Servers of each service.
-    each: usize,
-    number: AtomicUsize,
+    servers_per_service: usize,
+    request_count: AtomicUsize,
 }
 
-/// An engine or plain service that replies as `replies` says.
+/// The script of an engine or plain service that takes its replies from `replies`.
 fn script(replies: Replies) -> backend::Script {
     Box::new(move |_, seen| {
-        let load = seen.line.contains("/load ");
-        let reply = if load { Reply::served(Duration::ZERO) } else { replies.next(seen) };
+        let is_load_poll = seen.line.contains("/load ");
+        let reply = if is_load_poll { Reply::served(Duration::ZERO) } else { replies.next(seen) };
         let (status, lines) = (reply.status, &reply.lines);
         let pause = backend::Step::Pause(reply.work);
         if !reply.ran() {
@@ -76,37 +76,40 @@
         Self::with_servers(name, SERVERS)
     }
 
-    pub fn with_servers(name: &str, each: usize) -> Self {
+    pub fn with_servers(name: &str, servers_per_service: usize) -> Self {
         let options = Options { routers: ROUTERS, engines: 0, services: 0, ..Options::default() };
         let fleet = Fleet::start(name, options);
         let replies = Replies::new(Reply::served(Duration::ZERO));
-        let start = |place: usize| {
-            let first = place.is_multiple_of(each);
-            let well = || Replies::new(Reply::served(Duration::ZERO));
-            let replies = if first { replies.clone() } else { well() };
+        let start = |index: usize| {
+            let is_first = index.is_multiple_of(servers_per_service);
+            let served = || Replies::new(Reply::served(Duration::ZERO));
+            let replies = if is_first { replies.clone() } else { served() };
             backend::Backend::start(script(replies)).unwrap()
         };
-        let servers: Vec<backend::Backend> = (0..2 * each).map(start).collect();
-        fleet.put_servers(&servers, |place| if place < each { "roast" } else { "payments" });
-        Self { fleet, servers, replies, each, number: AtomicUsize::new(0) }
+        let servers: Vec<backend::Backend> = (0..2 * servers_per_service).map(start).collect();
+        fleet.put_servers(
+            &servers,
+            |index| if index < servers_per_service { "roast" } else { "payments" },
+        );
+        Self { fleet, servers, replies, servers_per_service, request_count: AtomicUsize::new(0) }
     }
 
-    /// Sends to all routers for a while; what callers got.
-    pub fn send(&self, work: Work, for_: Duration) -> Vec<Got> {
+    /// Sends requests to all routers for the given time; returns their results.
+    pub fn send(&self, work: Work, duration: Duration) -> Vec<Got> {
         let got = Mutex::new(Vec::new());
-        let began = Instant::now();
+        let started = Instant::now();
         thread::scope(|scope| {
             for router in 0..ROUTERS {
                 let got = &got;
                 scope.spawn(move || {
-                    while began.elapsed() < for_ {
+                    while started.elapsed() < duration {
                         let sent = Instant::now();
-                        let answer = self.ask(work, router);
+                        let answer = self.send_one(work, router);
                         let took = sent.elapsed();
-                        let (status, body) =
-                            answer.map_or((0, String::new()), |it| (it.status, it.body));
+                        let (status, body) = answer
+                            .map_or((0, String::new()), |answer| (answer.status, answer.body));
                         got.lock().unwrap().push(Got { router, sent, took, status, body });
-                        thread::sleep(SEND_EVERY.saturating_sub(took));
+                        thread::sleep(SEND_INTERVAL.saturating_sub(took));
                     }
                 });
             }
@@ -114,9 +117,9 @@
         got.into_inner().unwrap()
     }
 
-    fn ask(&self, work: Work, router: usize) -> Option<Answer> {
-        let number = self.number.fetch_add(1, Ordering::Relaxed);
-        // Prompts that begin alike would all go where the first went.
+    fn send_one(&self, work: Work, router: usize) -> Option<Answer> {
+        let number = self.request_count.fetch_add(1, Ordering::Relaxed);
+        // Different numbers: requests with a common prompt prefix are routed to the same server.
         let id = format!("{router}-{number}");
         let headers = [("Idempotency-Key", id.as_str())];
         let post = |path: &str, headers: &[(&str, &str)]| {
@@ -129,12 +132,12 @@
         }
     }
 
-    /// The first server of the service that does some work.
+    /// Index of the first server of the service that handles this kind of request.
     pub fn first_server(&self, work: Work) -> usize {
-        if work == Work::Completion { 0 } else { self.each }
+        if work == Work::Completion { 0 } else { self.servers_per_service }
     }
 
-    /// When requests of callers reached a server.
+    /// Times at which requests of callers reached a server, without polls of its load.
     pub fn arrivals(&self, server: usize, after: Instant) -> Vec<Instant> {
         let server = &self.servers[server];
         let seen = server.seen().into_iter().zip(server.arrivals());
@@ -142,20 +145,25 @@
         counted.map(|(_, at)| at).collect()
     }
 
-    /// At least 97 in 100 were served.
+    /// Checks that at least 97 % of the requests were answered with status 200.
     pub fn check_served(got: &[Got]) {
-        let served = got.iter().filter(|one| one.status == 200).count();
-        let others: Vec<&Got> = got.iter().filter(|one| one.status != 200).take(3).collect();
+        let served = got.iter().filter(|result| result.status == 200).count();
+        let others: Vec<&Got> = got.iter().filter(|result| result.status != 200).take(3).collect();
         assert!(served * 100 >= got.len() * 97, "{served} of {}: {others:?}", got.len());
     }
 
-    /// The first server of a service has at least half of an even part of what reached it in the last while.
+    /// Checks that the first server of a service received at least half of an even share of the requests that
+    /// reached the service in the last `last`.
     pub fn check_part(&self, work: Work, last: Duration) {
         let after = Instant::now() - last;
         let first = self.first_server(work);
-        let parts: Vec<usize> =
-            (first..first + self.each).map(|server| self.arrivals(server, after).len()).collect();
-        let all: usize = parts.iter().sum();
-        assert!(parts[0] * self.each * 2 >= all, "the first of these has too little: {parts:?}");
+        let counts: Vec<usize> = (first..first + self.servers_per_service)
+            .map(|server| self.arrivals(server, after).len())
+            .collect();
+        let total: usize = counts.iter().sum();
+        assert!(
+            counts[0] * self.servers_per_service * 2 >= total,
+            "the first server received too few of the requests: {counts:?}"
+        );
     }
 }
--- a/tests/fleet/start.rs
+++ b/tests/fleet/start.rs
@@ -1,4 +1,4 @@
-//! How a fleet starts: stand-ins and networks, its configuration, its processes.
+//! Start of a fleet: its stand-ins, network proxies, configuration and router processes.
 
 use super::{Fleet, OPERATOR_KEY, Options, Router, eventually};
 use doorswitch_core::config;
@@ -8,7 +8,8 @@
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
 
-/// A loopback address of its own for each fleet, so that fleets of parallel tests do not meet.
+/// The second and third octet of a fleet's loopback addresses, distinct for each fleet so that fleets of parallel tests
+/// do not exchange messages.
 fn fleet_net() -> [u8; 2] {
     use std::sync::atomic::{AtomicU8, Ordering};
     static NEXT: AtomicU8 = AtomicU8::new(1);
@@ -16,7 +17,7 @@
     [process, NEXT.fetch_add(1, Ordering::Relaxed)]
 }
 
-/// A port that is free and that the kernel gives to nobody by itself.
+/// An address with a free port below the range from which the kernel assigns ports.
 pub fn free_port(ip: IpAddr) -> SocketAddr {
     ports::free_address(ip).unwrap()
 }
@@ -62,9 +63,10 @@
 }
 
 impl Fleet {
-    /// Starts everything and waits until every router takes work and knows the others.
+    /// Starts everything and waits until every router is ready and lists the others as alive.
     ///
-    /// The budgets are paid before a router runs: one that finds a budget empty looks again after ten seconds only.
+    /// The budgets are paid before a router runs: a router that finds a budget empty reads it again only after ten
+    /// seconds.
     pub fn start(name: &str, options: Options) -> Self {
         let mut fleet = Self::prepare(name, &options);
         fleet.publish(&fleet.document.clone());
@@ -75,14 +77,14 @@
         fleet
     }
 
-    /// Starts everything before there is a configuration, and waits for nothing.
+    /// Starts everything without a configuration and doesn't wait until the routers are ready.
     pub fn start_unready(name: &str, options: &Options) -> Self {
         let mut fleet = Self::prepare(name, options);
         fleet.spawn_all();
         fleet
     }
 
-    /// Starts the stand-ins and the networks; no router runs yet.
+    /// Starts the stand-ins and the network proxies, but no router.
     fn prepare(name: &str, options: &Options) -> Self {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
         let _ = fs::remove_dir_all(&folder);
@@ -106,8 +108,8 @@
             document,
             net: fleet_net(),
         };
-        for place in 0..options.routers {
-            let router = fleet.new_router(place, options.regions);
+        for index in 0..options.routers {
+            let router = fleet.new_router(index, options.regions);
             fleet.routers.push(router);
         }
         fleet.platform.set_vms(fleet.vms());
@@ -115,39 +117,40 @@
     }
 
     fn spawn_all(&mut self) {
-        for place in 0..self.routers.len() {
-            self.spawn(place);
+        for index in 0..self.routers.len() {
+            self.spawn(index);
         }
     }
 
-    fn new_router(&self, place: usize, regions: usize) -> Router {
+    fn new_router(&self, index: usize, regions: usize) -> Router {
         let [high, low] = self.net;
-        let ip = IpAddr::V4(Ipv4Addr::new(127, high, low, 10 + place as u8));
+        let ip = IpAddr::V4(Ipv4Addr::new(127, high, low, 10 + index as u8));
         let proxy = network::Proxy::start(ip, None).unwrap();
         Router {
             child: None,
             callers: free_port(ip),
             operators: free_port(ip),
-            settings: self.folder.join(format!("router-{place}.yaml")),
-            vm: format!("entry-{place}"),
+            settings: self.folder.join(format!("router-{index}.yaml")),
+            vm: format!("entry-{index}"),
             ip,
-            region: place % regions,
+            region: index % regions,
             proxy,
             peer: None,
         }
     }
 
-    /// Lists scripted servers as well, each of the service that its place says, and waits until all routers know them.
+    /// Adds scripted servers to the list of VMs, each of the service that `service` returns for its index, and
+    /// waits until all routers list them.
     pub fn put_servers(
         &self,
         servers: &[backend::Backend],
         service: impl Fn(usize) -> &'static str,
     ) {
         let mut vms = self.vms();
-        for (place, server) in servers.iter().enumerate() {
+        for (index, server) in servers.iter().enumerate() {
             vms.push(platform::Vm {
-                vm: format!("server-{place}"),
-                service: service(place).to_owned(),
+                vm: format!("server-{index}"),
+                service: service(index).to_owned(),
                 address: server.address().to_string(),
                 class: "new".to_owned(),
                 failure_domain: "a".to_owned(),
@@ -155,14 +158,15 @@
             });
         }
         self.platform.set_vms(vms);
-        for place in 0..self.routers.len() {
-            eventually("the servers are known", || {
-                self.dump(place)["servers"].as_object().map_or(0, |it| it.len()) == servers.len()
+        for index in 0..self.routers.len() {
+            eventually("the router lists the servers", || {
+                self.dump(index)["servers"].as_object().map_or(0, |listed| listed.len())
+                    == servers.len()
             });
         }
     }
 
-    /// The true list of VMs.
+    /// The VMs of all routers, engines and services, without scripted servers.
     pub fn vms(&self) -> Vec<platform::Vm> {
         let vm = |vm: String, service: &str, address: SocketAddr| platform::Vm {
             vm,
@@ -172,45 +176,46 @@
             failure_domain: "a".to_owned(),
             state: "live".to_owned(),
         };
-        let routers =
-            self.routers.iter().map(|it| vm(it.vm.clone(), "doorswitch", it.proxy.address));
+        let routers = self
+            .routers
+            .iter()
+            .map(|router| vm(router.vm.clone(), "doorswitch", router.proxy.address));
         let engines = self
             .engines
             .iter()
             .enumerate()
-            .map(|(place, it)| vm(format!("engine-{place}"), "roast", it.address()));
-        let services = self
-            .services
-            .iter()
-            .enumerate()
-            .map(|(place, it)| vm(format!("service-{place}"), "payments", it.address()));
+            .map(|(index, engine)| vm(format!("engine-{index}"), "roast", engine.address()));
+        let services =
+            self.services.iter().enumerate().map(|(index, service)| {
+                vm(format!("service-{index}"), "payments", service.address())
+            });
         routers.chain(engines).chain(services).collect()
     }
 
-    /// Starts a router's process, anew if it ran before.
-    pub fn spawn(&mut self, place: usize) {
-        let peer = free_port(self.routers[place].ip);
-        self.spawn_at(place, peer);
+    /// Starts or restarts a router's process with a new address for peers.
+    pub fn spawn(&mut self, index: usize) {
+        let peer = free_port(self.routers[index].ip);
+        self.spawn_at(index, peer);
     }
 
-    /// Starts a router's process with a given address for peers.
-    pub fn spawn_at(&mut self, place: usize, peer: SocketAddr) {
+    /// Starts or restarts a router's process with the given address for peers.
+    pub fn spawn_at(&mut self, index: usize, peer: SocketAddr) {
         let platform = self.platform_proxy.address;
         let seeds: Vec<String> = self
             .routers
             .iter()
             .enumerate()
-            .filter(|(other, _)| *other != place)
-            .map(|(_, it)| it.proxy.address.to_string())
+            .filter(|(other, _)| *other != index)
+            .map(|(_, router)| router.proxy.address.to_string())
             .collect();
-        let router = &mut self.routers[place];
+        let router = &mut self.routers[index];
         router.proxy.set_target(peer);
         router.peer = Some(peer);
         let settings = format!(
             r#"
 vm: {vm}
 region: region-{region}
-failure_domain: domain-{place}
+failure_domain: domain-{index}
 callers: {{ listen: "{callers}", traffic_threads: 1 }}
 operators: {{ listen: "{operators}", key_sha256: {key} }}
 peers: {{ listen: "{peer}", advertise: "{advertise}", seeds: [{seeds}] }}
@@ -223,13 +228,13 @@
             operators = router.operators,
             key = doorswitch::auth::digest_hex(OPERATOR_KEY),
             advertise = router.proxy.address,
-            seeds = seeds.iter().map(|it| format!("{it:?}")).collect::<Vec<_>>().join(", "),
+            seeds = seeds.iter().map(|seed| format!("{seed:?}")).collect::<Vec<_>>().join(", "),
         );
         fs::write(&router.settings, settings).unwrap();
         let log = fs::OpenOptions::new()
             .create(true)
             .append(true)
-            .open(self.folder.join(format!("router-{place}.log")))
+            .open(self.folder.join(format!("router-{index}.log")))
             .unwrap();
         let child = Command::new(env!("CARGO_BIN_EXE_doorswitch"))
             .arg("router")
--- a/tests/routes/load.rs
+++ b/tests/routes/load.rs
@@ -1,4 +1,4 @@
-//! Clients that send to several routers at a steady rate, and what they got.
+//! Clients that send requests to several routers at a constant rate, and the results.
 
 #![allow(clippy::unwrap_used, missing_docs, dead_code)]
 
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What a client got, and how long it waited.
+/// The result of one request; `status` is 0 if the answer did not arrive completely.
 #[derive(Clone, Debug)]
 pub struct Got {
     pub router: usize,
@@ -21,47 +21,47 @@
     pub head: String,
 }
 
-/// Routers that know each other and serve, before servers that follow these scripts.
+/// Starts routers that list each other as members and serve requests, and servers that follow these scripts.
 pub fn start(name: &str, routers: usize, scripts: Vec<backend::Script>) -> World {
     let mut world = World::unready(name, scripts);
     world.publish(&[KEY], PREPAID);
-    for place in 0..routers {
+    for index in 0..routers {
         world.add_router();
-        world.wait_ready(place);
+        world.wait_ready(index);
     }
-    let members = format!("doorswitch_members {routers}");
-    for place in 0..routers {
-        fleet::eventually("the router serves and knows the others", || {
-            let served = world.ask(place, &patient("/read/x", "warm")).status == 200;
-            served && world.metrics(place).contains(&members)
+    let members_metric = format!("doorswitch_members {routers}");
+    for index in 0..routers {
+        fleet::eventually("the router serves requests and lists the others as members", || {
+            let served = world.ask(index, &patient("/read/x", "warm")).status == 200;
+            served && world.metrics(index).contains(&members_metric)
         });
     }
     world
 }
 
-/// Sends a request to each of these routers again and again, for a while; what clients got.
+/// Sends a request to each of these routers at every interval, for the given time; returns the results.
 pub fn send(
     world: &World,
     routers: &[usize],
     path: &str,
-    every: Duration,
-    for_: Duration,
+    interval: Duration,
+    duration: Duration,
 ) -> Vec<Got> {
     let got = Mutex::new(Vec::new());
-    let began = Instant::now();
+    let started = Instant::now();
     thread::scope(|scope| {
-        for place in routers {
+        for index in routers {
             let got = &got;
             scope.spawn(move || {
                 for number in 0.. {
-                    let due = every * number;
-                    if due >= for_ {
+                    let due = interval * number;
+                    if due >= duration {
                         return;
                     }
-                    thread::sleep((began + due).saturating_duration_since(Instant::now()));
+                    thread::sleep((started + due).saturating_duration_since(Instant::now()));
                     scope.spawn(move || {
-                        let one = ask(world, *place, path, number);
-                        got.lock().unwrap().push(one);
+                        let result = ask(world, *index, path, number);
+                        got.lock().unwrap().push(result);
                     });
                 }
             });
@@ -70,30 +70,31 @@
     got.into_inner().unwrap()
 }
 
-/// Sends one request; its id names the router.
-pub fn ask(world: &World, place: usize, path: &str, number: u32) -> Got {
+/// Sends one request whose id begins with the router's index.
+pub fn ask(world: &World, index: usize, path: &str, number: u32) -> Got {
     let sent = Instant::now();
-    let id = format!("{place}-{number}-{sent:?}");
-    let answer = world.ask(place, &request(path, &id));
+    let id = format!("{index}-{number}-{sent:?}");
+    let answer = world.ask(index, &request(path, &id));
     let status = if answer.whole { answer.status } else { 0 };
     let retry_after_s = answer.header("retry-after").and_then(|value| value.parse().ok());
     let (took, head) = (sent.elapsed(), answer.head);
-    Got { router: place, id, sent, status, took, retry_after_s, head }
+    Got { router: index, id, sent, status, took, retry_after_s, head }
 }
 
-/// The router that a request's id names.
+/// The index of the router in a request's id.
 pub fn router_of(id: &str) -> Option<usize> {
     id.split('-').next()?.parse().ok()
 }
 
-/// At least 97 in 100 were served.
+/// Checks that at least 97 % of the requests were answered with status 200.
 pub fn check_served(got: &[Got]) {
-    let served = got.iter().filter(|one| one.status == 200).count();
-    let others: Vec<u16> = got.iter().map(|one| one.status).filter(|it| *it != 200).collect();
+    let served = got.iter().filter(|result| result.status == 200).count();
+    let others: Vec<u16> =
+        got.iter().map(|result| result.status).filter(|status| *status != 200).collect();
     assert!(served * 100 >= got.len() * 97, "{served} of {} served, others {others:?}", got.len());
 }
 
-/// The first of so many places.
+/// The indices of the first `routers` routers.
 pub fn all(routers: usize) -> Vec<usize> {
     (0..routers).collect()
 }
--- a/tests/routes/mod.rs
+++ b/tests/routes/mod.rs
@@ -1,4 +1,4 @@
-//! Routers by routes, before a store and servers of the users' platform.
+//! Routers that serve by routes, with stand-ins for the store and the servers of the users' platform.
 
 #![allow(clippy::unwrap_used, missing_docs, dead_code)]
 
@@ -16,19 +16,19 @@
 
 pub const HOST: &str = "roastery.example";
 pub const KEY: &str = "cafe-key";
-/// What the tenant of [`KEY`] has paid.
+/// Prepaid tokens of each tenant where a test sets no other number.
 pub const PREPAID: u64 = 1_000_000;
 
 pub struct World {
     pub store: store::Store,
-    /// Between the routers and the store, if a test wants it faulty.
+    /// The proxy between the routers and the store, if a test injects faults there.
     pub store_network: Option<network::Proxy>,
-    /// Between the routers and each server, if a test wants it faulty.
+    /// The proxies between the routers and each server, if a test injects faults there.
     pub server_networks: Vec<network::Proxy>,
     pub backends: Vec<backend::Backend>,
     pub routers: Vec<Router>,
     pub version: u64,
-    /// Routers' logs go to a pipe that nobody reads.
+    /// Whether routers write their logs to a pipe that is never read.
     pub unread_logs: bool,
     folder: PathBuf,
 }
@@ -40,13 +40,13 @@
     peers: SocketAddr,
 }
 
-/// An answer as a client read it.
+/// An HTTP answer as received by a client.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Answer {
     pub status: u16,
     pub head: String,
     pub body: Vec<u8>,
-    /// Whether its framing says that all of it came.
+    /// Whether the body is complete according to its framing.
     pub whole: bool,
 }
 
@@ -57,12 +57,12 @@
 
     pub fn header(&self, name: &str) -> Option<String> {
         let mut lines = self.head.lines().filter_map(|line| line.split_once(':'));
-        let found = lines.find(|(known, _)| known.eq_ignore_ascii_case(name));
-        found.map(|(_, value)| value.trim().to_owned())
+        let line = lines.find(|(key, _)| key.eq_ignore_ascii_case(name));
+        line.map(|(_, value)| value.trim().to_owned())
     }
 }
 
-/// The configuration of the tests: three routes of one service.
+/// The configuration of the tests: routes of several kinds to one service.
 pub fn configuration(version: u64, keys: &[&str], prepaid: u64) -> Vec<u8> {
     let route = |name: &str, kind: &str, attempts: u32, resume: bool, timeout_ms: u64| {
         json!({
@@ -80,7 +80,7 @@
             route("stream", "streaming", 1, false, 10_000),
             route("resume", "streaming", 2, true, 10_000),
             route("brief", "idempotent", 1, false, 300),
-            // Longer than a test waits: what ends earlier did not end by its deadline.
+            // Timeouts longer than any test waits: a request that ends earlier did not end by its deadline.
             route("long", "idempotent", 2, false, 300_000),
             route("long-pay", "non_idempotent", 2, false, 300_000),
             route("long-stream", "streaming", 1, false, 300_000),
@@ -102,7 +102,7 @@
 }
 
 impl World {
-    /// One router that is ready, before servers that follow these scripts.
+    /// Starts servers that follow these scripts, and one router; waits until it is ready.
     pub fn start(name: &str, scripts: Vec<backend::Script>) -> Self {
         let mut world = Self::unready(name, scripts);
         world.publish(&[KEY], PREPAID);
@@ -111,7 +111,7 @@
         world
     }
 
-    /// No router and no configuration yet.
+    /// Starts servers that follow these scripts, without a router and without a configuration.
     pub fn unready(name: &str, scripts: Vec<backend::Script>) -> Self {
         let store = store::Store::start(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).unwrap();
         let start = |script| backend::Backend::start(script).unwrap();
@@ -128,21 +128,22 @@
             unread_logs: false,
             folder,
         };
-        for place in 0..world.backends.len() {
-            world.record_server(place, "ready");
+        for index in 0..world.backends.len() {
+            world.record_server(index, "ready");
         }
         world
     }
 
-    /// The same, and connections to the store and to servers can be silenced.
+    /// Starts the same as [`World::start`], with proxies in front of the store and the servers.
     pub fn start_behind_networks(name: &str, scripts: Vec<backend::Script>) -> Self {
         let mut world = Self::unready(name, scripts);
         let local = IpAddr::V4(Ipv4Addr::LOCALHOST);
         let proxy = |target| network::Proxy::start(local, Some(target)).unwrap();
         world.store_network = Some(proxy(world.store.address()));
-        world.server_networks = world.backends.iter().map(|it| proxy(it.address())).collect();
-        for place in 0..world.backends.len() {
-            world.record_server(place, "ready");
+        world.server_networks =
+            world.backends.iter().map(|backend| proxy(backend.address())).collect();
+        for index in 0..world.backends.len() {
+            world.record_server(index, "ready");
         }
         world.publish(&[KEY], PREPAID);
         world.add_router();
@@ -154,48 +155,48 @@
         self.store_network.as_ref().map_or_else(|| self.store.address(), |proxy| proxy.address)
     }
 
-    fn server_address(&self, place: usize) -> SocketAddr {
-        let proxy = self.server_networks.get(place);
-        proxy.map_or_else(|| self.backends[place].address(), |proxy| proxy.address)
+    fn server_address(&self, index: usize) -> SocketAddr {
+        let proxy = self.server_networks.get(index);
+        proxy.map_or_else(|| self.backends[index].address(), |proxy| proxy.address)
     }
 
-    /// Publishes a newer configuration.
+    /// Publishes a configuration with a higher version.
     pub fn publish(&mut self, keys: &[&str], prepaid: u64) {
         self.version += 2;
         self.store.put("op/config", &configuration(self.version, keys, prepaid));
     }
 
-    /// A server records its state.
-    pub fn record_server(&self, place: usize, state: &str) {
-        self.record_server_in(place, state, "a");
+    /// Writes a server's record with this state, in failure domain `a`.
+    pub fn record_server(&self, index: usize, state: &str) {
+        self.record_server_in(index, state, "a");
     }
 
-    /// The same, in a failure domain.
-    pub fn record_server_in(&self, place: usize, state: &str, domain: &str) {
-        self.record(place, &format!("i-{place}"), state, domain);
+    /// Writes a server's record with this state, in the given failure domain.
+    pub fn record_server_in(&self, index: usize, state: &str, domain: &str) {
+        self.record(index, &format!("i-{index}"), state, domain);
     }
 
-    /// A server of another id records its state with the address of the one at `place`.
-    pub fn record_server_as(&self, place: usize, id: &str, state: &str) {
-        self.record(place, id, state, "a");
+    /// Writes a record with another id for the address of the server at `index`.
+    pub fn record_server_as(&self, index: usize, id: &str, state: &str) {
+        self.record(index, id, state, "a");
     }
 
-    fn record(&self, place: usize, id: &str, state: &str, domain: &str) {
+    fn record(&self, index: usize, id: &str, state: &str, domain: &str) {
         let record = json!({
-            "service": "app", "address": self.server_address(place).to_string(), "zone": domain,
+            "service": "app", "address": self.server_address(index).to_string(), "zone": domain,
             "version": "v1", "slots": 8, "state": state, "coldLeftMs": 0,
         });
         self.store.put(&format!("servers/{id}"), record.to_string().as_bytes());
     }
 
-    /// The same, and says when it started: the text of a JSON value.
-    pub fn record_server_born(&self, place: usize, state: &str, born: &str) {
+    /// Writes a server's record with the field `born`, the JSON value of the time of its start.
+    pub fn record_server_born(&self, index: usize, state: &str, born: &str) {
         let mut record = json!({
-            "service": "app", "address": self.server_address(place).to_string(), "zone": "a",
+            "service": "app", "address": self.server_address(index).to_string(), "zone": "a",
             "version": "v1", "slots": 8, "state": state, "coldLeftMs": 0,
         });
         record["born"] = serde_json::from_str(born).unwrap();
-        self.store.put(&format!("servers/i-{place}"), record.to_string().as_bytes());
+        self.store.put(&format!("servers/i-{index}"), record.to_string().as_bytes());
     }
 
     pub fn add_router(&mut self) {
@@ -205,12 +206,12 @@
         self.spawn(self.routers.len() - 1);
     }
 
-    /// Starts a router's process at its addresses, anew if it ran before.
-    pub fn spawn(&mut self, place: usize) {
+    /// Starts or restarts a router's process at its addresses.
+    pub fn spawn(&mut self, index: usize) {
         let store = self.store_address();
-        let router = &mut self.routers[place];
+        let router = &mut self.routers[index];
         let settings = format!(
-            "vm: entry-{place}\nregion: r\nfailure_domain: a\n\
+            "vm: entry-{index}\nregion: r\nfailure_domain: a\n\
              gateway: {{ listen: \"{}\", drain_ms: 300 }}\n\
              operators: {{ listen: \"{}\", key_sha256: {} }}\npeers: {{ listen: \"{}\" }}\n\
              platform: {{ url: \"http://{}\", protocol: revisions, timeout_ms: 500 }}\n\
@@ -221,12 +222,12 @@
             router.peers,
             store,
         );
-        let file = self.folder.join(format!("router-{place}.yaml"));
+        let file = self.folder.join(format!("router-{index}.yaml"));
         std::fs::write(&file, settings).unwrap();
         let log = std::fs::OpenOptions::new()
             .create(true)
             .append(true)
-            .open(self.folder.join(format!("router-{place}.log")))
+            .open(self.folder.join(format!("router-{index}.log")))
             .unwrap();
         let child = Command::new(env!("CARGO_BIN_EXE_doorswitch"))
             .args(["router", "--settings"])
@@ -238,62 +239,62 @@
         router.child = Some(child);
     }
 
-    pub fn wait_ready(&self, place: usize) {
-        fleet::eventually("the router is ready", || self.ready(place) == Some(200));
+    pub fn wait_ready(&self, index: usize) {
+        fleet::eventually("the router is ready", || self.ready(index) == Some(200));
     }
 
-    pub fn ready(&self, place: usize) -> Option<u16> {
-        let answer = fleet::call(self.routers[place].operators, "GET", "/readyz", "", &[], "");
+    pub fn ready(&self, index: usize) -> Option<u16> {
+        let answer = fleet::call(self.routers[index].operators, "GET", "/readyz", "", &[], "");
         answer.map(|answer| answer.status)
     }
 
-    pub fn metrics(&self, place: usize) -> String {
-        let answer = fleet::call(self.routers[place].operators, "GET", "/metrics", "", &[], "");
+    pub fn metrics(&self, index: usize) -> String {
+        let answer = fleet::call(self.routers[index].operators, "GET", "/metrics", "", &[], "");
         answer.map(|answer| answer.body).unwrap_or_default()
     }
 
-    pub fn log(&self, place: usize) -> String {
-        let file = self.folder.join(format!("router-{place}.log"));
+    pub fn log(&self, index: usize) -> String {
+        let file = self.folder.join(format!("router-{index}.log"));
         std::fs::read_to_string(file).unwrap_or_default()
     }
 
-    pub fn signal(&self, place: usize, signal: &str) {
-        let id = self.routers[place].child.as_ref().unwrap().id();
+    pub fn signal(&self, index: usize, signal: &str) {
+        let id = self.routers[index].child.as_ref().unwrap().id();
         Command::new("kill").arg(format!("-{signal}")).arg(id.to_string()).status().unwrap();
     }
 
-    /// Kills a router as a loss of power would.
-    pub fn kill(&mut self, place: usize) {
-        if let Some(mut child) = self.routers[place].child.take() {
+    /// Kills a router's process without a planned stop, as a loss of power does.
+    pub fn kill(&mut self, index: usize) {
+        if let Some(mut child) = self.routers[index].child.take() {
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Waits for the end of a router that was told to stop; whether it ended well.
-    pub fn wait_stopped(&mut self, place: usize) -> bool {
-        let mut child = self.routers[place].child.take().unwrap();
+    /// Waits until a router that received a stop signal exits; returns whether its exit status is success.
+    pub fn wait_stopped(&mut self, index: usize) -> bool {
+        let mut child = self.routers[index].child.take().unwrap();
         child.wait().unwrap().success()
     }
 
-    /// Opens a connection and sends a request; nothing is read yet.
-    pub fn send(&self, place: usize, request: &Request<'_>) -> TcpStream {
-        let mut stream = TcpStream::connect(self.routers[place].clients).unwrap();
+    /// Opens a connection and sends a request, without reading the answer.
+    pub fn send(&self, index: usize, request: &Request<'_>) -> TcpStream {
+        let mut stream = TcpStream::connect(self.routers[index].clients).unwrap();
         stream.write_all(request.bytes().as_bytes()).unwrap();
         stream
     }
 
-    /// Makes a request on a connection of its own.
-    pub fn ask(&self, place: usize, request: &Request<'_>) -> Answer {
-        let mut stream = self.send(place, request);
+    /// Sends a request on a new connection and reads the answer.
+    pub fn ask(&self, index: usize, request: &Request<'_>) -> Answer {
+        let mut stream = self.send(index, request);
         read_answer(&mut stream)
     }
 }
 
 impl Drop for World {
     fn drop(&mut self) {
-        for place in 0..self.routers.len() {
-            self.kill(place);
+        for index in 0..self.routers.len() {
+            self.kill(index);
         }
         if !std::thread::panicking() {
             let _ = std::fs::remove_dir_all(&self.folder);
@@ -309,7 +310,7 @@
     pub id: &'a str,
     pub key: &'a str,
     pub deadline_ms: u64,
-    /// Tokens in, and the most out.
+    /// Prompt tokens and the maximum of completion tokens.
     pub tokens: Option<(u64, u64)>,
     pub headers: &'a str,
     pub body: &'a str,
@@ -317,8 +318,10 @@
 
 impl Request<'_> {
     pub fn bytes(&self) -> String {
-        let tokens = self.tokens.map_or_else(String::new, |(prompt, answer)| {
-            format!("Model: m\r\nToken-Count: {prompt},{answer}\r\nPrompt-Prefix: 5c:{prompt}\r\n")
+        let tokens = self.tokens.map_or_else(String::new, |(prompt, completion)| {
+            format!(
+                "Model: m\r\nToken-Count: {prompt},{completion}\r\nPrompt-Prefix: 5c:{prompt}\r\n"
+            )
         });
         format!(
             "{} {} HTTP/1.1\r\nHost: {HOST}\r\nAttempt-Id: {}\r\nDeadline-Ms: {}\r\n\
@@ -335,7 +338,7 @@
     }
 }
 
-/// A request to a path with a key that is known.
+/// A request to a path with the valid key [`KEY`].
 pub fn request<'a>(path: &'a str, id: &'a str) -> Request<'a> {
     Request {
         method: "POST",
@@ -349,12 +352,12 @@
     }
 }
 
-/// The same for a client that waits longer than a test does.
+/// The same with a deadline that no test reaches.
 pub fn patient<'a>(path: &'a str, id: &'a str) -> Request<'a> {
     Request { deadline_ms: 300_000, ..request(path, id) }
 }
 
-/// Reads one answer to its end, or to the end of the connection.
+/// Reads one answer until it is complete or the connection ends or is silent for 20 s.
 pub fn read_answer(stream: &mut TcpStream) -> Answer {
     stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     let mut received = Vec::new();
@@ -376,7 +379,9 @@
     let status = head.split(' ').nth(1)?.parse().ok()?;
     let mut answer = Answer { status, head, body: Vec::new(), whole: false };
     let rest = &received[end..];
-    if let Some(length) = answer.header("content-length").and_then(|it| it.parse::<usize>().ok()) {
+    if let Some(length) =
+        answer.header("content-length").and_then(|value| value.parse::<usize>().ok())
+    {
         answer.whole = rest.len() >= length;
         answer.body = rest[..rest.len().min(length)].to_vec();
         return Some(answer);
@@ -385,7 +390,7 @@
     Some(answer)
 }
 
-/// The data of chunks, and whether the last one came.
+/// The data of the chunks, and whether the last chunk was received.
 fn unchunk(mut bytes: &[u8]) -> (Vec<u8>, bool) {
     let mut data = Vec::new();
     while let Some(end) = bytes.windows(2).position(|window| window == b"\r\n") {
@@ -408,18 +413,18 @@
 pub const STREAM_HEAD: &str = "HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nServer-Seal: seal\r\n\
     Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// An event as a chunk.
+/// A server-sent event in a chunk of its own.
 pub fn event(number: u64) -> backend::Step {
     let event = format!("id: {number}\ndata: piece {number}\n\n");
     backend::Step::Write(format!("{:x}\r\n{event}\r\n", event.len()))
 }
 
-/// The end of a chunked body.
+/// The last chunk, which ends a chunked body.
 pub fn last_chunk() -> backend::Step {
     backend::Step::Write("0\r\n\r\n".to_owned())
 }
 
-/// A server that answers every request with this text.
+/// The script of a server that answers every request with this text.
 pub fn answers(text: &'static str) -> backend::Script {
     Box::new(move |_, _| vec![backend::whole("200 OK", text)])
 }
--- a/tests/routes/replying.rs
+++ b/tests/routes/replying.rs
@@ -1,4 +1,4 @@
-//! Servers whose replies a test changes while clients send, and what reached them.
+//! Servers whose replies a test changes while clients send requests, and the requests that reached them.
 
 #![allow(clippy::unwrap_used, missing_docs, dead_code)]
 
@@ -8,7 +8,7 @@
 use doorswitch_standins::replies::{Replies, Reply};
 use std::time::{Duration, Instant};
 
-/// A script that replies as `replies` says, with a stream where the path asks for one.
+/// A script that takes its replies from `replies`, and sends a stream if the path contains "stream".
 fn script(replies: Replies) -> backend::Script {
     Box::new(move |_, seen| {
         let reply = replies.next(seen);
@@ -28,7 +28,7 @@
 }
 
 impl Replying {
-    /// Routers that serve before servers that all work for so long.
+    /// Starts routers and servers that answer each request after `work`.
     pub fn start(name: &str, routers: usize, servers: usize, work: Duration) -> Self {
         let servers: Vec<Replies> =
             (0..servers).map(|_| Replies::new(Reply::served(work))).collect();
@@ -37,14 +37,14 @@
         Self { world, servers, routers }
     }
 
-    /// Sends to all routers.
-    pub fn send(&self, path: &str, every_ms: u64, for_ms: u64) -> Vec<Got> {
-        let every = Duration::from_millis(every_ms);
+    /// Sends requests to all routers, one to each every `interval_ms`.
+    pub fn send(&self, path: &str, interval_ms: u64, duration_ms: u64) -> Vec<Got> {
+        let interval = Duration::from_millis(interval_ms);
         let routers = load::all(self.routers);
-        load::send(&self.world, &routers, path, every, Duration::from_millis(for_ms))
+        load::send(&self.world, &routers, path, interval, Duration::from_millis(duration_ms))
     }
 
-    /// The requests that reached a server in a span of time: when they came, and their ids.
+    /// Arrival times and ids of the requests that reached a server between two times.
     pub fn arrivals(&self, server: usize, from: Instant, to: Instant) -> Vec<(Instant, String)> {
         let server = &self.world.backends[server];
         let seen = server.arrivals().into_iter().zip(server.seen());
@@ -52,17 +52,21 @@
         seen.filter(|(at, _)| (from..to).contains(at)).collect()
     }
 
-    /// Each server's part of what reached them in the last while.
-    pub fn parts(&self, last: Duration) -> Vec<usize> {
+    /// The number of requests that reached each server in the last `last`.
+    pub fn request_counts(&self, last: Duration) -> Vec<usize> {
         let now = Instant::now();
         let servers = 0..self.servers.len();
         servers.map(|server| self.arrivals(server, now - last, now).len()).collect()
     }
 
-    /// A server has at least half of an even part of what reached all in the last while.
+    /// Checks that a server received at least half of an even share of the requests that reached all servers in
+    /// the last `last`.
     pub fn check_part(&self, server: usize, last: Duration) {
-        let parts = self.parts(last);
-        let even = parts.iter().sum::<usize>() / parts.len();
-        assert!(parts[server] * 2 >= even, "server {server} has too little of {parts:?}");
+        let counts = self.request_counts(last);
+        let even_share = counts.iter().sum::<usize>() / counts.len();
+        assert!(
+            counts[server] * 2 >= even_share,
+            "server {server} received too few of the requests: {counts:?}"
+        );
     }
 }
--- a/tests/soaks/mod.rs
+++ b/tests/soaks/mod.rs
@@ -1,4 +1,4 @@
-//! Runs a schedule of the soak before this build's routers.
+//! Runs a soak schedule with router processes of this build.
 
 #![allow(clippy::unwrap_used, missing_docs, dead_code)]
 
@@ -7,7 +7,7 @@
 
 pub const ROUTERS: usize = 8;
 
-/// Carries a schedule out and holds what was seen against the promises.
+/// Runs a schedule and checks that no router ended by itself and that no answer violates the guarantees of the soak.
 pub fn nothing_is_broken(name: &str, seed: u64, schedule: &schedule::Schedule) {
     let options = run::Options {
         binary: env!("CARGO_BIN_EXE_doorswitch").into(),
@@ -18,10 +18,10 @@
     };
     let report = run::run(&options, schedule).unwrap();
     let steps: Vec<String> = schedule.steps.iter().map(ToString::to_string).collect();
-    assert!(report.ended.is_empty(), "ended by themselves: {:?}", report.ended);
+    assert!(report.ended.is_empty(), "routers that ended by themselves: {:?}", report.ended);
     assert!(
         report.violations.is_empty(),
-        "{} answers, the first {:?}; {}",
+        "{} violations, the first {:?}; {}",
         report.violations.len(),
         report.violations.first(),
         steps.join("\n")
