--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -1,5 +1,5 @@
-//! Every caller gets the whole answer to its own request, also when engines die on the way; and what
-//! is refused as not run consumed nothing.
+//! Every caller receives the complete answer to its own request, also when engines fail during the answer, and a
+//! request that is refused as not run consumes no tokens.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn streams_that_break_go_on_elsewhere_without_a_token_twice() {
+fn broken_streams_are_continued_by_another_engine_without_repeated_tokens() {
     let fleet = Fleet::start("answers-break", Options { engines: 3, ..Options::default() });
     fleet.engines[0].set_mode(breaking(4));
     fleet.engines[1].set_mode(breaking(7));
@@ -30,12 +30,12 @@
             });
         }
     });
-    eventually("each is billed once", || fleet.totals("kitchen").billed_requests == 9);
+    eventually("each request is billed once", || fleet.totals("kitchen").billed_requests == 9);
     assert_eq!(fleet.totals("kitchen").billed_tokens, 9 * (20 + 5));
 }
 
 #[test]
-fn many_callers_at_once_each_get_their_own() {
+fn concurrent_callers_each_receive_their_own_answer() {
     let fleet = Fleet::start("answers-own", Options::default());
     thread::scope(|scope| {
         for caller in 0..8 {
@@ -50,11 +50,11 @@
             });
         }
     });
-    eventually("each is billed once", || fleet.totals("kitchen").billed_requests == 80);
+    eventually("each request is billed once", || fleet.totals("kitchen").billed_requests == 80);
 }
 
 #[test]
-fn an_engine_that_starts_nothing_costs_nothing() {
+fn a_request_that_every_engine_refuses_consumes_no_tokens() {
     let fleet = Fleet::start("answers-refuse", Options::default());
     for engine in &fleet.engines {
         engine.set_mode(engine::Mode { refuse: true, ..engine::Mode::default() });
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn garbage_from_every_engine_is_an_error_not_an_answer() {
+fn invalid_answers_from_every_engine_result_in_an_error() {
     let fleet = Fleet::start("answers-garbage", Options::default());
     for engine in &fleet.engines {
         engine.set_mode(engine::Mode { garbage: true, ..engine::Mode::default() });
@@ -79,14 +79,14 @@
 }
 
 #[test]
-fn an_engine_that_reports_too_much_is_not_believed_beyond_the_bound() {
+fn a_token_count_above_the_request_s_bound_is_not_billed() {
     let fleet = Fleet::start("answers-overreport", Options::default());
     for engine in &fleet.engines {
         engine.set_mode(engine::Mode { overreport_tokens: 10_000, ..engine::Mode::default() });
     }
     let answer = fleet.complete(0, "hello", 5, false).unwrap();
     assert_eq!(answer.status, 200, "{answer:?}");
-    eventually("the overrun is seen", || {
+    eventually("the overrun is counted", || {
         fleet.dump(0)["counters"]["overrun_tokens"].as_u64().unwrap_or(0) > 0
     });
     eventually("it is billed", || fleet.totals("kitchen").billed_requests == 1);
@@ -94,13 +94,13 @@
 }
 
 #[test]
-fn a_caller_that_leaves_pays_for_what_was_generated_and_the_engine_stops() {
+fn a_caller_that_disconnects_is_billed_for_the_generated_tokens_and_the_engine_stops() {
     let slow = engine::Mode { token_ms: 20, ..engine::Mode::default() };
     let fleet = Fleet::start("answers-leave", Options { engine_mode: slow, ..Options::default() });
     let body = fleet::completion_body("hello there", 3_000, true);
     let callers = fleet.routers[0].callers;
     let stream = fleet::send(callers, "POST", "/v1/chat/completions", "kitchen-key", &[], &body);
-    eventually("it runs", || fleet.made_tokens() >= 5);
+    eventually("the engine generates tokens", || fleet.made_tokens() >= 5);
     drop(stream);
     eventually("the engine stops", || fleet.engines.iter().all(|engine| engine.running() == 0));
     eventually("it is billed", || fleet.totals("kitchen").billed_requests == 1);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn callers_that_leave_at_any_moment_leave_nothing_reserved() {
+fn no_tokens_stay_reserved_after_callers_disconnect_at_any_moment() {
     let fleet = Fleet::start("answers-leave-early", Options::default());
     let body = completion_body("hello there", 40, true);
     let callers = fleet.routers[0].callers;
@@ -126,7 +126,7 @@
             });
         }
     });
-    eventually("nothing is left of them", || {
+    eventually("no reservation and no request is left", || {
         let dump = fleet.dump(0);
         let reserved = &dump["budgets"]["kitchen/main"]["reserved_tokens"];
         *reserved == 0 && dump["requests"].as_array().is_some_and(Vec::is_empty)
@@ -148,7 +148,7 @@
                 assert!(answer.done());
             });
         }
-        eventually("all run", || {
+        eventually("all streams run", || {
             fleet.engines.iter().map(engine::Engine::running).sum::<usize>() == 8
         });
         fleet.cut_routers(&[0, 2], &[1, 3], true);
@@ -156,25 +156,25 @@
     });
     fleet.cut_routers(&[0, 2], &[1, 3], false);
     fleet.cut_platform(&[1, 3], false);
-    eventually("each is billed once", || fleet.totals("kitchen").billed_requests == 8);
+    eventually("each request is billed once", || fleet.totals("kitchen").billed_requests == 8);
     assert_eq!(fleet.totals("kitchen").billed_tokens, 8 * 63);
     assert_eq!(fleet.totals("kitchen").repeated_tokens, 0);
 }
 
 #[test]
-fn a_completion_tells_when_it_began_also_when_it_is_given_again() {
+fn a_replayed_completion_keeps_its_time_of_creation() {
     let fleet = Fleet::start("answers-created", Options::default());
     let now_s = || {
         let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         since.unwrap().as_secs()
     };
     let before_s = now_s();
-    let ask = || {
+    let created_s_of_completion = || {
         let answer = fleet.complete_as(0, "kitchen-key", Some("created"), "roast", 4, false);
         answer.unwrap().json()["created"].as_u64().unwrap()
     };
-    let created_s = ask();
+    let created_s = created_s_of_completion();
     assert!((before_s..=now_s()).contains(&created_s), "{created_s}");
     thread::sleep(Duration::from_millis(1_100));
-    assert_eq!(ask(), created_s, "given again");
+    assert_eq!(created_s_of_completion(), created_s, "replayed");
 }
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,4 +1,5 @@
-//! Bad input gets a clear error of its own; nothing is lost and nothing is spent.
+//! Invalid requests receive an error that names the fault and consume no tokens; invalid files are refused with the
+//! position of the fault.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -10,8 +11,8 @@
 use std::process::Command;
 use std::time::Duration;
 
-/// A request, and the status and code that it must get.
-struct Bad {
+/// An invalid request, and the status and error code of the expected answer.
+struct Case {
     path: &'static str,
     key: &'static str,
     headers: &'static [(&'static str, &'static str)],
@@ -20,7 +21,7 @@
     code: &'static str,
 }
 
-impl Default for Bad {
+impl Default for Case {
     fn default() -> Self {
         Self {
             path: "/v1/chat/completions",
@@ -38,26 +39,34 @@
         .replace("\"max_tokens\":5", &format!("\"max_tokens\":{value}"))
 }
 
-fn cases() -> Vec<(&'static str, Bad)> {
+fn cases() -> Vec<(&'static str, Case)> {
     let model = |name: &str| completion_body("hello", 5, false).replace("roast-7b", name);
-    let tokens =
-        |value| Bad { body: with_max_tokens(value), code: "invalid_max_tokens", ..Bad::default() };
+    let tokens = |value| Case {
+        body: with_max_tokens(value),
+        code: "invalid_max_tokens",
+        ..Case::default()
+    };
     vec![
-        ("no key", Bad { key: "", status: 401, code: "invalid_key", ..Bad::default() }),
-        ("wrong key", Bad { key: "nobody", status: 401, code: "invalid_key", ..Bad::default() }),
-        ("not JSON", Bad { body: "{".into(), code: "invalid_json", ..Bad::default() }),
-        ("a list", Bad { body: "[1]".into(), code: "invalid_json", ..Bad::default() }),
+        ("no key", Case { key: "", status: 401, code: "invalid_key", ..Case::default() }),
+        ("wrong key", Case { key: "nobody", status: 401, code: "invalid_key", ..Case::default() }),
+        ("not JSON", Case { body: "{".into(), code: "invalid_json", ..Case::default() }),
+        ("a list", Case { body: "[1]".into(), code: "invalid_json", ..Case::default() }),
         (
             "no model",
-            Bad { body: "{\"messages\":[]}".into(), code: "invalid_field", ..Bad::default() },
+            Case { body: "{\"messages\":[]}".into(), code: "invalid_field", ..Case::default() },
         ),
         (
             "unknown model",
-            Bad { body: model("x"), status: 404, code: "unknown_model", ..Bad::default() },
+            Case { body: model("x"), status: 404, code: "unknown_model", ..Case::default() },
         ),
         (
             "another workspace's model",
-            Bad { body: model("secret-1b"), status: 403, code: "policy_denied", ..Bad::default() },
+            Case {
+                body: model("secret-1b"),
+                status: 403,
+                code: "policy_denied",
+                ..Case::default()
+            },
         ),
         ("no tokens", tokens("0")),
         ("negative tokens", tokens("-5")),
@@ -66,82 +75,82 @@
         ("text as tokens", tokens("\"many\"")),
         (
             "two answers",
-            Bad {
+            Case {
                 body: completion_body("hello", 5, false)
                     .replace("\"stream\"", "\"n\":2,\"stream\""),
                 code: "unsupported",
-                ..Bad::default()
+                ..Case::default()
             },
         ),
         (
             "bad deadline",
-            Bad {
+            Case {
                 headers: &[("X-Deadline-Ms", "soon")],
                 code: "invalid_deadline",
-                ..Bad::default()
+                ..Case::default()
             },
         ),
         (
             "a deadline that passed",
-            Bad {
+            Case {
                 headers: &[("X-Deadline-Ms", "0")],
                 status: 504,
                 code: "deadline",
-                ..Bad::default()
+                ..Case::default()
             },
         ),
         (
             "an unrepeatable call without an id",
-            Bad { path: "/services/payments/release/1", code: "id_missing", ..Bad::default() },
+            Case { path: "/services/payments/release/1", code: "id_missing", ..Case::default() },
         ),
         (
             "unknown service",
-            Bad {
+            Case {
                 path: "/services/nothing/x",
                 status: 404,
                 code: "unknown_service",
-                ..Bad::default()
+                ..Case::default()
             },
         ),
-        ("unknown path", Bad { path: "/v2/x", status: 404, code: "not_found", ..Bad::default() }),
+        ("unknown path", Case { path: "/v2/x", status: 404, code: "not_found", ..Case::default() }),
     ]
 }
 
 #[test]
-fn each_bad_request_gets_its_own_error_and_costs_nothing() {
+fn each_invalid_request_receives_its_own_error_and_consumes_no_tokens() {
     let fleet = Fleet::start("bad-input", Options { routers: 1, ..Options::default() });
     let callers = fleet.routers[0].callers;
-    for (name, bad) in cases() {
-        let answer = fleet::call(callers, "POST", bad.path, bad.key, bad.headers, &bad.body);
+    for (name, case) in cases() {
+        let answer = fleet::call(callers, "POST", case.path, case.key, case.headers, &case.body);
         let answer = answer.unwrap();
-        assert_eq!((answer.status, answer.code().as_str()), (bad.status, bad.code), "{name}");
+        assert_eq!((answer.status, answer.code().as_str()), (case.status, case.code), "{name}");
         assert_eq!(answer.ran(), "not_run", "{name}");
     }
-    large_body(&fleet);
-    slow_sender(&fleet);
-    same_id_with_another_body(&fleet);
-    assert_eq!(fleet.started_requests(), 1, "only the one good request ran");
+    check_large_body(&fleet);
+    check_slow_body(&fleet);
+    check_same_id_with_another_body(&fleet);
+    assert_eq!(fleet.started_requests(), 1, "only the one valid request ran");
     let budget = &fleet.dump(0)["budgets"]["kitchen/main"];
     assert_eq!((&budget["consumed_tokens"], &budget["reserved_tokens"]), (&6.into(), &0.into()));
 }
 
-fn large_body(fleet: &Fleet) {
+fn check_large_body(fleet: &Fleet) {
     let callers = fleet.routers[0].callers;
     let mut stream = TcpStream::connect(callers).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(30))).unwrap();
     let head = "POST /v1/chat/completions HTTP/1.1\r\nHost: test\r\n\
                 Authorization: Bearer kitchen-key\r\nContent-Length: 52428800\r\n\r\n";
     stream.write_all(head.as_bytes()).unwrap();
-    let piece = vec![b' '; 1 << 20];
+    let block = vec![b' '; 1 << 20];
     // The router answers and closes before all 50 MB are sent.
-    let _ = (0..50).try_for_each(|_| stream.write_all(&piece));
+    let _ = (0..50).try_for_each(|_| stream.write_all(&block));
     let mut received = vec![0; 4096];
     let length = stream.read(&mut received).unwrap_or(0);
     let text = String::from_utf8_lossy(&received[..length]).into_owned();
     assert!(text.is_empty() || text.contains("body_too_large"), "{text}");
 }
 
-fn slow_sender(fleet: &Fleet) {
+fn check_slow_body(fleet: &Fleet) {
     let callers = fleet.routers[0].callers;
     let mut stream = TcpStream::connect(callers).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(30))).unwrap();
@@ -154,22 +163,24 @@
     assert!(text.contains("body_too_slow"), "{text}");
 }
 
-fn same_id_with_another_body(fleet: &Fleet) {
+fn check_same_id_with_another_body(fleet: &Fleet) {
     let first = fleet.complete_as(0, "kitchen-key", Some("same"), "hello", 5, false).unwrap();
     assert_eq!(first.status, 200, "{first:?}");
-    fleet::eventually("it is settled", || fleet.totals("kitchen").billed_requests == 1);
+    fleet::eventually("the first request is billed", || {
+        fleet.totals("kitchen").billed_requests == 1
+    });
     let other = fleet.complete_as(0, "kitchen-key", Some("same"), "other words", 5, false).unwrap();
     assert_eq!((other.status, other.code().as_str()), (422, "id_conflict"), "{other:?}");
 }
 
-/// Files that `doorswitch check` must refuse, and what it must say.
-const BAD_SETTINGS: &[(&str, &str)] = &[
+/// Files that `doorswitch check` must refuse, and a part of the expected error.
+const INVALID_SETTINGS: &[(&str, &str)] = &[
     ("vm: [1", "line 1"),
     ("vm: a\nspeed: 3\n", "unknown field `speed`"),
     ("vm: a\nregion: r\nfailure_domain: f\ncallers: {listen: 'x'}\n", "line 4"),
 ];
 
-const BAD_CONFIGS: &[(&str, &str)] = &[
+const INVALID_CONFIGS: &[(&str, &str)] = &[
     ("workspaces: {", "line"),
     ("workspaces: []\nservices: []\npolicies: []\nextra: 1\n", "unknown field `extra`"),
     (
@@ -199,28 +210,28 @@
 ];
 
 #[test]
-fn bad_files_are_refused_with_their_place_and_what_is_allowed() {
+fn invalid_files_are_refused_with_the_position_and_the_allowed_values() {
     let folder = std::path::PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("bad-files");
     std::fs::create_dir_all(&folder).unwrap();
-    let files = BAD_SETTINGS.iter().map(|case| ("--settings", case));
-    let files = files.chain(BAD_CONFIGS.iter().map(|case| ("--config", case)));
-    for (place, (flag, (text, wanted))) in files.enumerate() {
-        let file = folder.join(format!("{place}.yaml"));
+    let files = INVALID_SETTINGS.iter().map(|case| ("--settings", case));
+    let files = files.chain(INVALID_CONFIGS.iter().map(|case| ("--config", case)));
+    for (index, (flag, (text, expected))) in files.enumerate() {
+        let file = folder.join(format!("{index}.yaml"));
         std::fs::write(&file, text).unwrap();
         let output = Command::new(env!("CARGO_BIN_EXE_doorswitch"))
             .args(["check", flag])
             .arg(&file)
             .output()
             .unwrap();
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.code(), Some(1), "{text}: {said}");
-        assert!(said.contains(&file.display().to_string()), "{said}");
-        assert!(said.contains(wanted), "{text}: wanted {wanted:?} in {said}");
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(1), "{text}: {stderr}");
+        assert!(stderr.contains(&file.display().to_string()), "{stderr}");
+        assert!(stderr.contains(expected), "{text}: expected {expected:?} in {stderr}");
     }
 }
 
 #[test]
-fn the_sample_deployments_are_good() {
+fn the_sample_deployments_are_valid() {
     for site in ["bursa", "muscat"] {
         let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy").join(site);
         for file in std::fs::read_dir(folder).unwrap() {
--- a/tests/budgets.rs
+++ b/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! A workspace's spend never exceeds its prepaid budget: proved with real processes under failure.
+//! A workspace's consumption never exceeds its prepaid budget, also when router processes or the platform fail.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -8,32 +8,33 @@
 use fleet::{Answer, Fleet, Options, eventually};
 use std::collections::HashMap;
 
-/// Words in `PROMPT`, which the engine meters as tokens.
 const PROMPT: &str = "grade this batch";
+/// Number of words in `PROMPT`; the engine counts each word as a token.
 const PROMPT_TOKENS: u64 = 3;
 
 fn options() -> Options {
     Options { budget_tokens: 6_000, minimum_grant_tokens: 400, cover_s: 5, ..Options::default() }
 }
 
-/// Sends requests of `tokens` to some routers in turn until all refuse for lack of budget.
+/// Sends requests of `tokens` to routers in turn until all refuse for lack of budget; returns the tokens of the
+/// answered requests.
 fn spend_all(fleet: &Fleet, routers: &[usize], tokens: u64) -> u64 {
     let mut served = 0;
-    let mut refused_in_turn = 0;
-    let mut turn = 0;
-    while refused_in_turn < routers.len() * 2 {
-        let answer = fleet.complete(routers[turn % routers.len()], PROMPT, tokens, false);
-        turn += 1;
+    let mut consecutive_refusals = 0;
+    let mut request_count = 0;
+    while consecutive_refusals < routers.len() * 2 {
+        let answer = fleet.complete(routers[request_count % routers.len()], PROMPT, tokens, false);
+        request_count += 1;
         match answer {
             Some(answer) if answer.status == 200 => {
                 served += PROMPT_TOKENS + tokens;
-                refused_in_turn = 0;
+                consecutive_refusals = 0;
             }
             Some(answer) => {
                 assert_refusal(&answer);
-                refused_in_turn += 1;
+                consecutive_refusals += 1;
             }
-            None => refused_in_turn += 1,
+            None => consecutive_refusals += 1,
         }
     }
     served
@@ -46,18 +47,19 @@
     assert!(answer.header("retry-after").is_some(), "{answer:?}");
 }
 
-/// The bound of a request is loose, so a budget's end leaves at most one bound unspent.
+/// Maximum of tokens left in an exhausted budget: a request is refused when its bound, which is above its consumption,
+/// doesn't fit.
 const BOUND_SLACK: u64 = 400;
 
 #[test]
-fn a_cut_region_and_its_other_half_both_spend_and_never_overspend() {
+fn two_partitioned_regions_both_spend_their_grants_and_never_overspend() {
     let fleet = Fleet::start("budget-region", Options { routers: 4, regions: 2, ..options() });
     let (near, far) = ([0, 2], [1, 3]);
     fleet.wait_drawn("kitchen");
     fleet.cut_routers(&near, &far, true);
     fleet.cut_platform(&far, true);
     let far_served = spend_all(&fleet, &far, 100);
-    assert!(far_served > 0, "the cut half could spend what it held");
+    assert!(far_served > 0, "the region without the platform could spend its grants");
     let near_served = spend_all(&fleet, &near, 100);
     assert!(near_served > 0);
     assert!(far_served + near_served <= 6_000);
@@ -67,18 +69,18 @@
     );
     fleet.cut_routers(&near, &far, false);
     fleet.cut_platform(&far, false);
-    eventually("the halves find each other", || {
-        (0..4).all(|place| fleet.members_alive(place) == 3)
+    eventually("the routers list each other as alive again", || {
+        (0..4).all(|index| fleet.members_alive(index) == 3)
     });
-    let healed = spend_all(&fleet, &[0, 1, 2, 3], 100);
-    let all = far_served + near_served + healed;
+    let after = spend_all(&fleet, &[0, 1, 2, 3], 100);
+    let all = far_served + near_served + after;
     assert!(all <= 6_000, "served {all}");
-    assert!(all + BOUND_SLACK >= 6_000, "false refusals after the heal: served only {all}");
-    eventually("all of it is billed", || fleet.totals("kitchen").billed_tokens == all);
+    assert!(all + BOUND_SLACK >= 6_000, "false refusals after the partition: served only {all}");
+    eventually("all tokens are billed", || fleet.totals("kitchen").billed_tokens == all);
 }
 
 #[test]
-fn a_killed_routers_grant_counts_as_spent_and_its_callers_retries_are_billed_once() {
+fn the_grant_of_a_killed_router_is_written_off_and_retries_of_its_callers_are_billed_once() {
     let slow = engine::Mode { token_ms: 20, ..engine::Mode::default() };
     let mut fleet = Fleet::start("budget-kill", Options { engine_mode: slow, ..options() });
     let ids: Vec<String> = (0..4).map(|number| format!("stream-{number}")).collect();
@@ -101,11 +103,11 @@
     }
     eventually("each id is billed once", || fleet.totals("kitchen").billed_requests == 4);
     assert_eq!(fleet.totals("kitchen").billed_tokens, 4 * (50 + PROMPT_TOKENS));
-    // Only the new process at the old address proves that the old one cannot run any more.
+    // Only a new process at the old address proves that the old process has ended; until then nothing is written off.
     assert_eq!(fleet.ledger("kitchen").written_off_tokens, 0);
     let peer = fleet.peer_address(0);
     fleet.spawn_at(0, peer);
-    eventually("the dead one's grant is written off", || {
+    eventually("the killed router's grant is written off", || {
         fleet.ledger("kitchen").written_off_tokens > 0
     });
     fleet.wait_router_ready(0);
@@ -115,23 +117,23 @@
 }
 
 #[test]
-fn a_frozen_router_wakes_and_spends_only_what_is_its_own() {
+fn a_resumed_router_spends_only_its_own_grant() {
     let fleet = Fleet::start("budget-freeze", options());
     fleet.signal(0, "STOP");
-    eventually("the others count it as silent", || fleet.members_alive(1) == 1);
+    eventually("the others list it as silent", || fleet.members_alive(1) == 1);
     let others = spend_all(&fleet, &[1, 2], 100);
     fleet.signal(0, "CONT");
-    // It may give its grant to those who asked while it was frozen, or spend it: once, either way.
-    let woken = spend_all(&fleet, &[0], 100);
-    assert!(others + woken <= 6_000);
-    eventually("it is back among them", || fleet.members_alive(1) == 2);
+    // It may transfer its grant to routers that requested it during the suspension, or spend it, but not both.
+    let resumed = spend_all(&fleet, &[0], 100);
+    assert!(others + resumed <= 6_000);
+    eventually("the others list it as alive again", || fleet.members_alive(1) == 2);
     let rest = spend_all(&fleet, &[0, 1, 2], 100);
-    let all = others + woken + rest;
+    let all = others + resumed + rest;
     assert!(all <= 6_000 && all + BOUND_SLACK >= 6_000, "served {all}");
 }
 
 #[test]
-fn a_router_whose_vm_went_while_it_was_frozen_is_fenced_when_it_wakes() {
+fn a_suspended_router_whose_vm_was_removed_is_fenced_when_it_resumes() {
     let fleet = Fleet::start("budget-fence", options());
     fleet.complete(0, PROMPT, 10, false).unwrap();
     fleet.signal(0, "STOP");
@@ -141,32 +143,32 @@
     eventually("its grant is written off", || fleet.ledger("kitchen").written_off_tokens > 0);
     let others = spend_all(&fleet, &[1, 2], 100);
     fleet.signal(0, "CONT");
-    let woken = spend_all(&fleet, &[0], 100);
+    let resumed = spend_all(&fleet, &[0], 100);
     eventually("it is fenced", || fleet.dump(0)["lifecycle"] == "fenced");
-    assert!(13 + others + woken <= 6_000);
+    assert!(13 + others + resumed <= 6_000);
     assert_eq!(fleet.get(0, "/readyz", "none").unwrap().status, 503);
 }
 
 #[test]
-fn a_platform_outage_leaves_the_grants_usable_and_refuses_beyond_them() {
+fn during_a_platform_outage_grants_stay_usable_and_requests_beyond_them_are_refused() {
     let fleet = Fleet::start("budget-outage", options());
     fleet.wait_drawn("kitchen");
     fleet.platform.set_mode(platform::Mode { out: true, ..platform::Mode::default() });
     let during = spend_all(&fleet, &[0, 1, 2], 100);
-    assert!(during > 0, "grants outlast the outage");
+    assert!(during > 0, "grants are usable during the outage");
     assert!(during <= 6_000);
     fleet.platform.set_mode(platform::Mode::default());
     let mut after = 0;
-    eventually("the rest is usable again", || {
+    eventually("the rest of the budget is usable again", || {
         after += spend_all(&fleet, &[0, 1, 2], 100);
         during + after + BOUND_SLACK >= 6_000
     });
     assert!(during + after <= 6_000);
-    eventually("all is billed", || fleet.totals("kitchen").billed_tokens == during + after);
+    eventually("all tokens are billed", || fleet.totals("kitchen").billed_tokens == during + after);
 }
 
 #[test]
-fn lost_replies_and_a_slow_platform_make_no_token() {
+fn lost_replies_and_a_slow_platform_cause_no_overspending() {
     let fleet = Fleet::start("budget-lost", options());
     let mode =
         platform::Mode { lose_write_replies_percent: 40, slow_ms: 30, ..platform::Mode::default() };
@@ -174,16 +176,16 @@
     let during = spend_all(&fleet, &[0, 1, 2], 60);
     fleet.platform.set_mode(platform::Mode::default());
     let mut after = 0;
-    eventually("all is spent", || {
+    eventually("the budget is spent", || {
         after += spend_all(&fleet, &[0, 1, 2], 60);
         during + after + BOUND_SLACK >= 6_000
     });
     assert!(during + after <= 6_000, "served {}", during + after);
-    eventually("all is billed", || fleet.totals("kitchen").billed_tokens == during + after);
+    eventually("all tokens are billed", || fleet.totals("kitchen").billed_tokens == during + after);
 }
 
 #[test]
-fn racing_payments_are_each_applied_once() {
+fn concurrent_payments_are_each_applied_once() {
     let fleet = Fleet::start("budget-race", options());
     let mode = platform::Mode { lose_write_replies_percent: 30, ..platform::Mode::default() };
     fleet.platform.set_mode(mode);
@@ -192,7 +194,7 @@
     std::thread::scope(|scope| {
         for (operation, tokens) in &payments {
             let fleet = &fleet;
-            // The same operation twice, as by an operator who is not sure.
+            // The same operation twice, as by an operator who retries a command with an unknown result.
             scope.spawn(move || {
                 fleet.pay("kitchen", *tokens, operation);
                 fleet.pay("kitchen", *tokens, operation);
@@ -204,10 +206,10 @@
 }
 
 #[test]
-fn budgets_of_two_workspaces_do_not_mix() {
+fn an_exhausted_budget_does_not_affect_another_workspace() {
     let fleet = Fleet::start("budget-two", options());
     spend_all(&fleet, &[0, 1, 2], 100);
     let gate = fleet.complete_as(0, "gate-key", None, PROMPT, 100, false).unwrap();
     assert_eq!(gate.status, 200, "{gate:?}");
-    eventually("the other one paid", || fleet.totals("gate").billed_tokens == 103);
+    eventually("the other workspace is billed", || fleet.totals("gate").billed_tokens == 103);
 }
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -1,4 +1,4 @@
-//! A request marked as unrepeatable runs at most once; each request is billed exactly once.
+//! A request that is configured as unrepeatable runs at most once, and each request is billed exactly once.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -8,7 +8,7 @@
 use fleet::{Answer, Fleet, Options, eventually};
 use std::thread;
 
-/// Releases the same hold through every router at once, several times.
+/// Sends the same unrepeatable request to every router twice, all at once.
 fn release_everywhere(fleet: &Fleet, id: &str) -> Vec<Answer> {
     let routers = fleet.routers.len();
     thread::scope(|scope| {
@@ -20,19 +20,19 @@
 }
 
 #[test]
-fn retries_through_every_router_at_once_run_it_once() {
+fn concurrent_retries_through_every_router_run_once() {
     let fleet = Fleet::start("claims-race", Options::default());
-    for round in 0..5 {
-        let id = format!("hold-{round}");
+    for number in 0..5 {
+        let id = format!("hold-{number}");
         let answers = release_everywhere(&fleet, &id);
         assert!(answers.iter().all(|answer| answer.status == 200), "{answers:?}");
         assert_eq!(fleet.executions(&id), 1);
     }
-    eventually("each is billed once", || fleet.totals("kitchen").billed_requests == 5);
+    eventually("each request is billed once", || fleet.totals("kitchen").billed_requests == 5);
     assert_eq!(fleet.totals("kitchen").repeated_tokens, 0);
 }
 
-/// Servers that take a call and end its connection without a word, as a server does that crashes or closes too early.
+/// Servers close the connection after they received a request, as a server does that crashes or closes too early.
 #[test]
 fn a_call_whose_connection_ends_without_an_answer_is_sent_once() {
     let fleet = Fleet::start("claims-closed", Options { services: 0, ..Options::default() });
@@ -40,8 +40,8 @@
     let servers: Vec<backend::Backend> =
         (0..2).map(|_| backend::Backend::start(closing()).unwrap()).collect();
     let mut vms = fleet.vms();
-    vms.extend(servers.iter().enumerate().map(|(place, server)| platform::Vm {
-        vm: format!("closing-{place}"),
+    vms.extend(servers.iter().enumerate().map(|(index, server)| platform::Vm {
+        vm: format!("closing-{index}"),
         service: "payments".to_owned(),
         address: server.address().to_string(),
         class: "new".to_owned(),
@@ -49,7 +49,9 @@
         state: "live".to_owned(),
     }));
     fleet.platform.set_vms(vms);
-    eventually("the servers are known", || fleet.dump(0)["servers"]["closing-1"].is_object());
+    eventually("the router lists the servers", || {
+        fleet.dump(0)["servers"]["closing-1"].is_object()
+    });
     let answer = fleet.release(0, "hold", "{}").unwrap();
     let calls = |server: &backend::Backend| {
         server.seen().iter().filter(|seen| seen.line.starts_with("POST")).count()
@@ -62,12 +64,12 @@
 }
 
 #[test]
-fn lost_replies_of_the_store_run_nothing_twice() {
+fn lost_replies_of_the_store_cause_no_second_execution() {
     let fleet = Fleet::start("claims-lost", Options::default());
     let mode = platform::Mode { lose_write_replies_percent: 50, ..platform::Mode::default() };
     fleet.platform.set_mode(mode);
-    for round in 0..4 {
-        let id = format!("hold-{round}");
+    for number in 0..4 {
+        let id = format!("hold-{number}");
         let answers = release_everywhere(&fleet, &id);
         assert!(fleet.executions(&id) <= 1);
         for answer in answers.iter().filter(|answer| answer.ran() == "not_run") {
@@ -77,7 +79,7 @@
 }
 
 #[test]
-fn without_the_store_nothing_unrepeatable_runs() {
+fn during_an_outage_of_the_store_unrepeatable_requests_are_refused() {
     let fleet = Fleet::start("claims-outage", Options::default());
     fleet.platform.set_mode(platform::Mode { out: true, ..platform::Mode::default() });
     let refused = fleet.release(0, "hold-1", "{}").unwrap();
@@ -86,56 +88,56 @@
     assert!(refused.header("retry-after").is_some());
     assert_eq!(fleet.executions("hold-1"), 0);
     fleet.platform.set_mode(platform::Mode::default());
-    eventually("it runs once the store is back", || {
+    eventually("the request runs after the outage", || {
         fleet.release(1, "hold-1", "{}").is_some_and(|answer| answer.status == 200)
     });
     assert_eq!(fleet.executions("hold-1"), 1);
 }
 
 #[test]
-fn a_router_killed_while_it_runs_one_leaves_the_outcome_unknown_not_run_again() {
+fn after_its_router_is_killed_a_request_s_outcome_is_unknown_and_it_is_not_run_again() {
     let mut fleet = Fleet::start("claims-kill", Options::default());
     fleet.services[0].set_mode(service::Mode { delay_ms: 2_000, ..service::Mode::default() });
     let headers = [("Idempotency-Key", "hold-1")];
     let path = "/services/payments/release/7";
     let stream = fleet::send(fleet.routers[0].callers, "POST", path, "kitchen-key", &headers, "{}");
-    eventually("it runs", || fleet.executions("hold-1") == 1);
+    eventually("the request runs", || fleet.executions("hold-1") == 1);
     fleet.kill(0);
     drop(stream);
-    for place in [1, 2] {
-        let answer = fleet.release(place, "hold-1", "{}").unwrap();
+    for index in [1, 2] {
+        let answer = fleet.release(index, "hold-1", "{}").unwrap();
         assert_eq!(answer.ran(), "unknown", "{answer:?}");
     }
     assert_eq!(fleet.executions("hold-1"), 1);
 }
 
 #[test]
-fn a_frozen_router_that_holds_a_claim_does_not_run_it_a_second_time() {
+fn a_router_suspended_with_a_claim_causes_no_second_execution() {
     let fleet = Fleet::start("claims-freeze", Options::default());
-    // Slow enough that the router is frozen between its claim and its dispatch or just after.
+    // Slow enough that the router is suspended between its claim and its dispatch or just after.
     fleet.platform.set_mode(platform::Mode { slow_ms: 100, ..platform::Mode::default() });
-    for round in 0..3 {
-        let id = format!("hold-{round}");
+    for number in 0..3 {
+        let id = format!("hold-{number}");
         let headers = [("Idempotency-Key", id.as_str())];
         let path = "/services/payments/release/7";
         let stream =
             fleet::send(fleet.routers[0].callers, "POST", path, "kitchen-key", &headers, "{}");
-        thread::sleep(std::time::Duration::from_millis(60 * round + 40));
+        thread::sleep(std::time::Duration::from_millis(60 * number + 40));
         fleet.signal(0, "STOP");
         let elsewhere = fleet.release(1, &id, "{}").unwrap();
         assert!(elsewhere.status == 200 || elsewhere.ran() == "unknown", "{elsewhere:?}");
         fleet.signal(0, "CONT");
         drop(stream);
-        // The woken router either runs it or gives its claim up as too old; then a retry may run it.
-        eventually("it runs, or its outcome is given again", || {
-            let place = fleet.executions(&id) as usize % 3;
-            fleet.release(place, &id, "{}").is_some_and(|answer| answer.status == 200)
+        // The resumed router either runs the request or releases its claim as too old; then a retry may run it.
+        eventually("the request runs, or its outcome is replayed", || {
+            let index = fleet.executions(&id) as usize % 3;
+            fleet.release(index, &id, "{}").is_some_and(|answer| answer.status == 200)
         });
         assert_eq!(fleet.executions(&id), 1);
     }
     fleet.platform.set_mode(platform::Mode::default());
-    for round in 0..3 {
-        let id = format!("hold-{round}");
+    for number in 0..3 {
+        let id = format!("hold-{number}");
         let answers = release_everywhere(&fleet, &id);
         assert!(answers.iter().all(|answer| answer.status == 200), "{answers:?}");
         assert_eq!(fleet.executions(&id), 1);
@@ -143,7 +145,7 @@
 }
 
 #[test]
-fn an_answer_that_never_came_is_unknown_and_stays_so() {
+fn the_outcome_of_a_request_without_an_answer_stays_unknown() {
     let fleet = Fleet::start("claims-unknown", Options { routers: 2, ..Options::default() });
     fleet.services[0].set_mode(service::Mode { lose_answers: true, ..service::Mode::default() });
     let headers = [("Idempotency-Key", "hold-1"), ("X-Deadline-Ms", "1000")];
@@ -158,7 +160,7 @@
 }
 
 #[test]
-fn a_cut_region_claims_through_the_store_or_refuses() {
+fn a_partitioned_region_claims_through_the_store_or_refuses() {
     let fleet =
         Fleet::start("claims-region", Options { routers: 4, regions: 2, ..Options::default() });
     fleet.cut_routers(&[0, 2], &[1, 3], true);
@@ -172,7 +174,7 @@
 }
 
 #[test]
-fn the_same_id_of_two_workspaces_is_two_requests() {
+fn requests_of_two_workspaces_with_the_same_id_both_run() {
     let fleet = Fleet::start("claims-two", Options::default());
     let path = "/services/payments/release/7";
     let headers = [("Idempotency-Key", "hold-1")];
--- a/tests/external_names.rs
+++ b/tests/external_names.rs
@@ -1,5 +1,5 @@
-//! Texts that the router writes itself: log lines, and the errors for unknown keys of settings and documents, which list
-//! the known ones. Those of the core are in `core/tests/external_names.rs`.
+//! Names that the router writes to logs, and its errors for unknown keys of settings and documents, which list the
+//! allowed keys. The names that the core writes are tested in `core/tests/external_names.rs`.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -9,9 +9,9 @@
 
 #[test]
 fn results_of_probes() {
-    let probed =
+    let results =
         [probe::ProbeResult::Accepts, probe::ProbeResult::Refuses, probe::ProbeResult::Silent];
-    assert_eq!(probed.map(probe::ProbeResult::as_str), ["Accepts", "Refuses", "Silent"]);
+    assert_eq!(results.map(probe::ProbeResult::as_str), ["Accepts", "Refuses", "Silent"]);
 }
 
 const SETTINGS: &str = "{vm: a, region: b, failure_domain: c, operators: {listen: '127.0.0.1:1'}, \
@@ -34,10 +34,10 @@
 }
 
 macro_rules! errors {
-    ($($name:ident: $found:expr => $expected:expr;)*) => { $(
+    ($($name:ident: $actual:expr => $expected:expr;)*) => { $(
         #[test]
         fn $name() {
-            assert_eq!($found, $expected);
+            assert_eq!($actual, $expected);
         }
     )* };
 }
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -1,5 +1,5 @@
-//! Decisions of the interface by routes: repeats, budgets, configuration, servers that leave, stops and
-//! the store's failures. Routers' processes before a store and scripted servers.
+//! Tests of the gateway, which serves by routes: retries, budgets, configuration changes, servers that leave,
+//! planned stops and failures of the store. Router processes run with a stand-in store and scripted servers.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -15,29 +15,29 @@
 
 const NOT_EXECUTED: &str = "HTTP/1.1 503 Service Unavailable\r\nAttempt-Id: {id}\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n";
 
-fn turns_away() -> Script {
+fn rejects() -> Script {
     Box::new(|_, _| vec![Step::Write(NOT_EXECUTED.to_owned())])
 }
 
-fn loses_answers() -> Script {
+fn closes_without_answer() -> Script {
     Box::new(|_, _| vec![Step::Close])
 }
 
-fn total_seen(world: &World) -> usize {
+fn requests_received(world: &World) -> usize {
     world.backends.iter().map(|backend| backend.seen().len()).sum()
 }
 
 #[test]
-fn a_request_that_may_not_repeat_runs_once_and_its_outcome_is_unknown() {
-    let world = World::start("once", vec![loses_answers(), loses_answers()]);
+fn a_request_that_is_not_idempotent_runs_once_and_its_outcome_is_unknown() {
+    let world = World::start("once", vec![closes_without_answer(), closes_without_answer()]);
     let answer = world.ask(0, &request("/pay/x", "id-1"));
-    assert_eq!(answer.status, 502, "not 503: that would promise that it did not run");
-    assert_eq!(total_seen(&world), 1);
+    assert_eq!(answer.status, 502, "not 503, which states that the request did not run");
+    assert_eq!(requests_received(&world), 1);
 }
 
 #[test]
-fn a_request_that_was_turned_away_goes_to_another_server_even_if_it_may_not_repeat() {
-    let world = World::start("away", vec![turns_away(), answers("ran")]);
+fn a_rejected_request_is_sent_to_another_server_even_if_it_is_not_idempotent() {
+    let world = World::start("away", vec![rejects(), answers("ran")]);
     for number in 0..6 {
         let id = format!("id-{number}");
         let answer = world.ask(0, &request("/pay/x", &id));
@@ -46,8 +46,8 @@
 }
 
 #[test]
-fn a_request_that_nobody_ran_is_refused_at_once_with_when_to_come_back() {
-    let world = World::start("refused", vec![turns_away()]);
+fn a_request_that_every_server_rejected_is_refused_with_a_retry_after() {
+    let world = World::start("refused", vec![rejects()]);
     let answer = world.ask(0, &request("/pay/x", "id-1"));
     assert_eq!(answer.status, 503);
     let seconds: f64 = answer.header("retry-after").unwrap().parse().unwrap();
@@ -55,16 +55,16 @@
 }
 
 #[test]
-fn a_repeatable_request_runs_again_elsewhere_but_on_no_more_servers_than_its_route_allows() {
-    let scripts = vec![loses_answers(), loses_answers(), loses_answers()];
+fn an_idempotent_request_is_retried_up_to_its_route_s_number_of_attempts() {
+    let scripts = vec![closes_without_answer(), closes_without_answer(), closes_without_answer()];
     let world = World::start("attempts", scripts);
     let answer = world.ask(0, &request("/read/x", "id-1"));
     assert_eq!(answer.status, 502);
-    assert_eq!(total_seen(&world), 2, "two attempts");
+    assert_eq!(requests_received(&world), 2, "two attempts");
 }
 
 #[test]
-fn the_servers_own_failure_is_passed_on_with_its_seal() {
+fn a_server_s_own_error_is_forwarded_with_its_seal() {
     let failing = || -> Script { Box::new(|_, _| vec![whole("500 Internal Server Error", "sad")]) };
     let world = World::start("failure", vec![failing(), failing()]);
     let answer = world.ask(0, &request("/read/x", "id-1"));
@@ -73,21 +73,23 @@
 }
 
 #[test]
-fn a_request_is_answered_when_its_route_s_time_is_up() {
+fn a_request_is_answered_when_its_route_s_timeout_expires() {
     let world = World::start("brief", vec![Box::new(|_, _| vec![Step::AwaitClose])]);
     let answer = world.ask(0, &request("/brief/x", "id-1"));
     assert_eq!(answer.status, 504);
-    eventually("the server is free", || world.backends[0].closed_by_client() == 1);
+    eventually("the router closes the server's connection", || {
+        world.backends[0].closed_by_client() == 1
+    });
 }
 
 #[test]
-fn without_a_configuration_nothing_is_taken() {
+fn without_a_configuration_requests_are_refused() {
     let mut world = World::unready("bare", vec![answers("done")]);
     world.add_router();
-    eventually("it runs", || world.ready(0) == Some(503));
+    eventually("the router answers", || world.ready(0) == Some(503));
     assert_eq!(world.ask(0, &request("/read/x", "id-1")).status, 503);
     world.store.put("op/config", b"{\"version\": 1");
-    eventually("nonsense is named", || {
+    eventually("the unreadable configuration is logged", || {
         world.log(0).contains("event=entry_unreadable key=\"op/config\"")
     });
     assert_eq!(world.ready(0), Some(503));
@@ -97,7 +99,7 @@
 }
 
 #[test]
-fn a_key_that_was_taken_away_is_refused_also_after_the_history_was_forgotten() {
+fn a_removed_key_is_refused_also_after_the_store_dropped_its_history() {
     let mut world = World::start("revoked", vec![answers("done")]);
     assert_eq!(world.ask(0, &request("/read/x", "id-1")).status, 200);
     world.store.forget();
@@ -109,80 +111,87 @@
 }
 
 #[test]
-fn a_draining_server_gets_nothing_new() {
+fn a_draining_server_receives_no_new_request() {
     let world = World::start("draining", vec![answers("zero"), answers("one")]);
     world.record_server(0, "draining");
     let mut number = 0;
-    eventually("only the other one is used", || {
+    eventually("only the other server is used", || {
         (0..8).all(|_| {
             number += 1;
             world.ask(0, &request("/read/x", &format!("id-{number}"))).text() == "one"
         })
     });
     world.store.remove("servers/i-1");
-    eventually("nobody is left", || world.ask(0, &request("/read/x", "last")).status == 503);
+    eventually("no server is left", || world.ask(0, &request("/read/x", "last")).status == 503);
 }
 
 #[test]
-fn a_server_whose_record_lapsed_while_the_store_was_away_is_used_until_it_had_time_to_come_back() {
+fn a_server_whose_record_expired_in_an_outage_is_used_until_its_grace_period_ends() {
     let world = World::start("lapsed", vec![answers("done")]);
     assert_eq!(world.ask(0, &request("/read/x", "before")).status, 200);
     world.store.set_mode(store::Mode::Down);
-    // Ends the watch that waits; the next one fails.
+    // Answers the pending poll; the next poll fails.
     world.store.put("servers/other", b"{}");
-    let missed = || world.log(0).contains("event=watch_failed prefix=servers/");
-    eventually("the router misses the store", missed);
+    let watch_failed = || world.log(0).contains("event=watch_failed prefix=servers/");
+    eventually("a poll of the store fails", watch_failed);
     world.store.remove("servers/i-0");
     world.store.set_mode(store::Mode::Well);
-    eventually("the record is missed", || world.log(0).contains("event=item_lapsed"));
+    eventually("the record's expiry is logged", || world.log(0).contains("event=item_lapsed"));
     assert_eq!(world.ask(0, &request("/read/x", "lapsed")).status, 200, "{}", world.log(0));
-    eventually("it is taken as gone", || world.ask(0, &request("/read/x", "gone")).status == 503);
+    eventually("the server is removed", || world.ask(0, &request("/read/x", "gone")).status == 503);
     world.record_server(0, "ready");
-    eventually("it is back", || world.ask(0, &request("/read/x", "back")).status == 200);
+    eventually("the server is used again", || {
+        world.ask(0, &request("/read/x", "back")).status == 200
+    });
 }
 
 #[test]
-fn a_server_that_goes_just_after_the_store_is_back_is_not_taken_for_one_that_lapsed() {
+fn a_record_removed_just_after_an_outage_of_the_store_is_not_handled_as_expired() {
     let world = World::start("goes", vec![answers("done")]);
     world.store.set_mode(store::Mode::Down);
     world.store.put("servers/other", b"{}");
-    let missed = || world.log(0).contains("event=watch_failed prefix=servers/");
-    eventually("the router misses the store", missed);
+    let watch_failed = || world.log(0).contains("event=watch_failed prefix=servers/");
+    eventually("a poll of the store fails", watch_failed);
     world.store.put("servers/another", b"{}");
     world.store.set_mode(store::Mode::Well);
-    let told = || world.log(0).matches("event=store_changed prefix=servers/").count() == 2;
-    eventually("the store is back", told);
+    let changed_twice = || world.log(0).matches("event=store_changed prefix=servers/").count() == 2;
+    eventually("the router polls the store again", changed_twice);
     world.store.remove("servers/i-0");
-    eventually("it gets nothing", || world.ask(0, &request("/read/x", "gone")).status == 503);
+    eventually("the server receives no request", || {
+        world.ask(0, &request("/read/x", "gone")).status == 503
+    });
     assert!(!world.log(0).contains("event=item_lapsed"), "{}", world.log(0));
 }
 
 #[test]
-fn a_server_that_was_draining_gets_nothing_when_its_record_lapses_in_an_outage() {
+fn a_draining_server_whose_record_expires_in_an_outage_receives_no_request() {
     let world = World::start("drains-away", vec![answers("zero"), answers("one")]);
     world.record_server(0, "draining");
     let mut number = 0;
-    let mut ask = || {
+    let mut answer_text = || {
         number += 1;
         world.ask(0, &request("/read/x", &format!("id-{number}"))).text()
     };
-    let told = || world.log(0).contains("event=server_leaving vm=i-0 ");
-    eventually("the leaving is heard", told);
-    assert!((0..8).all(|_| ask() == "one"), "once it is heard");
+    let leaving = || world.log(0).contains("event=server_leaving vm=i-0 ");
+    eventually("the router records that the server leaves", leaving);
+    assert!((0..8).all(|_| answer_text() == "one"), "once the router has recorded it");
     world.store.set_mode(store::Mode::Down);
     world.store.put("servers/other", b"{}");
-    let missed = || world.log(0).contains("event=watch_failed prefix=servers/");
-    eventually("the router misses the store", missed);
-    assert!((0..8).all(|_| ask() == "one"), "in the outage");
+    let watch_failed = || world.log(0).contains("event=watch_failed prefix=servers/");
+    eventually("a poll of the store fails", watch_failed);
+    assert!((0..8).all(|_| answer_text() == "one"), "during the outage");
     world.store.remove("servers/i-0");
     world.store.set_mode(store::Mode::Well);
-    eventually("the record is missed", || world.log(0).contains("event=item_lapsed"));
-    assert!((0..8).all(|_| ask() == "one"), "while it may be back");
+    eventually("the record's expiry is logged", || world.log(0).contains("event=item_lapsed"));
+    assert!(
+        (0..8).all(|_| answer_text() == "one"),
+        "while the server has time to renew its record"
+    );
 }
 
-/// A planned stop in an outage of the store: what was taken is answered, and what comes while the router
-/// drains is answered or told that it did not run.
-fn stops_in_an_outage(name: &str, mode: store::Mode) {
+/// A planned stop in an outage of the store: accepted requests are answered, and requests that arrive while the router
+/// drains are answered or refused as not run.
+fn stop_in_an_outage_answers_every_request(name: &str, mode: store::Mode) {
     let script = Box::new(|_, _: &_| {
         let pause = || Step::Pause(Duration::from_millis(500));
         let head = Step::Write(STREAM_HEAD.to_owned());
@@ -192,12 +201,12 @@
     assert!(world.ask(0, &request("/stream/x", "before")).whole);
     world.store.set_mode(mode);
     let mut running = world.send(0, &request("/long-stream/x", "running"));
-    eventually("the server has it", || world.backends[0].seen().len() == 2);
+    eventually("the server has received the request", || world.backends[0].seen().len() == 2);
     world.signal(0, "HUP");
     world.signal(0, "TERM");
-    eventually("the balancer is told", || world.ready(0).is_none_or(|status| status == 503));
-    let mut crossing = world.send(0, &request("/stream/x", "crossing"));
-    let answer = routes::read_answer(&mut crossing);
+    eventually("readiness is withdrawn", || world.ready(0).is_none_or(|status| status == 503));
+    let mut during_drain = world.send(0, &request("/stream/x", "crossing"));
+    let answer = routes::read_answer(&mut during_drain);
     assert!(answer.whole, "{answer:?}");
     assert!(answer.status == 200 || answer.status == 503, "{answer:?}");
     let answer = routes::read_answer(&mut running);
@@ -205,17 +214,17 @@
 }
 
 #[test]
-fn a_stop_while_the_store_refuses_calls_cuts_no_request() {
-    stops_in_an_outage("stop-down", store::Mode::Down);
+fn a_stop_while_the_store_refuses_calls_breaks_no_request() {
+    stop_in_an_outage_answers_every_request("stop-down", store::Mode::Down);
 }
 
 #[test]
-fn a_stop_while_the_store_is_silent_cuts_no_request() {
-    stops_in_an_outage("stop-silent", store::Mode::Silent);
+fn a_stop_while_the_store_is_silent_breaks_no_request() {
+    stop_in_an_outage_answers_every_request("stop-silent", store::Mode::Silent);
 }
 
 #[test]
-fn a_stop_ends_streams_that_run_and_tells_the_balancer_at_once() {
+fn a_stop_completes_running_streams_and_withdraws_readiness_at_once() {
     let script = Box::new(|_, _: &_| {
         let pause = Step::Pause(Duration::from_millis(1_000));
         vec![Step::Write(STREAM_HEAD.to_owned()), event(1), pause, event(2), last_chunk()]
@@ -223,9 +232,9 @@
     let mut world = World::start("stop", vec![script]);
     let metered = Request { tokens: Some((8_000, 2_000)), ..request("/stream/x", "id-1") };
     let mut client = world.send(0, &metered);
-    eventually("the server has it", || world.backends[0].seen().len() == 1);
+    eventually("the server has received the request", || world.backends[0].seen().len() == 1);
     world.signal(0, "TERM");
-    eventually("the balancer is told", || world.ready(0).is_none_or(|status| status == 503));
+    eventually("readiness is withdrawn", || world.ready(0).is_none_or(|status| status == 503));
     let answer = routes::read_answer(&mut client);
     assert!(answer.whole);
     assert!(answer.text().contains("piece 2"));
@@ -235,76 +244,80 @@
     assert!(!values.is_empty(), "a metered request was served");
     for value in values {
         let ledger = doorswitch_core::ledger::Shard::decode(&value).unwrap();
-        assert!(ledger.holders.is_empty(), "its grants are handed back");
+        assert!(ledger.holders.is_empty(), "the router's grants are returned");
     }
 }
 
 #[test]
-fn a_stop_that_an_answer_outlasts_loses_no_more_than_that_answer_may_cost() {
-    // The server never answers one request; the stop is cut short as the platform does it.
-    let hangs: Script = Box::new(|_, _| vec![Step::AwaitClose]);
-    let mut world = World::start("outlasted", vec![hangs]);
+fn a_router_killed_during_its_stop_loses_at_most_the_bound_of_the_open_request() {
+    // The server never answers one request; the router is killed during its stop, as the platform does when the
+    // stop takes too long.
+    let never_answers: Script = Box::new(|_, _| vec![Step::AwaitClose]);
+    let mut world = World::start("outlasted", vec![never_answers]);
     let long = Request { tokens: Some((8_000, 2_000)), ..routes::patient("/long/x", "id-1") };
     let _client = world.send(0, &long);
-    eventually("the server has it", || world.backends[0].seen().len() == 1);
+    eventually("the server has received the request", || world.backends[0].seen().len() == 1);
     world.signal(0, "TERM");
     let granted = || -> u64 {
         let keys = (0..LEDGER_SHARDS).map(doorswitch_core::ledger::key);
         let values = keys.filter_map(|key| world.store.get(&key));
         let shards = values.map(|value| doorswitch_core::ledger::Shard::decode(&value).unwrap());
         let budgets = shards.flat_map(|shard| shard.budgets.into_values());
-        budgets.flat_map(|budget| budget.grants.into_values()).map(|it| it.granted_tokens).sum()
+        budgets
+            .flat_map(|budget| budget.grants.into_values())
+            .map(|grant| grant.granted_tokens)
+            .sum()
     };
-    eventually("all but the request's tokens are back", || granted() == 10_000);
+    eventually("all but the request's tokens are returned", || granted() == 10_000);
     world.kill(0);
 }
 
-/// A request that costs 8,000 tokens in and up to 2,000 out.
+/// A request of 8,000 prompt tokens and at most 2,000 completion tokens.
 fn metered(id: &str) -> Request<'_> {
     Request { tokens: Some((8_000, 2_000)), ..request("/read/x", id) }
 }
 
 /// Sends metered requests until one is refused; returns how many were served.
-fn spend(world: &World, place: usize, name: &str) -> u64 {
+fn spend_until_refused(world: &World, router: usize, name: &str) -> u64 {
     for number in 0..500 {
-        let answer = world.ask(place, &metered(&format!("{name}-{number}")));
+        let answer = world.ask(router, &metered(&format!("{name}-{number}")));
         match answer.status {
             200 => {}
             402 => return number,
-            status => panic!("{status}: {}", world.log(place)),
+            status => panic!("{status}: {}", world.log(router)),
         }
     }
-    panic!("the budget has no end");
+    panic!("no request was refused for lack of budget");
 }
 
 #[test]
-fn a_tenant_gets_what_it_has_paid_and_no_more_and_more_after_it_pays_again() {
+fn a_tenant_can_spend_its_prepaid_tokens_and_no_more_and_a_later_payment_is_added() {
     let mut world = World::start("prepaid", vec![answers("done"), answers("done")]);
-    let served = spend(&world, 0, "first");
+    let served = spend_until_refused(&world, 0, "first");
     let spent = served * 8_000;
     assert!(spent <= PREPAID, "{spent} tokens of {PREPAID}");
     assert!(spent + 10_000 > PREPAID, "{spent} tokens of {PREPAID}: refused too early");
     world.publish(&[KEY], PREPAID + 100_000);
-    let more = || world.ask(0, &metered("again")).status == 200;
-    eventually("what was paid in is there", more);
-    let rest = spend(&world, 0, "second") + 1;
-    assert!((served + rest) * 8_000 <= PREPAID + 100_000);
+    let served_again = || world.ask(0, &metered("again")).status == 200;
+    eventually("the new payment is usable", served_again);
+    let served_after = spend_until_refused(&world, 0, "second") + 1;
+    assert!((served + served_after) * 8_000 <= PREPAID + 100_000);
 }
 
 #[test]
-fn a_lowered_amount_holds_at_once() {
+fn a_lowered_prepaid_amount_is_in_force_at_once() {
     let mut world = World::start("lowered", vec![answers("done")]);
     for number in 0..10 {
         assert_eq!(world.ask(0, &metered(&format!("a-{number}"))).status, 200);
     }
     world.publish(&[KEY], 100_000);
     eventually("the change is in force", || world.log(0).contains("version=4"));
-    let served = 10 + spend(&world, 0, "b");
+    let served = 10 + spend_until_refused(&world, 0, "b");
     assert!(served * 8_000 <= 100_000, "{served} requests of 8,000 tokens");
 }
 
 #[test]
-fn after_the_loss_of_every_router_most_of_a_budget_is_still_there_and_never_too_much() {
+fn after_the_loss_of_every_router_half_of_a_budget_is_usable_and_it_is_not_overspent() {
     let mut world = World::start("loss", vec![answers("done"), answers("done")]);
     for number in 0..20 {
         assert_eq!(world.ask(0, &metered(&format!("before-{number}"))).status, 200);
@@ -312,14 +325,14 @@
     world.kill(0);
     world.spawn(0);
     world.wait_ready(0);
-    let after = spend(&world, 0, "after");
+    let after = spend_until_refused(&world, 0, "after");
     let spent = (20 + after) * 8_000;
     assert!(spent <= PREPAID);
     assert!(spent * 10 >= PREPAID * 5, "{spent} tokens of {PREPAID} after one loss of all routers");
 }
 
 #[test]
-fn while_the_store_is_away_requests_are_served_from_what_is_held() {
+fn during_an_outage_of_the_store_requests_are_served_from_granted_tokens() {
     let world = World::start("away-store", vec![answers("done")]);
     assert_eq!(world.ask(0, &metered("before")).status, 200);
     for mode in [store::Mode::Down, store::Mode::Silent] {
@@ -333,14 +346,14 @@
 }
 
 #[test]
-fn lost_answers_of_the_store_spend_nothing_twice() {
+fn lost_answers_of_the_store_cause_no_overspending() {
     let world = World::start("lost-answers", vec![answers("done")]);
     world.store.set_mode(store::Mode::LoseAnswers);
     for number in 0..10 {
         world.ask(0, &metered(&format!("lost-{number}")));
     }
     world.store.set_mode(store::Mode::Well);
-    // A call whose answer was lost holds the ledger up until it is given up: 503 until then.
+    // A call whose answer was lost delays access to the ledger until the call times out: 503 until then.
     let mut number = 0;
     eventually("the budget is spent", || {
         number += 1;
@@ -351,28 +364,28 @@
 }
 
 #[test]
-fn two_routers_together_spend_no_more_than_was_paid() {
+fn two_routers_together_spend_no_more_than_the_prepaid_tokens() {
     let mut world = World::start("two", vec![answers("done"), answers("done")]);
     world.add_router();
     world.wait_ready(1);
     for number in 0..40 {
         world.ask(number % 2, &metered(&format!("both-{number}")));
     }
-    let one = spend(&world, 0, "one");
-    let other = spend(&world, 1, "other");
-    let served = total_seen(&world) as u64;
-    assert!(served * 8_000 <= PREPAID, "{served} ran; {one} and {other} at the end");
-    assert!(served * 8_000 + 30_000 > PREPAID, "{served} ran: tokens lie idle");
+    let first = spend_until_refused(&world, 0, "one");
+    let second = spend_until_refused(&world, 1, "other");
+    let served = requests_received(&world) as u64;
+    assert!(served * 8_000 <= PREPAID, "{served} ran; {first} and {second} at the end");
+    assert!(served * 8_000 + 30_000 > PREPAID, "{served} ran: tokens were left unused");
 }
 
 #[test]
-fn a_log_that_nobody_reads_holds_up_no_request() {
+fn a_blocked_log_pipe_delays_no_request() {
     let mut world = World::unready("unread", vec![answers("done"), answers("done")]);
     world.publish(&[KEY], PREPAID);
     world.unread_logs = true;
     world.add_router();
     world.wait_ready(0);
-    // Each request leaves two lines of some hundred bytes; a pipe holds 64 KiB.
+    // Each request writes two log lines of some hundred bytes; a pipe's buffer holds 64 KiB.
     for number in 0..800 {
         let answer = world.ask(0, &request("/read/x", &format!("id-{number}")));
         assert_eq!(answer.status, 200, "request {number}");
@@ -380,7 +393,7 @@
 }
 
 #[test]
-fn a_tenant_s_rank_goes_before_the_route_s() {
+fn a_tenant_s_priority_takes_precedence_over_the_route_s() {
     let world = World::start("ranks", vec![answers("done")]);
     assert_eq!(world.ask(0, &request("/read/x", "id-1")).status, 200);
     let school = Request { key: "school-key", ..request("/read/x", "id-2") };
@@ -392,5 +405,8 @@
         let (_, rest) = line.unwrap().split_once("priority=").unwrap();
         rest.split(' ').next().unwrap().parse().unwrap()
     };
-    assert!(priority("id-2") > priority("id-1"), "the school's rank is 0, the café's is 1");
+    assert!(
+        priority("id-2") > priority("id-1"),
+        "the priority of the school is 0, of the café 1; 0 is more urgent"
+    );
 }
--- a/tests/http_ends.rs
+++ b/tests/http_ends.rs
@@ -1,5 +1,6 @@
-//! The two HTTP ends of the gateway: what is passed on, whole or not at all, and what a client that
-//! leaves stops. One router's process, servers scripted byte by byte.
+//! Tests of the gateway's HTTP server and client: which messages are forwarded, that truncated answers are never
+//! forwarded as complete, and that the request to the server is cancelled when its client disconnects. One router
+//! process runs with servers whose answers are scripted byte by byte.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -12,7 +13,7 @@
 use std::io::Write;
 use std::time::Duration;
 
-/// An answer without a length, which ends with its connection.
+/// An answer without a length, whose body ends with the connection.
 fn unframed(body: &str) -> Step {
     Step::Write(format!(
         "HTTP/1.1 200 OK\r\nAttempt-Id: {{id}}\r\nServer-Seal: seal\r\nConnection: close\r\n\r\n{body}"
@@ -20,12 +21,12 @@
 }
 
 #[test]
-fn a_request_is_passed_on_unchanged_with_the_router_s_own_headers_set() {
+fn a_request_is_forwarded_unchanged_with_the_router_s_own_headers_set() {
     let world = World::start("unchanged", vec![answers("done")]);
-    let mut asked = request("/read/a%20b?c=d&e", "id-1");
-    asked.headers = "X-Own: kept\r\nTenant: forged\r\nConnection: X-Hop\r\nX-Hop: dropped\r\n";
-    asked.body = "the body";
-    let answer = world.ask(0, &asked);
+    let mut sent = request("/read/a%20b?c=d&e", "id-1");
+    sent.headers = "X-Own: kept\r\nTenant: forged\r\nConnection: X-Hop\r\nX-Hop: dropped\r\n";
+    sent.body = "the body";
+    let answer = world.ask(0, &sent);
     assert_eq!((answer.status, answer.text().as_str()), (200, "done"));
     assert_eq!(answer.header("server-seal").as_deref(), Some("seal"));
     let seen = &world.backends[0].seen()[0];
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn chunked_bodies_are_taken_and_oversized_ones_refused() {
+fn chunked_bodies_are_accepted_and_oversized_ones_refused() {
     let world = World::start("chunked", vec![answers("done")]);
     let mut stream = std::net::TcpStream::connect(world.routers[0].clients).unwrap();
     let head = format!(
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn an_answer_without_length_is_whole_after_a_clean_end_and_broken_after_a_reset() {
+fn an_answer_without_length_is_complete_after_a_close_and_failed_after_a_reset() {
     let script = Box::new(|number, _: &_| match number {
         0 => vec![unframed("clean"), Step::Close],
         _ => vec![unframed("cut"), Step::Pause(Duration::from_millis(50)), Step::Reset],
@@ -79,19 +80,19 @@
     let clean = world.ask(0, &request("/read/x", "id-1"));
     assert_eq!((clean.status, clean.text().as_str(), clean.whole), (200, "clean", true));
     let cut = world.ask(0, &request("/read/x", "id-2"));
-    assert_ne!(cut.status, 200, "a body that a reset ended is not whole");
+    assert_ne!(cut.status, 200, "a body that ends with a reset is not complete");
 }
 
 #[test]
-fn a_second_answer_behind_the_first_reaches_nobody() {
-    let glued = "HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nContent-Length: 5\r\n\r\nstray";
+fn an_unrequested_second_answer_is_not_forwarded() {
+    let unrequested = "HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nContent-Length: 5\r\n\r\nstray";
     let script = Box::new(move |number, _: &_| match number {
-        0 => vec![whole("200 OK", "first"), Step::Write(glued.to_owned())],
+        0 => vec![whole("200 OK", "first"), Step::Write(unrequested.to_owned())],
         _ => vec![whole("200 OK", "second")],
     });
     let world = World::start("surplus", vec![script]);
     assert_eq!(world.ask(0, &request("/read/x", "id-1")).text(), "first");
-    // A request that goes out on that connection before the surplus arrives is lost with it.
+    // A request that is sent on that connection before the second answer arrives fails with the connection.
     let mut number = 1;
     eventually("a later request is served", || {
         number += 1;
@@ -100,52 +101,58 @@
         assert!(answer.status == 502 || answer.text() == "second", "{answer:?}");
         answer.status == 200
     });
-    assert!(number <= 3, "one connection had a surplus answer, {number} requests were sent");
+    assert!(number <= 3, "one connection had an unrequested answer, {number} requests were sent");
 }
 
 #[test]
-fn an_answer_to_another_request_is_not_passed_on() {
-    let late = "HTTP/1.1 200 OK\r\nAttempt-Id: other\r\nContent-Length: 4\r\n\r\nlate";
+fn an_answer_to_another_request_is_not_forwarded() {
+    let stale = "HTTP/1.1 200 OK\r\nAttempt-Id: other\r\nContent-Length: 4\r\n\r\nlate";
     let script = Box::new(move |number, _: &_| match number {
-        0 => vec![Step::Write(late.to_owned())],
+        0 => vec![Step::Write(stale.to_owned())],
         _ => vec![whole("200 OK", "own")],
     });
     let world = World::start("late", vec![script]);
-    let once = world.ask(0, &request("/pay/x", "id-1"));
-    assert_eq!(once.status, 502, "it may have run, so it does not run again");
+    let failed = world.ask(0, &request("/pay/x", "id-1"));
+    assert_eq!(failed.status, 502, "it may have run, so it is not retried");
     assert_eq!(world.ask(0, &request("/read/x", "id-2")).text(), "own");
 }
 
 #[test]
-fn a_client_that_leaves_frees_its_server() {
+fn the_server_is_released_when_its_client_disconnects() {
     let world = World::start("leaves", vec![Box::new(|_, _| vec![Step::AwaitClose])]);
     let client = world.send(0, &patient("/long/x", "id-1"));
-    eventually("the server has it", || world.backends[0].seen().len() == 1);
+    eventually("the server has received the request", || world.backends[0].seen().len() == 1);
     drop(client);
-    eventually("the server is free", || world.backends[0].closed_by_client() == 1);
+    eventually("the router closes the server's connection", || {
+        world.backends[0].closed_by_client() == 1
+    });
 }
 
 #[test]
-fn a_client_that_leaves_with_another_request_behind_frees_its_server() {
+fn the_server_is_released_when_a_client_with_a_pipelined_request_disconnects() {
     let world = World::start("pipelined", vec![Box::new(|_, _| vec![Step::AwaitClose])]);
     let mut client = world.send(0, &patient("/long/x", "id-1"));
     client.write_all(patient("/long/x", "id-2").bytes().as_bytes()).unwrap();
-    eventually("the server has it", || world.backends[0].seen().len() == 1);
+    eventually("the server has received the request", || world.backends[0].seen().len() == 1);
     drop(client);
-    eventually("the server is free", || world.backends[0].closed_by_client() == 1);
+    eventually("the router closes the server's connection", || {
+        world.backends[0].closed_by_client() == 1
+    });
     assert_eq!(world.backends[0].seen().len(), 1);
 }
 
 #[test]
-fn a_client_that_leaves_a_quiet_stream_frees_its_server() {
+fn the_server_is_released_when_the_client_of_an_idle_stream_disconnects() {
     let head = Step::Write(STREAM_HEAD.to_owned());
     let script = Box::new(move |_, _: &_| vec![head.clone(), event(1), Step::AwaitClose]);
     let world = World::start("quiet", vec![script]);
     let client = world.send(0, &patient("/long-stream/x", "id-1"));
-    eventually("the server has it", || world.backends[0].seen().len() == 1);
+    eventually("the server has received the request", || world.backends[0].seen().len() == 1);
     std::thread::sleep(Duration::from_millis(50));
     drop(client);
-    eventually("the server is free", || world.backends[0].closed_by_client() == 1);
+    eventually("the router closes the server's connection", || {
+        world.backends[0].closed_by_client() == 1
+    });
 }
 
 #[test]
@@ -162,7 +169,7 @@
 }
 
 #[test]
-fn a_stream_passes_events_on_as_they_come_and_ends_whole() {
+fn a_stream_forwards_every_event_and_ends_complete() {
     let script = Box::new(|_, _: &_| {
         let pause = Step::Pause(Duration::from_millis(30));
         vec![Step::Write(STREAM_HEAD.to_owned()), event(1), pause, event(2), last_chunk()]
@@ -182,12 +189,12 @@
     let world = World::start("broken", vec![script]);
     let answer = world.ask(0, &request("/stream/x", "id-1"));
     assert!(!answer.whole);
-    assert_eq!(answer.text(), "id: 1\ndata: piece 1\n\n", "no part of an event");
-    assert_eq!(world.backends[0].seen().len(), 1, "it runs at most once");
+    assert_eq!(answer.text(), "id: 1\ndata: piece 1\n\n", "no part of an incomplete event");
+    assert_eq!(world.backends[0].seen().len(), 1, "it is sent at most once");
 }
 
 #[test]
-fn a_stream_that_may_be_resumed_goes_on_at_another_server_without_a_gap() {
+fn a_resumable_stream_is_continued_by_another_server_without_a_gap() {
     fn server() -> doorswitch_standins::backend::Script {
         Box::new(|_, seen| match seen.header("last-event-id") {
             None => vec![Step::Write(STREAM_HEAD.to_owned()), event(1), event(2), Step::Reset],
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path: separate router processes on loopback serve metered requests end to end.
+//! Metered requests served end to end by separate router processes on loopback addresses.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -10,16 +10,16 @@
 #[test]
 fn a_request_is_served_metered_and_settled_through_any_router() {
     let fleet = Fleet::start("path-any-router", Options::default());
-    for place in 0..3 {
-        let prompt = format!("roast profile number {place}");
-        let answer = fleet.complete(place, &prompt, 10, place % 2 == 0).unwrap();
+    for index in 0..3 {
+        let prompt = format!("roast profile number {index}");
+        let answer = fleet.complete(index, &prompt, 10, index % 2 == 0).unwrap();
         assert_eq!(answer.status, 200, "{answer:?}");
         assert_eq!(answer.text(), engine::answer(&prompt, 10));
     }
     let expected = 3 * (10 + 4);
     eventually("all three are billed", || fleet.totals("kitchen").billed_requests == 3);
     assert_eq!(fleet.totals("kitchen").billed_tokens, expected);
-    eventually("the ledger has the reports", || {
+    eventually("the ledger contains the reports", || {
         fleet.ledger("kitchen").reported_consumed_tokens() == expected
     });
 }
@@ -27,8 +27,8 @@
 #[test]
 fn an_unrepeatable_call_runs_once_and_is_replayed_through_any_router() {
     let fleet = Fleet::start("path-unrepeatable", Options::default());
-    for place in 0..3 {
-        let answer = fleet.release(place, "hold-7", "{}").unwrap();
+    for index in 0..3 {
+        let answer = fleet.release(index, "hold-7", "{}").unwrap();
         assert_eq!(answer.status, 200, "{answer:?}");
         assert_eq!(answer.json()["executions"], 1);
     }
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn an_exhausted_budget_refuses_at_once_and_a_payment_opens_it() {
+fn requests_beyond_an_exhausted_budget_are_refused_until_a_payment() {
     let options = Options { budget_tokens: 400, minimum_grant_tokens: 50, ..Options::default() };
     let fleet = Fleet::start("path-exhausted", options);
     let first = fleet.complete(0, "one two three", 200, false).unwrap();
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn operators_see_the_fleet_by_the_command_line() {
+fn the_command_line_shows_the_state_of_the_fleet() {
     let fleet = Fleet::start("path-operators", Options::default());
     fleet.complete(0, "hello there", 5, false).unwrap();
     eventually("it is billed", || fleet.totals("kitchen").billed_requests == 1);
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -1,4 +1,4 @@
-//! What policy programs decide, fact by fact.
+//! The priorities that policy programs assign, depending on the facts of a request.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -30,6 +30,6 @@
         policy::Facts { max_tokens: 2_000, ..facts() } => 3;
     a_workspace: "if workspace == \"canteens\" { allow(\"main\", 7, []) } else { allow(\"main\", 1, []) }",
         policy::Facts { workspace: "canteens".to_owned(), ..facts() } => 7;
-    ranks: "allow(\"main\", workspace_priority * 3 + route_priority, [])",
+    priorities_of_workspace_and_route: "allow(\"main\", workspace_priority * 3 + route_priority, [])",
         policy::Facts { workspace_priority: 2, route_priority: 1, ..facts() } => 7;
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,5 +1,5 @@
-//! The settings file: the platform's template filled in each spelling of its fields, and files that cannot be
-//! used.
+//! The settings file: the template `deploy/router.yaml`, filled with either spelling of the rate fields, and files that
+//! are invalid.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -10,7 +10,7 @@
 
 const TEMPLATE: &str = include_str!("../deploy/router.yaml");
 
-/// The fields that the platform fills the template from, with its rates under the given names.
+/// The values that the platform inserts into the template, with its rates under the given names.
 fn fields(reads: &str, writes: &str) -> Value {
     json!({
         "nodeName": "edge-a-1", "region": "r", "zone": "a", "ip": "10.1.0.19",
@@ -22,12 +22,12 @@
     })
 }
 
-/// Fills the gaps `{{a.b}}` of a template; one without a value stays empty, lists are joined by commas.
+/// Replaces the placeholders `{{a.b}}` of a template; a missing value becomes empty, and lists are joined by commas.
 fn fill(template: &str, fields: &Value) -> String {
     let mut filled = String::new();
     let mut rest = template;
-    while let Some((before, gap)) = rest.split_once("{{") {
-        let (path, after) = gap.split_once("}}").unwrap();
+    while let Some((before, placeholder)) = rest.split_once("{{") {
+        let (path, after) = placeholder.split_once("}}").unwrap();
         let pointer = format!("/{}", path.trim().replace('.', "/"));
         filled.push_str(before);
         match fields.pointer(&pointer) {
@@ -63,11 +63,11 @@
 }
 
 spellings! {
-    the_template_takes_rates_with_underscores: "reads_per_s", "writes_per_s";
-    the_template_takes_rates_in_camel_case: "readsPerS", "writesPerS";
+    the_template_accepts_rates_with_underscores: "reads_per_s", "writes_per_s";
+    the_template_accepts_rates_in_camel_case: "readsPerS", "writesPerS";
 }
 
-/// Runs a router with these settings; it must end by itself. Returns its exit code and what it said.
+/// Runs a router with these settings until it ends by itself; returns its exit code and what it wrote to stderr.
 fn run(name: &str, text: &str) -> (Option<i32>, String) {
     let file = std::env::temp_dir().join(format!("doorswitch-{name}-{}.yaml", std::process::id()));
     std::fs::write(&file, text).unwrap();
@@ -84,29 +84,29 @@
     ($($name:ident: $text:expr, $field:expr, $expected:expr;)*) => {$(
         #[test]
         fn $name() {
-            let (code, said) = run(stringify!($name), &$text);
-            assert_eq!(code, Some(1), "{said}");
-            assert_eq!(said.trim_end().lines().count(), 1, "one line: {said}");
-            assert!(said.contains($field) && said.contains($expected), "{said}");
+            let (code, stderr) = run(stringify!($name), &$text);
+            assert_eq!(code, Some(1), "{stderr}");
+            assert_eq!(stderr.trim_end().lines().count(), 1, "one line: {stderr}");
+            assert!(stderr.contains($field) && stderr.contains($expected), "{stderr}");
         }
     )*};
 }
 
-fn good() -> String {
+fn valid() -> String {
     fill(TEMPLATE, &fields("readsPerS", "writesPerS"))
 }
 
 refused_settings! {
     an_empty_rate_is_named: fill(TEMPLATE, &fields("reads", "writes")),
         "platform.reads_per_s", "expected u64";
-    a_misspelt_field_is_named: good().replace("reads_per_s: 2000", "reads_a_second: 2000"),
+    an_unknown_field_is_named: valid().replace("reads_per_s: 2000", "reads_a_second: 2000"),
         "reads_a_second", "reads_per_s";
-    a_word_for_a_number_is_named: good().replace("timeout_ms: 1000", "timeout_ms: soon"),
+    a_text_in_place_of_a_number_is_named: valid().replace("timeout_ms: 1000", "timeout_ms: soon"),
         "platform.timeout_ms", "expected u64";
-    a_rate_out_of_range_is_named: good().replace("reads_per_s: 2000", "reads_per_s: 0"),
+    a_rate_out_of_range_is_named: valid().replace("reads_per_s: 2000", "reads_per_s: 0"),
         "platform.reads_per_s", "1 to 1000000";
-    an_address_that_is_none_is_named: good().replace("10.1.0.19:8740", "nowhere"),
+    an_invalid_address_is_named: valid().replace("10.1.0.19:8740", "nowhere"),
         "gateway.listen", "socket address";
-    what_is_no_yaml_is_refused_with_its_place: good() + "limits: [",
+    invalid_yaml_is_refused_with_its_position: valid() + "limits: [",
         "line", "";
 }
