--- a/tests/bad_entries.rs
+++ b/tests/bad_entries.rs
@@ -22,7 +22,7 @@
     &[b"", b"\xff\xfe", b"{", b"[]", b"null", b"7", b"{\"service\":7}", b"{\"version\":\"x\"}"];
 
 fn status(world: &World, index: usize) -> u16 {
-    world.ask(index, &request("/read/x", "id")).status
+    world.call(index, &request("/read/x", "id")).status
 }
 
 fn put_bad_entries(world: &World) {
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -28,7 +28,7 @@
 }
 
 fn send_request(world: &World) -> (u16, String) {
-    let answer = world.ask(0, &request("/read/x", "id"));
+    let answer = world.call(0, &request("/read/x", "id"));
     (answer.status, answer.text())
 }
 
@@ -62,7 +62,7 @@
     let world = start("all-evacuated");
     DOMAINS.iter().for_each(|domain| evacuate(&world, domain));
     fleet::eventually("no server is left", || send_request(&world).0 == 503);
-    let answer = world.ask(0, &request("/read/x", "refused"));
+    let answer = world.call(0, &request("/read/x", "refused"));
     assert!(answer.header("retry-after").is_some(), "{}", answer.head);
 }
 
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -30,7 +30,7 @@
 #[test]
 fn a_request_that_is_not_idempotent_runs_once_and_its_outcome_is_unknown() {
     let world = World::start("once", vec![closes_without_answer(), closes_without_answer()]);
-    let answer = world.ask(0, &request("/pay/x", "id-1"));
+    let answer = world.call(0, &request("/pay/x", "id-1"));
     assert_eq!(answer.status, 502, "not 503, which states that the request did not run");
     assert_eq!(requests_received(&world), 1);
 }
@@ -40,7 +40,7 @@
     let world = World::start("away", vec![rejects(), answers("ran")]);
     for number in 0..6 {
         let id = format!("id-{number}");
-        let answer = world.ask(0, &request("/pay/x", &id));
+        let answer = world.call(0, &request("/pay/x", &id));
         assert_eq!((answer.status, answer.text().as_str()), (200, "ran"));
     }
 }
@@ -48,7 +48,7 @@
 #[test]
 fn a_request_that_every_server_rejected_is_refused_with_a_retry_after() {
     let world = World::start("refused", vec![rejects()]);
-    let answer = world.ask(0, &request("/pay/x", "id-1"));
+    let answer = world.call(0, &request("/pay/x", "id-1"));
     assert_eq!(answer.status, 503);
     let seconds: f64 = answer.header("retry-after").unwrap().parse().unwrap();
     assert!(seconds > 0.0);
@@ -58,7 +58,7 @@
 fn an_idempotent_request_is_retried_up_to_its_route_s_number_of_attempts() {
     let scripts = vec![closes_without_answer(), closes_without_answer(), closes_without_answer()];
     let world = World::start("attempts", scripts);
-    let answer = world.ask(0, &request("/read/x", "id-1"));
+    let answer = world.call(0, &request("/read/x", "id-1"));
     assert_eq!(answer.status, 502);
     assert_eq!(requests_received(&world), 2, "two attempts");
 }
@@ -67,7 +67,7 @@
 fn a_server_s_own_error_is_forwarded_with_its_seal() {
     let failing = || -> Script { Box::new(|_, _| vec![whole("500 Internal Server Error", "sad")]) };
     let world = World::start("failure", vec![failing(), failing()]);
-    let answer = world.ask(0, &request("/read/x", "id-1"));
+    let answer = world.call(0, &request("/read/x", "id-1"));
     assert_eq!((answer.status, answer.text().as_str()), (500, "sad"));
     assert_eq!(answer.header("server-seal").as_deref(), Some("seal"));
 }
@@ -75,7 +75,7 @@
 #[test]
 fn a_request_is_answered_when_its_route_s_timeout_expires() {
     let world = World::start("brief", vec![Box::new(|_, _| vec![Step::AwaitClose])]);
-    let answer = world.ask(0, &request("/brief/x", "id-1"));
+    let answer = world.call(0, &request("/brief/x", "id-1"));
     assert_eq!(answer.status, 504);
     eventually("the router closes the server's connection", || {
         world.backends[0].closed_by_client() == 1
@@ -87,7 +87,7 @@
     let mut world = World::unready("bare", vec![answers("done")]);
     world.add_router();
     eventually("the router answers", || world.ready(0) == Some(503));
-    assert_eq!(world.ask(0, &request("/read/x", "id-1")).status, 503);
+    assert_eq!(world.call(0, &request("/read/x", "id-1")).status, 503);
     world.store.put("op/config", b"{\"version\": 1");
     eventually("the unreadable configuration is logged", || {
         world.log(0).contains("event=entry_unreadable key=\"op/config\"")
@@ -95,19 +95,19 @@
     assert_eq!(world.ready(0), Some(503));
     world.publish(&[KEY], PREPAID);
     world.wait_ready(0);
-    assert_eq!(world.ask(0, &request("/read/x", "id-2")).status, 200);
+    assert_eq!(world.call(0, &request("/read/x", "id-2")).status, 200);
 }
 
 #[test]
 fn a_removed_key_is_refused_also_after_the_store_dropped_its_history() {
     let mut world = World::start("revoked", vec![answers("done")]);
-    assert_eq!(world.ask(0, &request("/read/x", "id-1")).status, 200);
+    assert_eq!(world.call(0, &request("/read/x", "id-1")).status, 200);
     world.store.forget();
     world.publish(&["new-key"], PREPAID);
-    let refused = || world.ask(0, &request("/read/x", "id-2")).status == 401;
+    let refused = || world.call(0, &request("/read/x", "id-2")).status == 401;
     eventually("the old key is refused", refused);
     let renewed = Request { key: "new-key", ..request("/read/x", "id-3") };
-    assert_eq!(world.ask(0, &renewed).status, 200);
+    assert_eq!(world.call(0, &renewed).status, 200);
 }
 
 #[test]
@@ -118,17 +118,17 @@
     eventually("only the other server is used", || {
         (0..8).all(|_| {
             number += 1;
-            world.ask(0, &request("/read/x", &format!("id-{number}"))).text() == "one"
+            world.call(0, &request("/read/x", &format!("id-{number}"))).text() == "one"
         })
     });
     world.store.remove("servers/i-1");
-    eventually("no server is left", || world.ask(0, &request("/read/x", "last")).status == 503);
+    eventually("no server is left", || world.call(0, &request("/read/x", "last")).status == 503);
 }
 
 #[test]
 fn a_server_whose_record_expired_in_an_outage_is_used_until_its_grace_period_ends() {
     let world = World::start("lapsed", vec![answers("done")]);
-    assert_eq!(world.ask(0, &request("/read/x", "before")).status, 200);
+    assert_eq!(world.call(0, &request("/read/x", "before")).status, 200);
     world.store.set_mode(store::Mode::Down);
     // Answers the pending poll; the next poll fails.
     world.store.put("servers/other", b"{}");
@@ -137,11 +137,13 @@
     world.store.remove("servers/i-0");
     world.store.set_mode(store::Mode::Well);
     eventually("the record's expiry is logged", || world.log(0).contains("event=item_lapsed"));
-    assert_eq!(world.ask(0, &request("/read/x", "lapsed")).status, 200, "{}", world.log(0));
-    eventually("the server is removed", || world.ask(0, &request("/read/x", "gone")).status == 503);
+    assert_eq!(world.call(0, &request("/read/x", "lapsed")).status, 200, "{}", world.log(0));
+    eventually("the server is removed", || {
+        world.call(0, &request("/read/x", "gone")).status == 503
+    });
     world.record_server(0, "ready");
     eventually("the server is used again", || {
-        world.ask(0, &request("/read/x", "back")).status == 200
+        world.call(0, &request("/read/x", "back")).status == 200
     });
 }
 
@@ -158,7 +160,7 @@
     eventually("the router polls the store again", changed_twice);
     world.store.remove("servers/i-0");
     eventually("the server receives no request", || {
-        world.ask(0, &request("/read/x", "gone")).status == 503
+        world.call(0, &request("/read/x", "gone")).status == 503
     });
     assert!(!world.log(0).contains("event=item_lapsed"), "{}", world.log(0));
 }
@@ -170,7 +172,7 @@
     let mut number = 0;
     let mut answer_text = || {
         number += 1;
-        world.ask(0, &request("/read/x", &format!("id-{number}"))).text()
+        world.call(0, &request("/read/x", &format!("id-{number}"))).text()
     };
     let leaving = || world.log(0).contains("event=server_leaving vm=i-0 ");
     eventually("the router records that the server leaves", leaving);
@@ -198,7 +200,7 @@
         vec![pause(), head, event(1), pause(), event(2), last_chunk()]
     });
     let world = World::start(name, vec![script]);
-    assert!(world.ask(0, &request("/stream/x", "before")).whole);
+    assert!(world.call(0, &request("/stream/x", "before")).whole);
     world.store.set_mode(mode);
     let mut running = world.send(0, &request("/long-stream/x", "running"));
     eventually("the server has received the request", || world.backends[0].seen().len() == 2);
@@ -280,7 +282,7 @@
 /// Sends metered requests until one is refused; returns how many were served.
 fn spend_until_refused(world: &World, router: usize, name: &str) -> u64 {
     for number in 0..500 {
-        let answer = world.ask(router, &metered(&format!("{name}-{number}")));
+        let answer = world.call(router, &metered(&format!("{name}-{number}")));
         match answer.status {
             200 => {}
             402 => return number,
@@ -298,7 +300,7 @@
     assert!(spent <= PREPAID, "{spent} tokens of {PREPAID}");
     assert!(spent + 10_000 > PREPAID, "{spent} tokens of {PREPAID}: refused too early");
     world.publish(&[KEY], PREPAID + 100_000);
-    let served_again = || world.ask(0, &metered("again")).status == 200;
+    let served_again = || world.call(0, &metered("again")).status == 200;
     eventually("the new payment is usable", served_again);
     let served_after = spend_until_refused(&world, 0, "second") + 1;
     assert!((served + served_after) * 8_000 <= PREPAID + 100_000);
@@ -308,7 +310,7 @@
 fn a_lowered_prepaid_amount_is_in_force_at_once() {
     let mut world = World::start("lowered", vec![answers("done")]);
     for number in 0..10 {
-        assert_eq!(world.ask(0, &metered(&format!("a-{number}"))).status, 200);
+        assert_eq!(world.call(0, &metered(&format!("a-{number}"))).status, 200);
     }
     world.publish(&[KEY], 100_000);
     eventually("the change is in force", || world.log(0).contains("version=4"));
@@ -320,7 +322,7 @@
 fn after_the_loss_of_every_router_half_of_a_budget_is_usable_and_it_is_not_overspent() {
     let mut world = World::start("loss", vec![answers("done"), answers("done")]);
     for number in 0..20 {
-        assert_eq!(world.ask(0, &metered(&format!("before-{number}"))).status, 200);
+        assert_eq!(world.call(0, &metered(&format!("before-{number}"))).status, 200);
     }
     world.kill(0);
     world.spawn(0);
@@ -334,12 +336,12 @@
 #[test]
 fn during_an_outage_of_the_store_requests_are_served_from_granted_tokens() {
     let world = World::start("away-store", vec![answers("done")]);
-    assert_eq!(world.ask(0, &metered("before")).status, 200);
+    assert_eq!(world.call(0, &metered("before")).status, 200);
     for mode in [store::Mode::Down, store::Mode::Silent] {
         world.store.set_mode(mode);
         for number in 0..2 {
             let id = format!("{mode:?}-{number}");
-            assert_eq!(world.ask(0, &metered(&id)).status, 200, "{}", world.log(0));
+            assert_eq!(world.call(0, &metered(&id)).status, 200, "{}", world.log(0));
         }
     }
     assert_eq!(world.ready(0), Some(200));
@@ -350,14 +352,14 @@
     let world = World::start("lost-answers", vec![answers("done")]);
     world.store.set_mode(store::Mode::LoseAnswers);
     for number in 0..10 {
-        world.ask(0, &metered(&format!("lost-{number}")));
+        world.call(0, &metered(&format!("lost-{number}")));
     }
     world.store.set_mode(store::Mode::Well);
     // A call whose answer was lost delays access to the ledger until the call times out: 503 until then.
     let mut number = 0;
     eventually("the budget is spent", || {
         number += 1;
-        world.ask(0, &metered(&format!("rest-{number}"))).status == 402
+        world.call(0, &metered(&format!("rest-{number}"))).status == 402
     });
     let served = world.backends[0].seen().len() as u64;
     assert!(served * 8_000 <= PREPAID, "{served} requests ran");
@@ -369,7 +371,7 @@
     world.add_router();
     world.wait_ready(1);
     for number in 0..40 {
-        world.ask(number % 2, &metered(&format!("both-{number}")));
+        world.call(number % 2, &metered(&format!("both-{number}")));
     }
     let first = spend_until_refused(&world, 0, "one");
     let second = spend_until_refused(&world, 1, "other");
@@ -387,7 +389,7 @@
     world.wait_ready(0);
     // Each request writes two log lines of some hundred bytes; a pipe's buffer holds 64 KiB.
     for number in 0..800 {
-        let answer = world.ask(0, &request("/read/x", &format!("id-{number}")));
+        let answer = world.call(0, &request("/read/x", &format!("id-{number}")));
         assert_eq!(answer.status, 200, "request {number}");
     }
 }
@@ -395,9 +397,9 @@
 #[test]
 fn a_tenant_s_priority_takes_precedence_over_the_route_s() {
     let world = World::start("ranks", vec![answers("done")]);
-    assert_eq!(world.ask(0, &request("/read/x", "id-1")).status, 200);
+    assert_eq!(world.call(0, &request("/read/x", "id-1")).status, 200);
     let school = Request { key: "school-key", ..request("/read/x", "id-2") };
-    assert_eq!(world.ask(0, &school).status, 200);
+    assert_eq!(world.call(0, &school).status, 200);
     eventually("both are logged", || world.log(0).matches("event=request_ended").count() == 2);
     let log = world.log(0);
     let priority = |id: &str| -> u8 {
--- a/tests/http_ends.rs
+++ b/tests/http_ends.rs
@@ -26,7 +26,7 @@
     let mut sent = request("/read/a%20b?c=d&e", "id-1");
     sent.headers = "X-Own: kept\r\nTenant: forged\r\nConnection: X-Hop\r\nX-Hop: dropped\r\n";
     sent.body = "the body";
-    let answer = world.ask(0, &sent);
+    let answer = world.call(0, &sent);
     assert_eq!((answer.status, answer.text().as_str()), (200, "done"));
     assert_eq!(answer.header("server-seal").as_deref(), Some("seal"));
     let seen = &world.backends[0].seen()[0];
@@ -56,7 +56,7 @@
     assert_eq!(routes::read_answer(&mut stream).status, 200);
     assert_eq!(world.backends[0].seen()[0].body, b"four");
     let large = "x".repeat(70_000);
-    let answer = world.ask(0, &Request { body: &large, ..request("/read/x", "id-2") });
+    let answer = world.call(0, &Request { body: &large, ..request("/read/x", "id-2") });
     assert_eq!(answer.status, 413);
     assert_eq!(world.backends[0].seen().len(), 1);
 }
@@ -64,9 +64,9 @@
 #[test]
 fn unknown_routes_and_keys_are_refused_and_nothing_is_sent() {
     let world = World::start("unknown", vec![answers("done")]);
-    assert_eq!(world.ask(0, &request("/nowhere/x", "id-1")).status, 404);
+    assert_eq!(world.call(0, &request("/nowhere/x", "id-1")).status, 404);
     let wrong = Request { key: "another-key", ..request("/read/x", "id-2") };
-    assert_eq!(world.ask(0, &wrong).status, 401);
+    assert_eq!(world.call(0, &wrong).status, 401);
     assert!(world.backends[0].seen().is_empty());
 }
 
@@ -77,9 +77,9 @@
         _ => vec![unframed("cut"), Step::Pause(Duration::from_millis(50)), Step::Reset],
     });
     let world = World::start("unframed", vec![script]);
-    let clean = world.ask(0, &request("/read/x", "id-1"));
+    let clean = world.call(0, &request("/read/x", "id-1"));
     assert_eq!((clean.status, clean.text().as_str(), clean.whole), (200, "clean", true));
-    let cut = world.ask(0, &request("/read/x", "id-2"));
+    let cut = world.call(0, &request("/read/x", "id-2"));
     assert_ne!(cut.status, 200, "a body that ends with a reset is not complete");
 }
 
@@ -91,12 +91,12 @@
         _ => vec![whole("200 OK", "second")],
     });
     let world = World::start("surplus", vec![script]);
-    assert_eq!(world.ask(0, &request("/read/x", "id-1")).text(), "first");
+    assert_eq!(world.call(0, &request("/read/x", "id-1")).text(), "first");
     // A request that is sent on that connection before the second answer arrives fails with the connection.
     let mut number = 1;
     eventually("a later request is served", || {
         number += 1;
-        let answer = world.ask(0, &request("/read/x", &format!("id-{number}")));
+        let answer = world.call(0, &request("/read/x", &format!("id-{number}")));
         assert!(!answer.text().contains("stray"), "{answer:?}");
         assert!(answer.status == 502 || answer.text() == "second", "{answer:?}");
         answer.status == 200
@@ -112,9 +112,9 @@
         _ => vec![whole("200 OK", "own")],
     });
     let world = World::start("late", vec![script]);
-    let failed = world.ask(0, &request("/pay/x", "id-1"));
+    let failed = world.call(0, &request("/pay/x", "id-1"));
     assert_eq!(failed.status, 502, "it may have run, so it is not retried");
-    assert_eq!(world.ask(0, &request("/read/x", "id-2")).text(), "own");
+    assert_eq!(world.call(0, &request("/read/x", "id-2")).text(), "own");
 }
 
 #[test]
@@ -175,7 +175,7 @@
         vec![Step::Write(STREAM_HEAD.to_owned()), event(1), pause, event(2), last_chunk()]
     });
     let world = World::start("stream", vec![script]);
-    let answer = world.ask(0, &request("/stream/x", "id-1"));
+    let answer = world.call(0, &request("/stream/x", "id-1"));
     assert!(answer.whole);
     assert_eq!(answer.text(), "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\n");
 }
@@ -187,7 +187,7 @@
         vec![Step::Write(STREAM_HEAD.to_owned()), event(1), half, Step::Reset]
     });
     let world = World::start("broken", vec![script]);
-    let answer = world.ask(0, &request("/stream/x", "id-1"));
+    let answer = world.call(0, &request("/stream/x", "id-1"));
     assert!(!answer.whole);
     assert_eq!(answer.text(), "id: 1\ndata: piece 1\n\n", "no part of an incomplete event");
     assert_eq!(world.backends[0].seen().len(), 1, "it is sent at most once");
@@ -203,7 +203,7 @@
         })
     }
     let world = World::start("resume", vec![server(), server()]);
-    let answer = world.ask(0, &request("/resume/x", "id-1"));
+    let answer = world.call(0, &request("/resume/x", "id-1"));
     assert!(answer.whole);
     let ids: Vec<String> = answer
         .text()
--- a/tests/poison_requests.rs
+++ b/tests/poison_requests.rs
@@ -125,7 +125,7 @@
         for place in 0..ROUTERS {
             fleet::eventually("the router serves and knows the others", || {
                 let innocent = Request { body: "innocent", ..patient("/read/x", "warm") };
-                let served = crashing.world.ask(place, &innocent).status == 200;
+                let served = crashing.world.call(place, &innocent).status == 200;
                 served && crashing.world.metrics(place).contains("doorswitch_members 3")
             });
         }
@@ -390,7 +390,7 @@
         .map(|number| {
             let id = format!("flaky-{number}");
             let request = Request { body: "innocent", ..routes::request("/read/x", &id) };
-            world.ask(0, &request).status
+            world.call(0, &request).status
         })
         .collect();
     let served = statuses.iter().filter(|status| **status == 200).count();
--- a/tests/restored_budgets.rs
+++ b/tests/restored_budgets.rs
@@ -43,7 +43,7 @@
         let id = format!("{router}-{}", self.sent);
         self.sent += 1;
         let one = Request { tokens: Some(TOKENS), ..request("/read/x", &id) };
-        self.last_status = self.replying.world.ask(router, &one).status;
+        self.last_status = self.replying.world.call(router, &one).status;
         self.served += usize::from(self.last_status == 200);
         self.last_status == 200
     }
@@ -68,7 +68,7 @@
         for router in 0..self.routers {
             self.replying.world.wait_ready(router);
             fleet::eventually("the router serves", || {
-                self.replying.world.ask(router, &patient("/stream/x", "warm")).status == 200
+                self.replying.world.call(router, &patient("/stream/x", "warm")).status == 200
             });
         }
         // Nothing is drawn in the first second after a restore.
--- a/tests/restored_store.rs
+++ b/tests/restored_store.rs
@@ -314,7 +314,7 @@
     for number in requests {
         let id = format!("{}-{number}", number % routers);
         let one = Request { tokens: Some(TOKENS), ..request("/read/x", &id) };
-        status = replying.world.ask(number % routers, &one).status;
+        status = replying.world.call(number % routers, &one).status;
         served += usize::from(status == 200);
     }
     (served, status)
@@ -358,7 +358,7 @@
             replying.world.wait_ready(place);
             fleet::eventually("the router serves", || {
                 let one = patient("/stream/x", "warm");
-                replying.world.ask(place, &one).status == 200
+                replying.world.call(place, &one).status == 200
             });
         }
     });
--- a/tests/routes/load.rs
+++ b/tests/routes/load.rs
@@ -32,7 +32,7 @@
     let members_metric = format!("doorswitch_members {routers}");
     for index in 0..routers {
         fleet::eventually("the router serves requests and lists the others as members", || {
-            let served = world.ask(index, &patient("/read/x", "warm")).status == 200;
+            let served = world.call(index, &patient("/read/x", "warm")).status == 200;
             served && world.metrics(index).contains(&members_metric)
         });
     }
@@ -60,7 +60,7 @@
                     }
                     thread::sleep((started + due).saturating_duration_since(Instant::now()));
                     scope.spawn(move || {
-                        let result = ask(world, *index, path, number);
+                        let result = call(world, *index, path, number);
                         got.lock().unwrap().push(result);
                     });
                 }
@@ -71,10 +71,10 @@
 }
 
 /// Sends one request whose id begins with the router's index.
-pub fn ask(world: &World, index: usize, path: &str, number: u32) -> Got {
+pub fn call(world: &World, index: usize, path: &str, number: u32) -> Got {
     let sent = Instant::now();
     let id = format!("{index}-{number}-{sent:?}");
-    let answer = world.ask(index, &request(path, &id));
+    let answer = world.call(index, &request(path, &id));
     let status = if answer.whole { answer.status } else { 0 };
     let retry_after_s = answer.header("retry-after").and_then(|value| value.parse().ok());
     let (took, head) = (sent.elapsed(), answer.head);
--- a/tests/routes/mod.rs
+++ b/tests/routes/mod.rs
@@ -285,7 +285,7 @@
     }
 
     /// Sends a request on a new connection and reads the answer.
-    pub fn ask(&self, index: usize, request: &Request<'_>) -> Answer {
+    pub fn call(&self, index: usize, request: &Request<'_>) -> Answer {
         let mut stream = self.send(index, request);
         read_answer(&mut stream)
     }
--- a/tests/server_lives.rs
+++ b/tests/server_lives.rs
@@ -19,7 +19,7 @@
 const LATER: &str = "1796250009000";
 
 fn status(world: &World, place: usize) -> u16 {
-    world.ask(place, &request("/read/x", "id")).status
+    world.call(place, &request("/read/x", "id")).status
 }
 
 /// One server, whose record says when it started.
--- a/tests/silent_connections.rs
+++ b/tests/silent_connections.rs
@@ -26,7 +26,7 @@
 
 /// The server that answers a request.
 fn asked(world: &World) -> String {
-    world.ask(0, &request("/read/x", "id")).text()
+    world.call(0, &request("/read/x", "id")).text()
 }
 
 #[test]
@@ -57,7 +57,7 @@
         }
         std::thread::sleep(Duration::from_millis(10));
         let began = Instant::now();
-        let answer = world.ask(0, &patient("/long/x", &format!("id-{number}")));
+        let answer = world.call(0, &patient("/long/x", &format!("id-{number}")));
         let took = began.elapsed();
         assert_eq!(answer.status, 200, "after {took:?}: {}", world.log(0));
         assert!(took < SILENCE_FOUND, "after {took:?}");
--- a/tests/slow_links.rs
+++ b/tests/slow_links.rs
@@ -20,7 +20,7 @@
 #[test]
 fn slow_links_keep_no_large_configuration_from_coming() {
     let mut world = World::start_behind_networks("slow-links", vec![answers("0")]);
-    assert_eq!(world.ask(0, &request("/read/x", "id")).status, 200);
+    assert_eq!(world.call(0, &request("/read/x", "id")).status, 200);
     let network = world.store_network.as_ref().unwrap();
     network.change(|faults| faults.cut_all = true);
     fleet::eventually("calls fail", || world.log(0).contains("event=watch_failed prefix=op/"));
@@ -31,7 +31,7 @@
         faults.cut_all = false;
         faults.bytes_per_s = LINK_BYTES_PER_S;
     });
-    let refused = || world.ask(0, &request("/read/x", "id")).status == 401;
+    let refused = || world.call(0, &request("/read/x", "id")).status == 401;
     assert!(
         fleet::holds_within(std::time::Duration::from_secs(15), refused),
         "{KEY} is known: {}",
--- a/tests/unanswered_calls.rs
+++ b/tests/unanswered_calls.rs
@@ -19,7 +19,7 @@
 }
 
 fn status(world: &World, id: &str) -> u16 {
-    world.ask(0, &request("/read/x", id)).status
+    world.call(0, &request("/read/x", id)).status
 }
 
 /// Both of the router's calls for news stay unanswered.
@@ -43,11 +43,11 @@
 #[test]
 fn unanswered_calls_do_not_hide_a_leaving_server() {
     let world = world("unanswered-leaving");
-    let leaving = world.ask(0, &request("/read/x", "first")).text();
+    let leaving = world.call(0, &request("/read/x", "first")).text();
     leave_calls_unanswered(&world);
     world.record_server(leaving.parse().unwrap(), "draining");
     let said = Instant::now();
-    let asked = || world.ask(0, &request("/read/x", "id")).text();
+    let asked = || world.call(0, &request("/read/x", "id")).text();
     let told = format!("event=server_leaving vm=i-{leaving} ");
     fleet::eventually("the leaving is heard", || world.log(0).contains(&told));
     let heard = said.elapsed();
@@ -71,7 +71,7 @@
     let world = World::start("unanswered-server", scripts);
     let began = Instant::now();
     // The client waits for 3 s.
-    let answer = world.ask(0, &request("/read/x", "id"));
+    let answer = world.call(0, &request("/read/x", "id"));
     let took = began.elapsed();
     assert_eq!(answer.status, 200, "after {took:?}: {}", world.log(0));
     assert!(took < Duration::from_millis(2_000), "after {took:?}");
