--- a/tests/fleet/scripted.rs
+++ b/tests/fleet/scripted.rs
@@ -25,7 +25,7 @@
 
 /// The result of one request; `status` is 0 if the connection failed.
 #[derive(Clone, Debug)]
-pub struct Got {
+pub struct RequestResult {
     pub router: usize,
     pub sent: Instant,
     pub took: Duration,
@@ -95,7 +95,7 @@
     }
 
     /// Sends requests to all routers for the given time; returns their results.
-    pub fn send(&self, work: Work, duration: Duration) -> Vec<Got> {
+    pub fn send(&self, work: Work, duration: Duration) -> Vec<RequestResult> {
         let got = Mutex::new(Vec::new());
         let started = Instant::now();
         thread::scope(|scope| {
@@ -108,7 +108,13 @@
                         let took = sent.elapsed();
                         let (status, body) = answer
                             .map_or((0, String::new()), |answer| (answer.status, answer.body));
-                        got.lock().unwrap().push(Got { router, sent, took, status, body });
+                        got.lock().unwrap().push(RequestResult {
+                            router,
+                            sent,
+                            took,
+                            status,
+                            body,
+                        });
                         thread::sleep(SEND_INTERVAL.saturating_sub(took));
                     }
                 });
@@ -146,9 +152,10 @@
     }
 
     /// Checks that at least 97 % of the requests were answered with status 200.
-    pub fn check_served(got: &[Got]) {
+    pub fn check_served(got: &[RequestResult]) {
         let served = got.iter().filter(|result| result.status == 200).count();
-        let others: Vec<&Got> = got.iter().filter(|result| result.status != 200).take(3).collect();
+        let others: Vec<&RequestResult> =
+            got.iter().filter(|result| result.status != 200).take(3).collect();
         assert!(served * 100 >= got.len() * 97, "{served} of {}: {others:?}", got.len());
     }
 
--- a/tests/leaving_servers.rs
+++ b/tests/leaving_servers.rs
@@ -8,7 +8,7 @@
 
 use doorswitch_standins::backend::{self, LEAVING_LINE};
 use doorswitch_standins::replies::{Given, Reply};
-use routes::load::{self, Got, check_served, router_of};
+use routes::load::{self, RequestResult, check_served, router_of};
 use routes::replying::Replying;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -26,8 +26,9 @@
 const WINDOW: Duration = Duration::from_secs(4);
 
 /// The requests that reached a server under an id though their client sent them too late.
-fn late(replying: &Replying, server: usize, vm: &str, got: &[Got]) -> Vec<Duration> {
-    let by_id: HashMap<&str, &Got> = got.iter().map(|one| (one.id.as_str(), one)).collect();
+fn late(replying: &Replying, server: usize, vm: &str, got: &[RequestResult]) -> Vec<Duration> {
+    let by_id: HashMap<&str, &RequestResult> =
+        got.iter().map(|one| (one.id.as_str(), one)).collect();
     let given = replying.servers[server].given();
     let meant = |given: &&Given| given.expected.as_deref() == Some(vm);
     let given: Vec<&Given> = given.iter().filter(meant).collect();
@@ -48,7 +49,7 @@
     lateness.collect()
 }
 
-fn check_none_late(replying: &Replying, server: usize, vm: &str, got: &[Got]) {
+fn check_none_late(replying: &Replying, server: usize, vm: &str, got: &[RequestResult]) {
     let late = late(replying, server, vm, got);
     let worst = late.iter().max();
     assert!(late.is_empty(), "{} reached server {server} late, worst {worst:?}", late.len());
@@ -91,10 +92,11 @@
         check_none_late(&replying, server, &format!("i-{server}"), &got);
     });
     let last = got.iter().map(|one| one.sent).max().unwrap();
-    let refused: Vec<&Got> = got.iter().filter(|one| one.sent + WINDOW > last).collect();
-    let well =
-        |one: &&&Got| one.status == 503 && one.retry_after_s.is_some() && one.took <= AT_ONCE;
-    let ill: Vec<&&Got> = refused.iter().filter(|one| !well(one)).collect();
+    let refused: Vec<&RequestResult> = got.iter().filter(|one| one.sent + WINDOW > last).collect();
+    let well = |one: &&&RequestResult| {
+        one.status == 503 && one.retry_after_s.is_some() && one.took <= AT_ONCE
+    };
+    let ill: Vec<&&RequestResult> = refused.iter().filter(|one| !well(one)).collect();
     assert!(ill.is_empty(), "{} of {}: {:?}", ill.len(), refused.len(), ill.first());
 }
 
--- a/tests/restored_store.rs
+++ b/tests/restored_store.rs
@@ -7,7 +7,7 @@
 mod routes;
 
 use doorswitch_standins::store::{Backup, EraHeader, Mode, OpenWatches};
-use routes::load::{self, Got, check_served};
+use routes::load::{self, RequestResult, check_served};
 use routes::replying::Replying;
 use routes::{KEY, PREPAID, Request, patient, request};
 use std::thread;
@@ -64,7 +64,11 @@
 }
 
 /// Sends requests to all routers while `action` runs; returns the responses and the result of `action`.
-fn send_while<T>(replying: &Replying, for_ms: u64, action: impl FnOnce() -> T) -> (Vec<Got>, T) {
+fn send_while<T>(
+    replying: &Replying,
+    for_ms: u64,
+    action: impl FnOnce() -> T,
+) -> (Vec<RequestResult>, T) {
     thread::scope(|scope| {
         let sending = scope.spawn(|| replying.send("/read/x", REQUEST_INTERVAL_MS, for_ms));
         let result = action();
@@ -82,7 +86,7 @@
     replying.arrivals(server, since + STALE_BOUND, Instant::now()).len()
 }
 
-fn check_server_left(replying: &Replying, left: Instant, got: &[Got]) {
+fn check_server_left(replying: &Replying, left: Instant, got: &[RequestResult]) {
     let late = late_requests(replying, 0, left);
     assert_eq!(late, 0, "requests reached server 0 too late, of {}", got.len());
     check_served(got);
@@ -232,7 +236,7 @@
 }
 
 /// The number of requests that were served with a revoked key after the allowed time.
-fn served_by_revoked(got: &[Got], revoked: Instant) -> usize {
+fn served_by_revoked(got: &[RequestResult], revoked: Instant) -> usize {
     got.iter().filter(|one| one.sent >= revoked + STALE_BOUND && one.status == 200).count()
 }
 
--- a/tests/routes/load.rs
+++ b/tests/routes/load.rs
@@ -11,7 +11,7 @@
 
 /// The result of one request; `status` is 0 if the answer did not arrive completely.
 #[derive(Clone, Debug)]
-pub struct Got {
+pub struct RequestResult {
     pub router: usize,
     pub id: String,
     pub sent: Instant,
@@ -46,7 +46,7 @@
     path: &str,
     interval: Duration,
     duration: Duration,
-) -> Vec<Got> {
+) -> Vec<RequestResult> {
     let got = Mutex::new(Vec::new());
     let started = Instant::now();
     thread::scope(|scope| {
@@ -71,14 +71,14 @@
 }
 
 /// Sends one request whose id begins with the router's index.
-pub fn call(world: &World, index: usize, path: &str, number: u32) -> Got {
+pub fn call(world: &World, index: usize, path: &str, number: u32) -> RequestResult {
     let sent = Instant::now();
     let id = format!("{index}-{number}-{sent:?}");
     let answer = world.call(index, &request(path, &id));
     let status = if answer.whole { answer.status } else { 0 };
     let retry_after_s = answer.header("retry-after").and_then(|value| value.parse().ok());
     let (took, head) = (sent.elapsed(), answer.head);
-    Got { router: index, id, sent, status, took, retry_after_s, head }
+    RequestResult { router: index, id, sent, status, took, retry_after_s, head }
 }
 
 /// The index of the router in a request's id.
@@ -87,7 +87,7 @@
 }
 
 /// Checks that at least 97 % of the requests were answered with status 200.
-pub fn check_served(got: &[Got]) {
+pub fn check_served(got: &[RequestResult]) {
     let served = got.iter().filter(|result| result.status == 200).count();
     let others: Vec<u16> =
         got.iter().map(|result| result.status).filter(|status| *status != 200).collect();
--- a/tests/routes/replying.rs
+++ b/tests/routes/replying.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used, missing_docs, dead_code)]
 
-use super::load::{self, Got};
+use super::load::{self, RequestResult};
 use super::{STREAM_HEAD, World, event, last_chunk};
 use doorswitch_standins::backend;
 use doorswitch_standins::replies::{Replies, Reply};
@@ -38,7 +38,7 @@
     }
 
     /// Sends requests to all routers, one to each every `interval_ms`.
-    pub fn send(&self, path: &str, interval_ms: u64, duration_ms: u64) -> Vec<Got> {
+    pub fn send(&self, path: &str, interval_ms: u64, duration_ms: u64) -> Vec<RequestResult> {
         let interval = Duration::from_millis(interval_ms);
         let routers = load::all(self.routers);
         load::send(&self.world, &routers, path, interval, Duration::from_millis(duration_ms))
--- a/tests/server_backoff.rs
+++ b/tests/server_backoff.rs
@@ -8,7 +8,7 @@
 
 use doorswitch_standins::backend::retry_after_line;
 use doorswitch_standins::replies::{Given, Reply};
-use routes::load::{Got, check_served, router_of};
+use routes::load::{RequestResult, check_served, router_of};
 use routes::replying::Replying;
 use std::time::{Duration, Instant, SystemTime};
 
@@ -103,13 +103,13 @@
     check_backoffs(&replying);
     let first = got.iter().map(|one| one.sent).min().unwrap();
     let refused = got.iter().filter(|one| one.sent > first + Duration::from_secs(1));
-    let refused: Vec<&Got> = refused.filter(|one| one.status != 200).collect();
-    let well = |one: &&&Got| {
+    let refused: Vec<&RequestResult> = refused.filter(|one| one.status != 200).collect();
+    let well = |one: &&&RequestResult| {
         let told = one.retry_after_s.is_some_and(|seconds| seconds > 0.0 && seconds < 10.0);
         one.status == 503 && told && one.took <= AT_ONCE
     };
     // A server that was to be tried may have held a request for a moment.
-    let ill: Vec<&&Got> = refused.iter().filter(|one| !well(one)).collect();
+    let ill: Vec<&&RequestResult> = refused.iter().filter(|one| !well(one)).collect();
     assert!(
         ill.len() * 50 <= refused.len(),
         "{} of {}: {:?}",
--- a/tests/server_limits.rs
+++ b/tests/server_limits.rs
@@ -13,7 +13,7 @@
 
 use doorswitch_standins::backend;
 use routes::World;
-use routes::load::{self, Got, all, check_served};
+use routes::load::{self, RequestResult, all, check_served};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
@@ -119,7 +119,13 @@
     }
 
     /// Sends a request to each of these routers again and again, for a while; what clients got.
-    fn send(&self, routers: &[usize], path: &str, every: Duration, for_: Duration) -> Vec<Got> {
+    fn send(
+        &self,
+        routers: &[usize],
+        path: &str,
+        every: Duration,
+        for_: Duration,
+    ) -> Vec<RequestResult> {
         load::send(&self.world, routers, path, every, for_)
     }
 
@@ -207,13 +213,13 @@
     let counted = (NAMED_FOR - CONTACT).as_secs_f64();
     let reached: usize = (0..4).map(|server| limited.reached(server, since + CONTACT)).sum();
     assert!(reached as f64 / counted >= 14.0, "{reached} in {counted} s of 20 a second");
-    let refused: Vec<&Got> =
+    let refused: Vec<&RequestResult> =
         got.iter().filter(|one| one.status != 200 && one.sent > since + CONTACT).collect();
-    let well = |one: &&&Got| {
+    let well = |one: &&&RequestResult| {
         let told = one.retry_after_s.is_some_and(|seconds| seconds > 0.0);
         matches!(one.status, 429 | 503) && told && one.took <= AT_ONCE
     };
-    let ill: Vec<&&Got> = refused.iter().filter(|one| !well(one)).collect();
+    let ill: Vec<&&RequestResult> = refused.iter().filter(|one| !well(one)).collect();
     assert!(ill.is_empty(), "{} of {} refusals: {:?}", ill.len(), refused.len(), ill.first());
     let mut times: Vec<u64> =
         refused.iter().map(|it| (it.retry_after_s.unwrap() * 1e3) as u64).collect();
