--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -256,7 +256,10 @@
     // stop takes too long.
     let never_answers: Script = Box::new(|_, _| vec![Step::AwaitClose]);
     let mut world = World::start("outlasted", vec![never_answers]);
-    let long = Request { tokens: Some((8_000, 2_000)), ..routes::patient("/long/x", "id-1") };
+    let long = Request {
+        tokens: Some((8_000, 2_000)),
+        ..routes::long_deadline_request("/long/x", "id-1")
+    };
     let _client = world.send(0, &long);
     eventually("the server has received the request", || world.backends[0].seen().len() == 1);
     world.signal(0, "TERM");
--- a/tests/http_ends.rs
+++ b/tests/http_ends.rs
@@ -9,7 +9,9 @@
 
 use doorswitch_standins::backend::{Step, whole};
 use fleet::eventually;
-use routes::{KEY, Request, STREAM_HEAD, World, answers, event, last_chunk, patient, request};
+use routes::{
+    KEY, Request, STREAM_HEAD, World, answers, event, last_chunk, long_deadline_request, request,
+};
 use std::io::Write;
 use std::time::Duration;
 
@@ -120,7 +122,7 @@
 #[test]
 fn the_server_is_released_when_its_client_disconnects() {
     let world = World::start("leaves", vec![Box::new(|_, _| vec![Step::AwaitClose])]);
-    let client = world.send(0, &patient("/long/x", "id-1"));
+    let client = world.send(0, &long_deadline_request("/long/x", "id-1"));
     eventually("the server has received the request", || world.backends[0].seen().len() == 1);
     drop(client);
     eventually("the router closes the server's connection", || {
@@ -131,8 +133,8 @@
 #[test]
 fn the_server_is_released_when_a_client_with_a_pipelined_request_disconnects() {
     let world = World::start("pipelined", vec![Box::new(|_, _| vec![Step::AwaitClose])]);
-    let mut client = world.send(0, &patient("/long/x", "id-1"));
-    client.write_all(patient("/long/x", "id-2").bytes().as_bytes()).unwrap();
+    let mut client = world.send(0, &long_deadline_request("/long/x", "id-1"));
+    client.write_all(long_deadline_request("/long/x", "id-2").bytes().as_bytes()).unwrap();
     eventually("the server has received the request", || world.backends[0].seen().len() == 1);
     drop(client);
     eventually("the router closes the server's connection", || {
@@ -146,7 +148,7 @@
     let head = Step::Write(STREAM_HEAD.to_owned());
     let script = Box::new(move |_, _: &_| vec![head.clone(), event(1), Step::AwaitClose]);
     let world = World::start("quiet", vec![script]);
-    let client = world.send(0, &patient("/long-stream/x", "id-1"));
+    let client = world.send(0, &long_deadline_request("/long-stream/x", "id-1"));
     eventually("the server has received the request", || world.backends[0].seen().len() == 1);
     std::thread::sleep(Duration::from_millis(50));
     drop(client);
--- a/tests/poison_requests.rs
+++ b/tests/poison_requests.rs
@@ -13,7 +13,7 @@
 mod routes;
 
 use doorswitch_standins::backend;
-use routes::{Request, World, event, last_chunk, patient};
+use routes::{Request, World, event, last_chunk, long_deadline_request};
 use serde_json::json;
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
@@ -124,7 +124,8 @@
         let crashing = Self { world, ..crashing };
         for place in 0..ROUTERS {
             fleet::eventually("the router serves and knows the others", || {
-                let innocent = Request { body: "innocent", ..patient("/read/x", "warm") };
+                let innocent =
+                    Request { body: "innocent", ..long_deadline_request("/read/x", "warm") };
                 let served = crashing.world.call(place, &innocent).status == 200;
                 served && crashing.world.metrics(place).contains("doorswitch_members 3")
             });
--- a/tests/restored_budgets.rs
+++ b/tests/restored_budgets.rs
@@ -7,7 +7,7 @@
 
 use doorswitch_standins::store::{Mode, OpenWatches};
 use routes::replying::Replying;
-use routes::{KEY, Request, patient, request};
+use routes::{KEY, Request, long_deadline_request, request};
 use std::process::Command;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -68,7 +68,8 @@
         for router in 0..self.routers {
             self.replying.world.wait_ready(router);
             fleet::eventually("the router serves", || {
-                self.replying.world.call(router, &patient("/stream/x", "warm")).status == 200
+                self.replying.world.call(router, &long_deadline_request("/stream/x", "warm")).status
+                    == 200
             });
         }
         // Nothing is drawn in the first second after a restore.
--- a/tests/restored_store.rs
+++ b/tests/restored_store.rs
@@ -9,7 +9,7 @@
 use doorswitch_standins::store::{Backup, EraHeader, Mode, OpenWatches};
 use routes::load::{self, RequestResult, check_served};
 use routes::replying::Replying;
-use routes::{KEY, PREPAID, Request, patient, request};
+use routes::{KEY, PREPAID, Request, long_deadline_request, request};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -361,7 +361,7 @@
         for place in 0..3 {
             replying.world.wait_ready(place);
             fleet::eventually("the router serves", || {
-                let one = patient("/stream/x", "warm");
+                let one = long_deadline_request("/stream/x", "warm");
                 replying.world.call(place, &one).status == 200
             });
         }
--- a/tests/routes/load.rs
+++ b/tests/routes/load.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used, missing_docs, dead_code)]
 
-use super::{KEY, PREPAID, World, patient, request};
+use super::{KEY, PREPAID, World, long_deadline_request, request};
 use crate::fleet;
 use doorswitch_standins::backend;
 use std::sync::Mutex;
@@ -32,7 +32,7 @@
     let members_metric = format!("doorswitch_members {routers}");
     for index in 0..routers {
         fleet::eventually("the router serves requests and lists the others as members", || {
-            let served = world.call(index, &patient("/read/x", "warm")).status == 200;
+            let served = world.call(index, &long_deadline_request("/read/x", "warm")).status == 200;
             served && world.metrics(index).contains(&members_metric)
         });
     }
--- a/tests/routes/mod.rs
+++ b/tests/routes/mod.rs
@@ -353,7 +353,7 @@
 }
 
 /// The same with a deadline that no test reaches.
-pub fn patient<'a>(path: &'a str, id: &'a str) -> Request<'a> {
+pub fn long_deadline_request<'a>(path: &'a str, id: &'a str) -> Request<'a> {
     Request { deadline_ms: 300_000, ..request(path, id) }
 }
 
--- a/tests/server_lives.rs
+++ b/tests/server_lives.rs
@@ -7,7 +7,7 @@
 mod routes;
 
 use doorswitch_standins::backend;
-use routes::{World, answers, patient, request};
+use routes::{World, answers, long_deadline_request, request};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
@@ -74,7 +74,7 @@
 fn open_when_it_starts_again(name: &str, path: &str) -> (u16, Duration, usize) {
     let taken = Arc::new(AtomicUsize::new(0));
     let world = world(name, vec![silent_at_first(&taken)]);
-    let mut client = world.send(0, &patient(path, "id"));
+    let mut client = world.send(0, &long_deadline_request(path, "id"));
     fleet::eventually("it is taken", || taken.load(Ordering::Relaxed) == 1);
     // Its connection is older than the time in which a router may have connected to the next life already.
     std::thread::sleep(Duration::from_millis(1_500));
--- a/tests/silent_connections.rs
+++ b/tests/silent_connections.rs
@@ -12,7 +12,7 @@
 mod fleet;
 mod routes;
 
-use routes::{World, answers, patient, request};
+use routes::{World, answers, long_deadline_request, request};
 use std::time::{Duration, Instant};
 
 /// The bound of the routers' settings, and what a new connection and a call may take.
@@ -57,7 +57,7 @@
         }
         std::thread::sleep(Duration::from_millis(10));
         let began = Instant::now();
-        let answer = world.call(0, &patient("/long/x", &format!("id-{number}")));
+        let answer = world.call(0, &long_deadline_request("/long/x", &format!("id-{number}")));
         let took = began.elapsed();
         assert_eq!(answer.status, 200, "after {took:?}: {}", world.log(0));
         assert!(took < SILENCE_FOUND, "after {took:?}");
