--- a/tests/fleet/scripted.rs
+++ b/tests/fleet/scripted.rs
@@ -161,7 +161,7 @@
 
     /// Checks that the first server of a service received at least half of an even share of the requests that
     /// reached the service in the last `last`.
-    pub fn check_part(&self, work: Work, last: Duration) {
+    pub fn check_share(&self, work: Work, last: Duration) {
         let after = Instant::now() - last;
         let first = self.first_server(work);
         let counts: Vec<usize> = (first..first + self.servers_per_service)
--- a/tests/leaving_servers.rs
+++ b/tests/leaving_servers.rs
@@ -124,7 +124,7 @@
     replying.world.record_server_as(0, "i-heir", "ready");
     got.extend(replying.send("/read/x", 40, BACK_MS));
     got.extend(replying.send("/read/x", 40, WINDOW.as_millis() as u64));
-    replying.check_part(0, WINDOW);
+    replying.check_share(0, WINDOW);
     check_none_late(&replying, 0, "i-0", &got);
     check_served(&got);
 }
@@ -141,7 +141,7 @@
     replying.world.record_server_born(0, "ready", "2000");
     replying.send("/read/x", 40, BACK_MS);
     check_served(&replying.send("/read/x", 40, WINDOW.as_millis() as u64));
-    replying.check_part(0, WINDOW);
+    replying.check_share(0, WINDOW);
 }
 
 #[test]
@@ -172,7 +172,7 @@
             replying.servers[0].set(Reply::served(SLOW_WORK));
             replying.send("/read/x", 40, BACK_MS);
             check_served(&replying.send("/read/x", 40, WINDOW.as_millis() as u64));
-            replying.check_part(0, WINDOW);
+            replying.check_share(0, WINDOW);
         }
     )*};
 }
--- a/tests/routes/load.rs
+++ b/tests/routes/load.rs
@@ -95,6 +95,6 @@
 }
 
 /// The indices of the first `routers` routers.
-pub fn all(routers: usize) -> Vec<usize> {
+pub fn router_indices(routers: usize) -> Vec<usize> {
     (0..routers).collect()
 }
--- a/tests/routes/replying.rs
+++ b/tests/routes/replying.rs
@@ -40,7 +40,7 @@
     /// Sends requests to all routers, one to each every `interval_ms`.
     pub fn send(&self, path: &str, interval_ms: u64, duration_ms: u64) -> Vec<RequestResult> {
         let interval = Duration::from_millis(interval_ms);
-        let routers = load::all(self.routers);
+        let routers = load::router_indices(self.routers);
         load::send(&self.world, &routers, path, interval, Duration::from_millis(duration_ms))
     }
 
@@ -61,7 +61,7 @@
 
     /// Checks that a server received at least half of an even share of the requests that reached all servers in
     /// the last `last`.
-    pub fn check_part(&self, server: usize, last: Duration) {
+    pub fn check_share(&self, server: usize, last: Duration) {
         let counts = self.request_counts(last);
         let even_share = counts.iter().sum::<usize>() / counts.len();
         assert!(
--- a/tests/server_backoff.rs
+++ b/tests/server_backoff.rs
@@ -136,7 +136,7 @@
     replying.servers[0].set(Reply::served(SLOW_WORK));
     replying.send("/read/x", 40, 1_500 + BACK_MS);
     check_served(&replying.send("/read/x", 40, WINDOW.as_millis() as u64));
-    replying.check_part(0, WINDOW);
+    replying.check_share(0, WINDOW);
     check_backoffs(&replying);
 }
 
@@ -179,7 +179,7 @@
             replying.servers[0].set(Reply::served(SLOW_WORK));
             replying.send("/read/x", 20, 2 * BACK_MS);
             check_served(&replying.send("/read/x", 20, WINDOW.as_millis() as u64));
-            replying.check_part(0, WINDOW);
+            replying.check_share(0, WINDOW);
         }
     )*};
 }
--- a/tests/server_limit_calls.rs
+++ b/tests/server_limit_calls.rs
@@ -37,7 +37,7 @@
     scripted.replies.set(Reply::served(Duration::ZERO));
     scripted.send(work, Duration::from_secs(10));
     // Half of an even part shows that nothing holds it back.
-    scripted.check_part(work, WINDOW);
+    scripted.check_share(work, WINDOW);
 }
 
 #[test]
--- a/tests/server_limits.rs
+++ b/tests/server_limits.rs
@@ -13,7 +13,7 @@
 
 use doorswitch_standins::backend;
 use routes::World;
-use routes::load::{self, RequestResult, all, check_served};
+use routes::load::{self, RequestResult, check_served, router_indices};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
@@ -160,10 +160,10 @@
         fn $name() {
             let limited = Limited::start(stringify!($name), $routers, $servers);
             let every = Duration::from_millis($every_ms);
-            limited.send(&all($routers), $path, every, Duration::from_secs(1));
+            limited.send(&router_indices($routers), $path, every, Duration::from_secs(1));
             limited.named[0].set(Some($limit));
             let since = Instant::now();
-            let got = limited.send(&all($routers), $path, every, NAMED_FOR);
+            let got = limited.send(&router_indices($routers), $path, every, NAMED_FOR);
             limited.check_limit(0, $limit.parse().unwrap(), since);
             check_served(&got);
         }
@@ -186,17 +186,17 @@
 fn a_limit_holds_while_routers_start_anew() {
     let mut limited = Limited::start("limit-restarts", 4, 3);
     let every = Duration::from_millis(50);
-    limited.send(&all(4), "/read/x", every, Duration::from_secs(1));
+    limited.send(&router_indices(4), "/read/x", every, Duration::from_secs(1));
     limited.named[0].set(Some("2"));
     let since = Instant::now();
-    let mut got = limited.send(&all(4), "/read/x", every, Duration::from_secs(5));
+    let mut got = limited.send(&router_indices(4), "/read/x", every, Duration::from_secs(5));
     for place in [0, 1] {
         limited.world.kill(place);
         limited.world.spawn(place);
     }
     got.extend(limited.send(&[2, 3], "/read/x", every, Duration::from_secs(2)));
     (0..2).for_each(|place| limited.world.wait_ready(place));
-    got.extend(limited.send(&all(4), "/read/x", every, Duration::from_secs(6)));
+    got.extend(limited.send(&router_indices(4), "/read/x", every, Duration::from_secs(6)));
     limited.check_limit(0, 2.0, since);
     check_served(&got);
 }
@@ -205,10 +205,10 @@
 fn limits_of_all_servers_are_held_and_used() {
     let limited = Limited::start("limit-all", 3, 4);
     let every = Duration::from_millis(50);
-    limited.send(&all(3), "/read/x", every, Duration::from_secs(1));
+    limited.send(&router_indices(3), "/read/x", every, Duration::from_secs(1));
     limited.named.iter().for_each(|named| named.set(Some("5")));
     let since = Instant::now();
-    let got = limited.send(&all(3), "/read/x", every, NAMED_FOR);
+    let got = limited.send(&router_indices(3), "/read/x", every, NAMED_FOR);
     (0..4).for_each(|server| limited.check_limit(server, 5.0, since));
     let counted = (NAMED_FOR - CONTACT).as_secs_f64();
     let reached: usize = (0..4).map(|server| limited.reached(server, since + CONTACT)).sum();
@@ -232,15 +232,15 @@
 fn a_limit_that_is_named_no_more_ends() {
     let limited = Limited::start_slow("limit-ends", 3, 4);
     let every = Duration::from_millis(50);
-    limited.send(&all(3), "/read/x", every, Duration::from_secs(4));
+    limited.send(&router_indices(3), "/read/x", every, Duration::from_secs(4));
     let before = limited.most(0, Instant::now() - WINDOW);
     assert!(before >= 30, "{before} requests in 4 s before it names anything");
     limited.named[0].set(Some("1.1"));
     let since = Instant::now();
-    let mut got = limited.send(&all(3), "/read/x", every, Duration::from_secs(9));
+    let mut got = limited.send(&router_indices(3), "/read/x", every, Duration::from_secs(9));
     limited.check_limit(0, 1.1, since);
     limited.named[0].set(None);
-    got.extend(limited.send(&all(3), "/read/x", every, BACK + WINDOW));
+    got.extend(limited.send(&router_indices(3), "/read/x", every, BACK + WINDOW));
     check_served(&got);
     // A quarter of 60 a second is its part; half of that shows that nothing holds it back.
     let most = limited.most(0, Instant::now() - WINDOW);
@@ -252,7 +252,7 @@
     let limited = Limited::with_scripts("limit-turning-away", 3, 4, turning_away);
     limited.named[0].set(Some("2.5"));
     let since = Instant::now();
-    let got = limited.send(&all(3), "/read/x", Duration::from_millis(50), NAMED_FOR);
+    let got = limited.send(&router_indices(3), "/read/x", Duration::from_millis(50), NAMED_FOR);
     limited.check_limit(0, 2.5, since);
     check_served(&got);
 }
