--- a/tests/older_configuration.rs
+++ b/tests/older_configuration.rs
@@ -15,7 +15,7 @@
 mod soaks;
 
 use doorswitch_soak::schedule;
-use soaks::{ROUTERS, nothing_is_broken};
+use soaks::{ROUTERS, check_no_violations};
 
 /// Faults of a seed begin over this time.
 const SEED_MS: u64 = 20_000;
@@ -25,7 +25,7 @@
         #[test]
         fn $test() {
             let schedule = schedule::Schedule::named($name, ROUTERS).unwrap();
-            nothing_is_broken($name, $seed, &schedule);
+            check_no_violations($name, $seed, &schedule);
         }
     )* };
 }
@@ -35,7 +35,7 @@
         #[test]
         fn $test() {
             let schedule = schedule::Schedule::drawn($seed, ROUTERS, SEED_MS);
-            nothing_is_broken(stringify!($test), $seed, &schedule);
+            check_no_violations(stringify!($test), $seed, &schedule);
         }
     )* };
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -8,7 +8,7 @@
 mod soaks;
 
 use doorswitch_soak::schedule;
-use soaks::{ROUTERS, nothing_is_broken};
+use soaks::{ROUTERS, check_no_violations};
 
 /// Faults of a seed begin over this time.
 const SEED_MS: u64 = 12_000;
@@ -19,7 +19,7 @@
         fn $test() {
             let drawn = schedule::Schedule::drawn($seed, ROUTERS, SEED_MS);
             let schedule = drawn.with_writers($seed, SEED_MS);
-            nothing_is_broken(stringify!($test), $seed, &schedule);
+            check_no_violations(stringify!($test), $seed, &schedule);
         }
     )* };
 }
@@ -29,7 +29,7 @@
 fn soak_with_restores_of_seed_5002() {
     let drawn = schedule::Schedule::drawn(5002, ROUTERS, SEED_MS);
     let schedule = drawn.with_writers(5002, SEED_MS).with_restores(5002, SEED_MS);
-    nothing_is_broken("soak_with_restores_of_seed_5002", 5002, &schedule);
+    check_no_violations("soak_with_restores_of_seed_5002", 5002, &schedule);
 }
 
 seeds! {
--- a/tests/soaks/mod.rs
+++ b/tests/soaks/mod.rs
@@ -8,7 +8,7 @@
 pub const ROUTERS: usize = 8;
 
 /// Runs a schedule and checks that no router ended by itself and that no answer violates the guarantees of the soak.
-pub fn nothing_is_broken(name: &str, seed: u64, schedule: &schedule::Schedule) {
+pub fn check_no_violations(name: &str, seed: u64, schedule: &schedule::Schedule) {
     let options = run::Options {
         binary: env!("CARGO_BIN_EXE_doorswitch").into(),
         folder: Path::new(env!("CARGO_TARGET_TMPDIR")).join(name),
