--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -100,12 +100,12 @@
     let body = fleet::completion_body("hello there", 3_000, true);
     let callers = fleet.routers[0].callers;
     let stream = fleet::send(callers, "POST", "/v1/chat/completions", "kitchen-key", &[], &body);
-    eventually("the engine generates tokens", || fleet.made_tokens() >= 5);
+    eventually("the engine generates tokens", || fleet.generated_tokens() >= 5);
     drop(stream);
     eventually("the engine stops", || fleet.engines.iter().all(|engine| engine.running() == 0));
     eventually("it is billed", || fleet.totals("kitchen").billed_requests == 1);
     let billed = fleet.totals("kitchen").billed_tokens;
-    assert!(billed >= 5 && billed <= fleet.made_tokens() + 2, "billed {billed}");
+    assert!(billed >= 5 && billed <= fleet.generated_tokens() + 2, "billed {billed}");
 }
 
 #[test]
--- a/tests/budgets.rs
+++ b/tests/budgets.rs
@@ -55,7 +55,7 @@
 fn two_partitioned_regions_both_spend_their_grants_and_never_overspend() {
     let fleet = Fleet::start("budget-region", Options { routers: 4, regions: 2, ..options() });
     let (near, far) = ([0, 2], [1, 3]);
-    fleet.wait_drawn("kitchen");
+    fleet.wait_granted("kitchen");
     fleet.cut_routers(&near, &far, true);
     fleet.cut_platform(&far, true);
     let far_served = spend_all(&fleet, &far, 100);
@@ -64,7 +64,7 @@
     assert!(near_served > 0);
     assert!(far_served + near_served <= 6_000);
     assert_eq!(
-        fleet.made_tokens() + PROMPT_TOKENS * fleet.started_requests(),
+        fleet.generated_tokens() + PROMPT_TOKENS * fleet.started_requests(),
         far_served + near_served
     );
     fleet.cut_routers(&near, &far, false);
@@ -152,7 +152,7 @@
 #[test]
 fn during_a_platform_outage_grants_stay_usable_and_requests_beyond_them_are_refused() {
     let fleet = Fleet::start("budget-outage", options());
-    fleet.wait_drawn("kitchen");
+    fleet.wait_granted("kitchen");
     fleet.platform.set_mode(platform::Mode { out: true, ..platform::Mode::default() });
     let during = spend_all(&fleet, &[0, 1, 2], 100);
     assert!(during > 0, "grants are usable during the outage");
--- a/tests/fleet/observe.rs
+++ b/tests/fleet/observe.rs
@@ -21,7 +21,7 @@
     }
 
     /// Waits until every router has a grant of a budget in the ledger.
-    pub fn wait_drawn(&self, workspace: &str) {
+    pub fn wait_granted(&self, workspace: &str) {
         super::eventually("every router has a grant", || {
             self.ledger(workspace).grants.len() == self.routers.len()
         });
@@ -61,7 +61,7 @@
         sum
     }
 
-    pub fn made_tokens(&self) -> u64 {
+    pub fn generated_tokens(&self) -> u64 {
         self.engines.iter().map(|engine| engine.counts().made_tokens).sum()
     }
 
--- a/tests/fleet/scripted.rs
+++ b/tests/fleet/scripted.rs
@@ -87,10 +87,9 @@
             backend::Backend::start(script(replies)).unwrap()
         };
         let servers: Vec<backend::Backend> = (0..2 * servers_per_service).map(start).collect();
-        fleet.put_servers(
-            &servers,
-            |index| if index < servers_per_service { "roast" } else { "payments" },
-        );
+        fleet.add_scripted_servers(&servers, |index| {
+            if index < servers_per_service { "roast" } else { "payments" }
+        });
         Self { fleet, servers, replies, servers_per_service, request_count: AtomicUsize::new(0) }
     }
 
--- a/tests/fleet/start.rs
+++ b/tests/fleet/start.rs
@@ -141,7 +141,7 @@
 
     /// Adds scripted servers to the list of VMs, each of the service that `service` returns for its index, and
     /// waits until all routers list them.
-    pub fn put_servers(
+    pub fn add_scripted_servers(
         &self,
         servers: &[backend::Backend],
         service: impl Fn(usize) -> &'static str,
--- a/tests/poison_calls.rs
+++ b/tests/poison_calls.rs
@@ -69,7 +69,10 @@
         let deadly = Arc::new(AtomicBool::new(true));
         let start = |_| backend::Backend::start(crashing(deadly.clone(), crash.clone())).unwrap();
         let servers: Vec<backend::Backend> = (0..2 * SERVERS).map(start).collect();
-        fleet.put_servers(&servers, |place| if place < SERVERS { "roast" } else { "payments" });
+        fleet.add_scripted_servers(
+            &servers,
+            |place| if place < SERVERS { "roast" } else { "payments" },
+        );
         Self { fleet, servers, deadly }
     }
 
--- a/tests/stops.rs
+++ b/tests/stops.rs
@@ -18,7 +18,7 @@
 fn a_planned_stop_of_a_router_finishes_every_stream_and_returns_its_grants() {
     let mut fleet =
         Fleet::start("stops-router", Options { engine_mode: slow(), ..Options::default() });
-    fleet.wait_drawn("kitchen");
+    fleet.wait_granted("kitchen");
     let body = fleet::completion_body(PROMPT, 60, true);
     let path = "/v1/chat/completions";
     let streams: Vec<_> = (0..5)
@@ -96,12 +96,12 @@
 fn a_planned_stop_during_an_outage_finishes_its_streams_and_ends_once_all_is_handed_back() {
     let mut fleet =
         Fleet::start("stops-outage", Options { engine_mode: slow(), ..Options::default() });
-    fleet.wait_drawn("kitchen");
+    fleet.wait_granted("kitchen");
     let body = fleet::completion_body(PROMPT, 40, true);
     let path = "/v1/chat/completions";
     let callers = fleet.routers[0].callers;
     let mut stream = fleet::send(callers, "POST", path, "kitchen-key", &[], &body).unwrap();
-    eventually("it runs", || fleet.made_tokens() > 0);
+    eventually("it runs", || fleet.generated_tokens() > 0);
     fleet.platform.set_mode(platform::Mode { out: true, ..platform::Mode::default() });
     fleet.signal(0, "TERM");
     let mut received = Vec::new();
