--- a/tests/routes/mod.rs
+++ b/tests/routes/mod.rs
@@ -22,9 +22,9 @@
 pub struct World {
     pub store: store::Store,
     /// The proxy between the routers and the store, if a test injects faults there.
-    pub store_network: Option<network::Proxy>,
+    pub store_proxy: Option<network::Proxy>,
     /// The proxies between the routers and each server, if a test injects faults there.
-    pub server_networks: Vec<network::Proxy>,
+    pub server_proxies: Vec<network::Proxy>,
     pub backends: Vec<backend::Backend>,
     pub routers: Vec<Router>,
     pub version: u64,
@@ -120,8 +120,8 @@
         std::fs::create_dir_all(&folder).unwrap();
         let world = Self {
             store,
-            store_network: None,
-            server_networks: Vec::new(),
+            store_proxy: None,
+            server_proxies: Vec::new(),
             backends,
             routers: Vec::new(),
             version: 0,
@@ -135,12 +135,12 @@
     }
 
     /// Starts the same as [`World::start`], with proxies in front of the store and the servers.
-    pub fn start_behind_networks(name: &str, scripts: Vec<backend::Script>) -> Self {
+    pub fn start_behind_proxies(name: &str, scripts: Vec<backend::Script>) -> Self {
         let mut world = Self::unready(name, scripts);
         let local = IpAddr::V4(Ipv4Addr::LOCALHOST);
         let proxy = |target| network::Proxy::start(local, Some(target)).unwrap();
-        world.store_network = Some(proxy(world.store.address()));
-        world.server_networks =
+        world.store_proxy = Some(proxy(world.store.address()));
+        world.server_proxies =
             world.backends.iter().map(|backend| proxy(backend.address())).collect();
         for index in 0..world.backends.len() {
             world.record_server(index, "ready");
@@ -152,11 +152,11 @@
     }
 
     fn store_address(&self) -> SocketAddr {
-        self.store_network.as_ref().map_or_else(|| self.store.address(), |proxy| proxy.address)
+        self.store_proxy.as_ref().map_or_else(|| self.store.address(), |proxy| proxy.address)
     }
 
     fn server_address(&self, index: usize) -> SocketAddr {
-        let proxy = self.server_networks.get(index);
+        let proxy = self.server_proxies.get(index);
         proxy.map_or_else(|| self.backends[index].address(), |proxy| proxy.address)
     }
 
--- a/tests/silent_connections.rs
+++ b/tests/silent_connections.rs
@@ -31,9 +31,9 @@
 
 #[test]
 fn a_server_that_leaves_gets_nothing_new_though_the_store_s_connections_went_silent() {
-    let world = World::start_behind_networks("silent", vec![answers("0"), answers("1")]);
+    let world = World::start_behind_proxies("silent", vec![answers("0"), answers("1")]);
     let leaving = asked(&world);
-    world.store_network.as_ref().unwrap().silence_connections();
+    world.store_proxy.as_ref().unwrap().silence_connections();
     std::thread::sleep(Duration::from_millis(100));
     world.record_server(leaving.parse().unwrap(), "draining");
     let said = Instant::now();
@@ -46,9 +46,9 @@
 
 #[test]
 fn a_request_on_a_server_s_silent_connection_is_served_elsewhere_long_before_its_deadline() {
-    let world = World::start_behind_networks("silent-server", vec![answers("0"), answers("1")]);
+    let world = World::start_behind_proxies("silent-server", vec![answers("0"), answers("1")]);
     let used: usize = asked(&world).parse().unwrap();
-    world.server_networks[used].silence_connections();
+    world.server_proxies[used].silence_connections();
     std::thread::sleep(Duration::from_millis(100));
     let mut longest = Duration::ZERO;
     for number in 0..300 {
--- a/tests/slow_links.rs
+++ b/tests/slow_links.rs
@@ -19,15 +19,15 @@
 
 #[test]
 fn slow_links_keep_no_large_configuration_from_coming() {
-    let mut world = World::start_behind_networks("slow-links", vec![answers("0")]);
+    let mut world = World::start_behind_proxies("slow-links", vec![answers("0")]);
     assert_eq!(world.call(0, &request("/read/x", "id")).status, 200);
-    let network = world.store_network.as_ref().unwrap();
+    let network = world.store_proxy.as_ref().unwrap();
     network.change(|faults| faults.cut_all = true);
     fleet::eventually("calls fail", || world.log(0).contains("event=watch_failed prefix=op/"));
     let keys: Vec<String> = (0..KEYS).map(|number| format!("{number:050}")).collect();
     let keys: Vec<&str> = keys.iter().map(String::as_str).collect();
     world.publish(&keys, PREPAID);
-    world.store_network.as_ref().unwrap().change(|faults| {
+    world.store_proxy.as_ref().unwrap().change(|faults| {
         faults.cut_all = false;
         faults.bytes_per_s = LINK_BYTES_PER_S;
     });
