--- a/tests/fleet/scripted.rs
+++ b/tests/fleet/scripted.rs
@@ -16,7 +16,7 @@
 
 /// The kind of request that callers send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Work {
+pub enum RequestKind {
     Completion,
     Call,
     /// A call that is configured as unrepeatable.
@@ -33,7 +33,7 @@
     pub body: String,
 }
 
-pub struct Scripted {
+pub struct ScriptedFleet {
     pub fleet: Fleet,
     /// Engines first, then plain services.
     pub servers: Vec<backend::Backend>,
@@ -71,7 +71,7 @@
     })
 }
 
-impl Scripted {
+impl ScriptedFleet {
     pub fn start(name: &str) -> Self {
         Self::with_servers(name, SERVERS)
     }
@@ -94,7 +94,7 @@
     }
 
     /// Sends requests to all routers for the given time; returns their results.
-    pub fn send(&self, work: Work, duration: Duration) -> Vec<RequestResult> {
+    pub fn send(&self, kind: RequestKind, duration: Duration) -> Vec<RequestResult> {
         let got = Mutex::new(Vec::new());
         let started = Instant::now();
         thread::scope(|scope| {
@@ -103,7 +103,7 @@
                 scope.spawn(move || {
                     while started.elapsed() < duration {
                         let sent = Instant::now();
-                        let answer = self.send_one(work, router);
+                        let answer = self.send_one(kind, router);
                         let took = sent.elapsed();
                         let (status, body) = answer
                             .map_or((0, String::new()), |answer| (answer.status, answer.body));
@@ -122,7 +122,7 @@
         got.into_inner().unwrap()
     }
 
-    fn send_one(&self, work: Work, router: usize) -> Option<Answer> {
+    fn send_one(&self, kind: RequestKind, router: usize) -> Option<Answer> {
         let number = self.request_count.fetch_add(1, Ordering::Relaxed);
         // Different numbers: requests with a common prompt prefix are routed to the same server.
         let id = format!("{router}-{number}");
@@ -130,16 +130,18 @@
         let post = |path: &str, headers: &[(&str, &str)]| {
             call(self.fleet.routers[router].callers, "POST", path, "kitchen-key", headers, "x")
         };
-        match work {
-            Work::Completion => self.fleet.complete(router, &format!("prompt {number}"), 4, false),
-            Work::Call => post("/services/payments/lookup?card=7", &headers),
-            Work::Release => post("/services/payments/release", &headers),
+        match kind {
+            RequestKind::Completion => {
+                self.fleet.complete(router, &format!("prompt {number}"), 4, false)
+            }
+            RequestKind::Call => post("/services/payments/lookup?card=7", &headers),
+            RequestKind::Release => post("/services/payments/release", &headers),
         }
     }
 
     /// Index of the first server of the service that handles this kind of request.
-    pub fn first_server(&self, work: Work) -> usize {
-        if work == Work::Completion { 0 } else { self.servers_per_service }
+    pub fn first_server(&self, kind: RequestKind) -> usize {
+        if kind == RequestKind::Completion { 0 } else { self.servers_per_service }
     }
 
     /// Times at which requests of callers reached a server, without polls of its load.
@@ -160,9 +162,9 @@
 
     /// Checks that the first server of a service received at least half of an even share of the requests that
     /// reached the service in the last `last`.
-    pub fn check_share(&self, work: Work, last: Duration) {
+    pub fn check_share(&self, kind: RequestKind, last: Duration) {
         let after = Instant::now() - last;
-        let first = self.first_server(work);
+        let first = self.first_server(kind);
         let counts: Vec<usize> = (first..first + self.servers_per_service)
             .map(|server| self.arrivals(server, after).len())
             .collect();
