--- a/tests/leaving_servers.rs
+++ b/tests/leaving_servers.rs
@@ -9,7 +9,7 @@
 use doorswitch_standins::backend::{self, LEAVING_LINE};
 use doorswitch_standins::replies::{Given, Reply};
 use routes::load::{self, RequestResult, check_served, router_of};
-use routes::replying::Replying;
+use routes::scripted::ScriptedWorld;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
@@ -26,7 +26,7 @@
 const WINDOW: Duration = Duration::from_secs(4);
 
 /// The requests that reached a server under an id though their client sent them too late.
-fn late(replying: &Replying, server: usize, vm: &str, got: &[RequestResult]) -> Vec<Duration> {
+fn late(replying: &ScriptedWorld, server: usize, vm: &str, got: &[RequestResult]) -> Vec<Duration> {
     let by_id: HashMap<&str, &RequestResult> =
         got.iter().map(|one| (one.id.as_str(), one)).collect();
     let given = replying.servers[server].given();
@@ -49,7 +49,7 @@
     lateness.collect()
 }
 
-fn check_none_late(replying: &Replying, server: usize, vm: &str, got: &[RequestResult]) {
+fn check_none_late(replying: &ScriptedWorld, server: usize, vm: &str, got: &[RequestResult]) {
     let late = late(replying, server, vm, got);
     let worst = late.iter().max();
     assert!(late.is_empty(), "{} reached server {server} late, worst {worst:?}", late.len());
@@ -63,7 +63,7 @@
     ($($name:ident: $routers:literal routers, $path:literal, each $every_ms:literal ms;)*) => {$(
         #[test]
         fn $name() {
-            let replying = Replying::start(stringify!($name), $routers, 4, WORK);
+            let replying = ScriptedWorld::start(stringify!($name), $routers, 4, WORK);
             replying.send($path, $every_ms, 1_000);
             replying.servers[0].set(leaving());
             let got = replying.send($path, $every_ms, 10_000);
@@ -84,7 +84,7 @@
 
 #[test]
 fn requests_are_refused_at_once_when_all_servers_leave_by_their_answers() {
-    let replying = Replying::start("leaving-all", 3, 4, WORK);
+    let replying = ScriptedWorld::start("leaving-all", 3, 4, WORK);
     replying.send("/read/x", 40, 1_000);
     replying.servers.iter().for_each(|server| server.set(leaving()));
     let got = replying.send("/read/x", 40, 8_000);
@@ -102,7 +102,7 @@
 
 #[test]
 fn a_leaving_that_an_answer_told_outlasts_the_record() {
-    let replying = Replying::start("leaving-record", 3, 4, WORK);
+    let replying = ScriptedWorld::start("leaving-record", 3, 4, WORK);
     replying.send("/read/x", 40, 1_000);
     replying.servers[0].set(leaving());
     let mut got = replying.send("/read/x", 40, 2_000);
@@ -116,7 +116,7 @@
 
 #[test]
 fn a_leaving_does_not_hold_for_the_next_server_at_the_address() {
-    let replying = Replying::start("leaving-heir", 3, 4, SLOW_WORK);
+    let replying = ScriptedWorld::start("leaving-heir", 3, 4, SLOW_WORK);
     replying.send("/read/x", 40, 1_000);
     replying.servers[0].set(Reply::served(SLOW_WORK).with(LEAVING_LINE));
     let mut got = replying.send("/read/x", 40, 4_000);
@@ -131,7 +131,7 @@
 
 #[test]
 fn a_leaving_does_not_hold_for_a_later_start_under_the_same_id() {
-    let replying = Replying::start("leaving-later-start", 3, 4, SLOW_WORK);
+    let replying = ScriptedWorld::start("leaving-later-start", 3, 4, SLOW_WORK);
     (0..4).for_each(|place| replying.world.record_server_born(place, "ready", "1000"));
     replying.send("/read/x", 40, 2_000);
     replying.servers[0].set(Reply::served(SLOW_WORK).with(LEAVING_LINE));
@@ -146,7 +146,7 @@
 
 #[test]
 fn a_router_that_starts_anew_hears_that_a_server_leaves() {
-    let mut replying = Replying::start("leaving-restart", 3, 4, WORK);
+    let mut replying = ScriptedWorld::start("leaving-restart", 3, 4, WORK);
     replying.send("/read/x", 40, 1_000);
     replying.servers[0].set(leaving());
     replying.send("/read/x", 40, 4_000);
@@ -166,7 +166,7 @@
     ($($name:ident: $reply:expr;)*) => {$(
         #[test]
         fn $name() {
-            let replying = Replying::start(stringify!($name), 2, 3, SLOW_WORK);
+            let replying = ScriptedWorld::start(stringify!($name), 2, 3, SLOW_WORK);
             replying.servers[0].set($reply);
             replying.send("/read/x", 40, 2_000);
             replying.servers[0].set(Reply::served(SLOW_WORK));
--- a/tests/restored_budgets.rs
+++ b/tests/restored_budgets.rs
@@ -6,7 +6,7 @@
 mod routes;
 
 use doorswitch_standins::store::{Mode, OpenWatches};
-use routes::replying::Replying;
+use routes::scripted::ScriptedWorld;
 use routes::{KEY, Request, long_deadline_request, request};
 use std::process::Command;
 use std::thread;
@@ -22,7 +22,7 @@
 const OUTAGE: Duration = Duration::from_millis(500);
 
 struct Tenant {
-    replying: Replying,
+    replying: ScriptedWorld,
     routers: usize,
     sent: usize,
     served: usize,
@@ -31,7 +31,7 @@
 
 impl Tenant {
     fn new(name: &str, routers: usize) -> Self {
-        let mut replying = Replying::start(name, routers, SERVERS, Duration::from_millis(20));
+        let mut replying = ScriptedWorld::start(name, routers, SERVERS, Duration::from_millis(20));
         replying.world.publish(&[KEY], PAID);
         // Routers take a new configuration over within half a second.
         thread::sleep(Duration::from_millis(700));
--- a/tests/restored_store.rs
+++ b/tests/restored_store.rs
@@ -8,7 +8,7 @@
 
 use doorswitch_standins::store::{Backup, EraHeader, Mode, OpenWatches};
 use routes::load::{self, RequestResult, check_served};
-use routes::replying::Replying;
+use routes::scripted::ScriptedWorld;
 use routes::{KEY, PREPAID, Request, long_deadline_request, request};
 use std::thread;
 use std::time::{Duration, Instant};
@@ -26,14 +26,14 @@
 const LOAD_MS: u64 = 9_000;
 
 /// Writes keys that no router watches.
-fn write_elsewhere(replying: &Replying, writes: usize) {
+fn write_elsewhere(replying: &ScriptedWorld, writes: usize) {
     for number in 0..writes {
         replying.world.store.put(&format!("other/{number}"), b"{}");
     }
 }
 
 /// Takes a backup, then makes `writes` writes to watched keys that restoring it loses.
-fn back_up_before_writes(replying: &Replying, writes: usize) -> Backup {
+fn back_up_before_writes(replying: &ScriptedWorld, writes: usize) -> Backup {
     let backup = replying.world.store.back_up();
     for _ in 0..writes / 2 {
         replying.world.store.put("op/other", b"{}");
@@ -44,7 +44,7 @@
 }
 
 /// Waits until every router is up to date and has an open watch for both topics.
-fn wait_for_watches(replying: &Replying) {
+fn wait_for_watches(replying: &ScriptedWorld) {
     let routers = replying.world.routers.len();
     // Routers make the next call half a second after a change.
     thread::sleep(Duration::from_millis(700));
@@ -54,7 +54,12 @@
 }
 
 /// Stops the store and restores it from a backup; `before_answers` runs before the store answers calls again.
-fn restore(replying: &Replying, backup: &Backup, open: OpenWatches, before_answers: impl FnOnce()) {
+fn restore(
+    replying: &ScriptedWorld,
+    backup: &Backup,
+    open: OpenWatches,
+    before_answers: impl FnOnce(),
+) {
     let store = &replying.world.store;
     store.set_mode(Mode::Down);
     thread::sleep(OUTAGE);
@@ -65,7 +70,7 @@
 
 /// Sends requests to all routers while `action` runs; returns the responses and the result of `action`.
 fn send_while<T>(
-    replying: &Replying,
+    replying: &ScriptedWorld,
     for_ms: u64,
     action: impl FnOnce() -> T,
 ) -> (Vec<RequestResult>, T) {
@@ -76,25 +81,25 @@
     })
 }
 
-fn drain(replying: &Replying) -> Instant {
+fn drain(replying: &ScriptedWorld) -> Instant {
     replying.world.record_server(0, "draining");
     Instant::now()
 }
 
 /// The number of requests that reached a server after the allowed time.
-fn late_requests(replying: &Replying, server: usize, since: Instant) -> usize {
+fn late_requests(replying: &ScriptedWorld, server: usize, since: Instant) -> usize {
     replying.arrivals(server, since + STALE_BOUND, Instant::now()).len()
 }
 
-fn check_server_left(replying: &Replying, left: Instant, got: &[RequestResult]) {
+fn check_server_left(replying: &ScriptedWorld, left: Instant, got: &[RequestResult]) {
     let late = late_requests(replying, 0, left);
     assert_eq!(late, 0, "requests reached server 0 too late, of {}", got.len());
     check_served(got);
 }
 
 /// Starts routers and waits until they watch the store.
-fn start(name: &str, routers: usize) -> Replying {
-    let replying = Replying::start(name, routers, SERVERS, SERVICE_TIME);
+fn start(name: &str, routers: usize) -> ScriptedWorld {
+    let replying = ScriptedWorld::start(name, routers, SERVERS, SERVICE_TIME);
     wait_for_watches(&replying);
     replying
 }
@@ -106,7 +111,7 @@
             let replying = start(stringify!($name), $routers);
             let backup = back_up_before_writes(&replying, $writes);
             let (got, left) = send_while(&replying, LOAD_MS, || {
-                let leaves: fn(&Replying, &Backup, OpenWatches) -> Instant = $leaves;
+                let leaves: fn(&ScriptedWorld, &Backup, OpenWatches) -> Instant = $leaves;
                 leaves(&replying, &backup, OpenWatches::$open)
             });
             check_server_left(&replying, left, &got);
@@ -116,7 +121,7 @@
 
 /// Drains server 0 and makes `others` other writes before the restored store answers calls.
 fn drain_during_restore(
-    replying: &Replying,
+    replying: &ScriptedWorld,
     backup: &Backup,
     open: OpenWatches,
     others: usize,
@@ -131,7 +136,7 @@
 
 /// Drains server 0 when `pause_ms` have passed after a restore.
 fn drain_after_restore(
-    replying: &Replying,
+    replying: &ScriptedWorld,
     backup: &Backup,
     open: OpenWatches,
     pause_ms: u64,
@@ -275,7 +280,7 @@
     ($($name:ident: $header:expr;)*) => {$(
         #[test]
         fn $name() {
-            let replying = Replying::start(stringify!($name), 2, SERVERS, SERVICE_TIME);
+            let replying = ScriptedWorld::start(stringify!($name), 2, SERVERS, SERVICE_TIME);
             replying.world.store.set_era_header($header);
             replying.send("/read/x", REQUEST_INTERVAL_MS, 1_000);
             let (got, left) = send_while(&replying, 4_000, || drain(&replying));
@@ -312,7 +317,11 @@
 const TOKENS: (u64, u64) = (100, 100);
 
 /// Sends requests of a tenant one by one; returns how many were served, and the last status.
-fn spend(replying: &Replying, routers: usize, requests: std::ops::Range<usize>) -> (usize, u16) {
+fn spend(
+    replying: &ScriptedWorld,
+    routers: usize,
+    requests: std::ops::Range<usize>,
+) -> (usize, u16) {
     let mut served = 0;
     let mut status = 0;
     for number in requests {
@@ -325,8 +334,8 @@
 }
 
 /// Spends prepaid tokens across three restores of a backup from before the first request.
-fn spend_over_restores(name: &str, between: impl Fn(&mut Replying)) {
-    let mut replying = Replying::start(name, 3, SERVERS, Duration::from_millis(2));
+fn spend_over_restores(name: &str, between: impl Fn(&mut ScriptedWorld)) {
+    let mut replying = ScriptedWorld::start(name, 3, SERVERS, Duration::from_millis(2));
     replying.world.publish(&[KEY], PAID);
     wait_for_watches(&replying);
     let backup = replying.world.store.back_up();
--- a/tests/routes/mod.rs
+++ b/tests/routes/mod.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, missing_docs, dead_code)]
 
 pub mod load;
-pub mod replying;
+pub mod scripted;
 
 use crate::fleet;
 use doorswitch_standins::{backend, network, store};
--- a/tests/routes/replying.rs
+++ b/tests/routes/scripted.rs
@@ -21,13 +21,13 @@
     })
 }
 
-pub struct Replying {
+pub struct ScriptedWorld {
     pub world: World,
     pub servers: Vec<Replies>,
     routers: usize,
 }
 
-impl Replying {
+impl ScriptedWorld {
     /// Starts routers and servers that answer each request after `work`.
     pub fn start(name: &str, routers: usize, servers: usize, work: Duration) -> Self {
         let servers: Vec<Replies> =
--- a/tests/server_backoff.rs
+++ b/tests/server_backoff.rs
@@ -9,7 +9,7 @@
 use doorswitch_standins::backend::retry_after_line;
 use doorswitch_standins::replies::{Given, Reply};
 use routes::load::{RequestResult, check_served, router_of};
-use routes::replying::Replying;
+use routes::scripted::ScriptedWorld;
 use std::time::{Duration, Instant, SystemTime};
 
 /// Requests may still reach a server for so long after it asked for a backoff.
@@ -36,7 +36,7 @@
 }
 
 /// The most requests from one router that reached a server in a backoff that it had asked that router for.
-fn most_in_a_backoff(replying: &Replying, server: usize) -> usize {
+fn most_in_a_backoff(replying: &ScriptedWorld, server: usize) -> usize {
     let given = replying.servers[server].given();
     let backoffs = given.iter().filter_map(|one| Some((router_of(&one.id)?, one.at, asked(one)?)));
     let within = |(router, at, backoff): (usize, Instant, Duration)| {
@@ -46,7 +46,7 @@
     backoffs.map(within).max().unwrap_or(0)
 }
 
-fn check_backoffs(replying: &Replying) {
+fn check_backoffs(replying: &ScriptedWorld) {
     for server in 0..replying.servers.len() {
         let most = most_in_a_backoff(replying, server);
         assert!(most <= ALLOWED, "{most} requests reached server {server} in a backoff");
@@ -57,7 +57,7 @@
     ($($name:ident: $routers:literal routers, $path:literal, asks for $value:literal;)*) => {$(
         #[test]
         fn $name() {
-            let replying = Replying::start(stringify!($name), $routers, 4, WORK);
+            let replying = ScriptedWorld::start(stringify!($name), $routers, 4, WORK);
             replying.send($path, 40, 1_000);
             replying.servers[0].set(asks_for($value));
             let got = replying.send($path, 40, 14_000);
@@ -76,7 +76,7 @@
 
 #[test]
 fn a_backoff_is_not_shortened_by_a_later_answer() {
-    let replying = Replying::start("backoff-shorter", 2, 1, WORK);
+    let replying = ScriptedWorld::start("backoff-shorter", 2, 1, WORK);
     for _ in 0..3 {
         replying.send("/read/x", 20, 1_000);
         // Under way together: some are turned away for long, those after them for less.
@@ -96,7 +96,7 @@
 
 #[test]
 fn requests_are_refused_at_once_while_all_servers_back_off() {
-    let replying = Replying::start("backoff-all", 3, 4, WORK);
+    let replying = ScriptedWorld::start("backoff-all", 3, 4, WORK);
     replying.send("/read/x", 40, 1_000);
     replying.servers.iter().for_each(|server| server.set(asks_for("3")));
     let got = replying.send("/read/x", 40, 8_000);
@@ -129,7 +129,7 @@
 
 #[test]
 fn a_server_has_its_part_again_after_a_backoff() {
-    let replying = Replying::start("backoff-ends", 3, 4, SLOW_WORK);
+    let replying = ScriptedWorld::start("backoff-ends", 3, 4, SLOW_WORK);
     replying.send("/read/x", 40, 1_000);
     replying.servers[0].set(asks_for("2"));
     replying.send("/read/x", 40, 1_000);
@@ -142,7 +142,7 @@
 
 #[test]
 fn a_backoff_outlasts_the_record() {
-    let replying = Replying::start("backoff-record", 3, 1, WORK);
+    let replying = ScriptedWorld::start("backoff-record", 3, 1, WORK);
     replying.send("/read/x", 40, 1_000);
     replying.servers[0].set(asks_for("9"));
     replying.send("/read/x", 40, 1_500);
@@ -155,7 +155,7 @@
 
 #[test]
 fn a_backoff_until_a_date_holds() {
-    let replying = Replying::start("backoff-date", 2, 1, WORK);
+    let replying = ScriptedWorld::start("backoff-date", 2, 1, WORK);
     replying.send("/read/x", 40, 1_000);
     let now = SystemTime::now();
     let until = httpdate::fmt_http_date(now + Duration::from_secs(5));
@@ -172,7 +172,7 @@
     ($($name:ident: $value:expr;)*) => {$(
         #[test]
         fn $name() {
-            let replying = Replying::start(stringify!($name), 1, 3, SLOW_WORK);
+            let replying = ScriptedWorld::start(stringify!($name), 1, 3, SLOW_WORK);
             replying.send("/read/x", 20, 500);
             replying.servers[0].set(asks_for($value));
             replying.send("/read/x", 20, 1_000);
