--- a/tests/fleet/scripted.rs
+++ b/tests/fleet/scripted.rs
@@ -161,9 +161,9 @@
     }
 
     /// Checks that the first server of a service received at least half of an even share of the requests that
-    /// reached the service in the last `last`.
-    pub fn check_share(&self, kind: RequestKind, last: Duration) {
-        let after = Instant::now() - last;
+    /// reached the service within `window` before now.
+    pub fn check_share(&self, kind: RequestKind, window: Duration) {
+        let after = Instant::now() - window;
         let first = self.first_server(kind);
         let counts: Vec<usize> = (first..first + self.servers_per_service)
             .map(|server| self.arrivals(server, after).len())
--- a/tests/routes/scripted.rs
+++ b/tests/routes/scripted.rs
@@ -52,17 +52,17 @@
         seen.filter(|(at, _)| (from..to).contains(at)).collect()
     }
 
-    /// The number of requests that reached each server in the last `last`.
-    pub fn request_counts(&self, last: Duration) -> Vec<usize> {
+    /// The number of requests that reached each server within `window` before now.
+    pub fn request_counts(&self, window: Duration) -> Vec<usize> {
         let now = Instant::now();
         let servers = 0..self.servers.len();
-        servers.map(|server| self.arrivals(server, now - last, now).len()).collect()
+        servers.map(|server| self.arrivals(server, now - window, now).len()).collect()
     }
 
-    /// Checks that a server received at least half of an even share of the requests that reached all servers in
-    /// the last `last`.
-    pub fn check_share(&self, server: usize, last: Duration) {
-        let counts = self.request_counts(last);
+    /// Checks that a server received at least half of an even share of the requests that reached all servers
+    /// within `window` before now.
+    pub fn check_share(&self, server: usize, window: Duration) {
+        let counts = self.request_counts(window);
         let even_share = counts.iter().sum::<usize>() / counts.len();
         assert!(
             counts[server] * 2 >= even_share,
