--- a/tests/leaving_servers.rs
+++ b/tests/leaving_servers.rs
@@ -8,8 +8,8 @@
 
 use doorswitch_standins::backend::{self, LEAVING_LINE};
 use doorswitch_standins::replies::{Reply, SentReply};
-use routes::load::{self, Got, check_served, router_of};
-use routes::replying::Replying;
+use routes::load::{self, RequestResult, check_served, router_of};
+use routes::scripted::ScriptedWorld;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
@@ -26,8 +26,9 @@
 const WINDOW: Duration = Duration::from_secs(4);
 
 /// The requests that reached a server under an id though their client sent them too late.
-fn late(replying: &Replying, server: usize, vm: &str, got: &[Got]) -> Vec<Duration> {
-    let by_id: HashMap<&str, &Got> = got.iter().map(|one| (one.id.as_str(), one)).collect();
+fn late(replying: &ScriptedWorld, server: usize, vm: &str, got: &[RequestResult]) -> Vec<Duration> {
+    let by_id: HashMap<&str, &RequestResult> =
+        got.iter().map(|one| (one.id.as_str(), one)).collect();
     let given = replying.servers[server].sent();
     let meant = |given: &&SentReply| given.expected.as_deref() == Some(vm);
     let given: Vec<&SentReply> = given.iter().filter(meant).collect();
@@ -48,7 +49,7 @@
     lateness.collect()
 }
 
-fn check_none_late(replying: &Replying, server: usize, vm: &str, got: &[Got]) {
+fn check_none_late(replying: &ScriptedWorld, server: usize, vm: &str, got: &[RequestResult]) {
     let late = late(replying, server, vm, got);
     let worst = late.iter().max();
     assert!(late.is_empty(), "{} reached server {server} late, worst {worst:?}", late.len());
@@ -62,7 +63,7 @@
     ($($name:ident: $routers:literal routers, $path:literal, each $every_ms:literal ms;)*) => {$(
         #[test]
         fn $name() {
-            let replying = Replying::start(stringify!($name), $routers, 4, WORK);
+            let replying = ScriptedWorld::start(stringify!($name), $routers, 4, WORK);
             replying.send($path, $every_ms, 1_000);
             replying.servers[0].set(leaving());
             let got = replying.send($path, $every_ms, 10_000);
@@ -83,7 +84,7 @@
 
 #[test]
 fn requests_are_refused_at_once_when_all_servers_leave_by_their_answers() {
-    let replying = Replying::start("leaving-all", 3, 4, WORK);
+    let replying = ScriptedWorld::start("leaving-all", 3, 4, WORK);
     replying.send("/read/x", 40, 1_000);
     replying.servers.iter().for_each(|server| server.set(leaving()));
     let got = replying.send("/read/x", 40, 8_000);
@@ -91,16 +92,17 @@
         check_none_late(&replying, server, &format!("i-{server}"), &got);
     });
     let last = got.iter().map(|one| one.sent).max().unwrap();
-    let refused: Vec<&Got> = got.iter().filter(|one| one.sent + WINDOW > last).collect();
-    let well =
-        |one: &&&Got| one.status == 503 && one.retry_after_s.is_some() && one.took <= AT_ONCE;
-    let ill: Vec<&&Got> = refused.iter().filter(|one| !well(one)).collect();
+    let refused: Vec<&RequestResult> = got.iter().filter(|one| one.sent + WINDOW > last).collect();
+    let well = |one: &&&RequestResult| {
+        one.status == 503 && one.retry_after_s.is_some() && one.took <= AT_ONCE
+    };
+    let ill: Vec<&&RequestResult> = refused.iter().filter(|one| !well(one)).collect();
     assert!(ill.is_empty(), "{} of {}: {:?}", ill.len(), refused.len(), ill.first());
 }
 
 #[test]
 fn a_leaving_that_an_answer_told_outlasts_the_record() {
-    let replying = Replying::start("leaving-record", 3, 4, WORK);
+    let replying = ScriptedWorld::start("leaving-record", 3, 4, WORK);
     replying.send("/read/x", 40, 1_000);
     replying.servers[0].set(leaving());
     let mut got = replying.send("/read/x", 40, 2_000);
@@ -114,7 +116,7 @@
 
 #[test]
 fn a_leaving_does_not_hold_for_the_next_server_at_the_address() {
-    let replying = Replying::start("leaving-heir", 3, 4, SLOW_WORK);
+    let replying = ScriptedWorld::start("leaving-heir", 3, 4, SLOW_WORK);
     replying.send("/read/x", 40, 1_000);
     replying.servers[0].set(Reply::served(SLOW_WORK).with(LEAVING_LINE));
     let mut got = replying.send("/read/x", 40, 4_000);
@@ -122,14 +124,14 @@
     replying.world.record_server_as(0, "i-heir", "ready");
     got.extend(replying.send("/read/x", 40, BACK_MS));
     got.extend(replying.send("/read/x", 40, WINDOW.as_millis() as u64));
-    replying.check_part(0, WINDOW);
+    replying.check_share(0, WINDOW);
     check_none_late(&replying, 0, "i-0", &got);
     check_served(&got);
 }
 
 #[test]
 fn a_leaving_does_not_hold_for_a_later_start_under_the_same_id() {
-    let replying = Replying::start("leaving-later-start", 3, 4, SLOW_WORK);
+    let replying = ScriptedWorld::start("leaving-later-start", 3, 4, SLOW_WORK);
     (0..4).for_each(|place| replying.world.record_server_born(place, "ready", "1000"));
     replying.send("/read/x", 40, 2_000);
     replying.servers[0].set(Reply::served(SLOW_WORK).with(LEAVING_LINE));
@@ -139,12 +141,12 @@
     replying.world.record_server_born(0, "ready", "2000");
     replying.send("/read/x", 40, BACK_MS);
     check_served(&replying.send("/read/x", 40, WINDOW.as_millis() as u64));
-    replying.check_part(0, WINDOW);
+    replying.check_share(0, WINDOW);
 }
 
 #[test]
 fn a_router_that_starts_anew_hears_that_a_server_leaves() {
-    let mut replying = Replying::start("leaving-restart", 3, 4, WORK);
+    let mut replying = ScriptedWorld::start("leaving-restart", 3, 4, WORK);
     replying.send("/read/x", 40, 1_000);
     replying.servers[0].set(leaving());
     replying.send("/read/x", 40, 4_000);
@@ -164,13 +166,13 @@
     ($($name:ident: $reply:expr;)*) => {$(
         #[test]
         fn $name() {
-            let replying = Replying::start(stringify!($name), 2, 3, SLOW_WORK);
+            let replying = ScriptedWorld::start(stringify!($name), 2, 3, SLOW_WORK);
             replying.servers[0].set($reply);
             replying.send("/read/x", 40, 2_000);
             replying.servers[0].set(Reply::served(SLOW_WORK));
             replying.send("/read/x", 40, BACK_MS);
             check_served(&replying.send("/read/x", 40, WINDOW.as_millis() as u64));
-            replying.check_part(0, WINDOW);
+            replying.check_share(0, WINDOW);
         }
     )*};
 }
--- a/tests/poison_requests.rs
+++ b/tests/poison_requests.rs
@@ -13,7 +13,7 @@
 mod routes;
 
 use doorswitch_standins::backend;
-use routes::{Request, World, event, last_chunk, patient};
+use routes::{Request, World, event, last_chunk, long_deadline_request};
 use serde_json::json;
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
@@ -124,8 +124,9 @@
         let crashing = Self { world, ..crashing };
         for place in 0..ROUTERS {
             fleet::eventually("the router serves and knows the others", || {
-                let innocent = Request { body: "innocent", ..patient("/read/x", "warm") };
-                let served = crashing.world.ask(place, &innocent).status == 200;
+                let innocent =
+                    Request { body: "innocent", ..long_deadline_request("/read/x", "warm") };
+                let served = crashing.world.call(place, &innocent).status == 200;
                 served && crashing.world.metrics(place).contains("doorswitch_members 3")
             });
         }
@@ -390,7 +391,7 @@
         .map(|number| {
             let id = format!("flaky-{number}");
             let request = Request { body: "innocent", ..routes::request("/read/x", &id) };
-            world.ask(0, &request).status
+            world.call(0, &request).status
         })
         .collect();
     let served = statuses.iter().filter(|status| **status == 200).count();
--- a/tests/restored_budgets.rs
+++ b/tests/restored_budgets.rs
@@ -6,8 +6,8 @@
 mod routes;
 
 use doorswitch_standins::store::{Mode, OpenWatches};
-use routes::replying::Replying;
-use routes::{KEY, Request, patient, request};
+use routes::scripted::ScriptedWorld;
+use routes::{KEY, Request, long_deadline_request, request};
 use std::process::Command;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -22,7 +22,7 @@
 const OUTAGE: Duration = Duration::from_millis(500);
 
 struct Tenant {
-    replying: Replying,
+    replying: ScriptedWorld,
     routers: usize,
     sent: usize,
     served: usize,
@@ -31,7 +31,7 @@
 
 impl Tenant {
     fn new(name: &str, routers: usize) -> Self {
-        let mut replying = Replying::start(name, routers, SERVERS, Duration::from_millis(20));
+        let mut replying = ScriptedWorld::start(name, routers, SERVERS, Duration::from_millis(20));
         replying.world.publish(&[KEY], PAID);
         // Routers take a new configuration over within half a second.
         thread::sleep(Duration::from_millis(700));
@@ -43,7 +43,7 @@
         let id = format!("{router}-{}", self.sent);
         self.sent += 1;
         let one = Request { tokens: Some(TOKENS), ..request("/read/x", &id) };
-        self.last_status = self.replying.world.ask(router, &one).status;
+        self.last_status = self.replying.world.call(router, &one).status;
         self.served += usize::from(self.last_status == 200);
         self.last_status == 200
     }
@@ -68,7 +68,8 @@
         for router in 0..self.routers {
             self.replying.world.wait_ready(router);
             fleet::eventually("the router serves", || {
-                self.replying.world.ask(router, &patient("/stream/x", "warm")).status == 200
+                self.replying.world.call(router, &long_deadline_request("/stream/x", "warm")).status
+                    == 200
             });
         }
         // Nothing is drawn in the first second after a restore.
--- a/tests/server_backoff.rs
+++ b/tests/server_backoff.rs
@@ -8,8 +8,8 @@
 
 use doorswitch_standins::backend::retry_after_line;
 use doorswitch_standins::replies::{Reply, SentReply};
-use routes::load::{Got, check_served, router_of};
-use routes::replying::Replying;
+use routes::load::{RequestResult, check_served, router_of};
+use routes::scripted::ScriptedWorld;
 use std::time::{Duration, Instant, SystemTime};
 
 /// Requests may still reach a server for so long after it asked for a backoff.
@@ -36,7 +36,7 @@
 }
 
 /// The most requests from one router that reached a server in a backoff that it had asked that router for.
-fn most_in_a_backoff(replying: &Replying, server: usize) -> usize {
+fn most_in_a_backoff(replying: &ScriptedWorld, server: usize) -> usize {
     let given = replying.servers[server].sent();
     let backoffs = given.iter().filter_map(|one| Some((router_of(&one.id)?, one.at, asked(one)?)));
     let within = |(router, at, backoff): (usize, Instant, Duration)| {
@@ -46,7 +46,7 @@
     backoffs.map(within).max().unwrap_or(0)
 }
 
-fn check_backoffs(replying: &Replying) {
+fn check_backoffs(replying: &ScriptedWorld) {
     for server in 0..replying.servers.len() {
         let most = most_in_a_backoff(replying, server);
         assert!(most <= ALLOWED, "{most} requests reached server {server} in a backoff");
@@ -57,7 +57,7 @@
     ($($name:ident: $routers:literal routers, $path:literal, asks for $value:literal;)*) => {$(
         #[test]
         fn $name() {
-            let replying = Replying::start(stringify!($name), $routers, 4, WORK);
+            let replying = ScriptedWorld::start(stringify!($name), $routers, 4, WORK);
             replying.send($path, 40, 1_000);
             replying.servers[0].set(asks_for($value));
             let got = replying.send($path, 40, 14_000);
@@ -76,7 +76,7 @@
 
 #[test]
 fn a_backoff_is_not_shortened_by_a_later_answer() {
-    let replying = Replying::start("backoff-shorter", 2, 1, WORK);
+    let replying = ScriptedWorld::start("backoff-shorter", 2, 1, WORK);
     for _ in 0..3 {
         replying.send("/read/x", 20, 1_000);
         // Under way together: some are turned away for long, those after them for less.
@@ -96,20 +96,20 @@
 
 #[test]
 fn requests_are_refused_at_once_while_all_servers_back_off() {
-    let replying = Replying::start("backoff-all", 3, 4, WORK);
+    let replying = ScriptedWorld::start("backoff-all", 3, 4, WORK);
     replying.send("/read/x", 40, 1_000);
     replying.servers.iter().for_each(|server| server.set(asks_for("3")));
     let got = replying.send("/read/x", 40, 8_000);
     check_backoffs(&replying);
     let first = got.iter().map(|one| one.sent).min().unwrap();
     let refused = got.iter().filter(|one| one.sent > first + Duration::from_secs(1));
-    let refused: Vec<&Got> = refused.filter(|one| one.status != 200).collect();
-    let well = |one: &&&Got| {
+    let refused: Vec<&RequestResult> = refused.filter(|one| one.status != 200).collect();
+    let well = |one: &&&RequestResult| {
         let told = one.retry_after_s.is_some_and(|seconds| seconds > 0.0 && seconds < 10.0);
         one.status == 503 && told && one.took <= AT_ONCE
     };
     // A server that was to be tried may have held a request for a moment.
-    let ill: Vec<&&Got> = refused.iter().filter(|one| !well(one)).collect();
+    let ill: Vec<&&RequestResult> = refused.iter().filter(|one| !well(one)).collect();
     assert!(
         ill.len() * 50 <= refused.len(),
         "{} of {}: {:?}",
@@ -129,20 +129,20 @@
 
 #[test]
 fn a_server_has_its_part_again_after_a_backoff() {
-    let replying = Replying::start("backoff-ends", 3, 4, SLOW_WORK);
+    let replying = ScriptedWorld::start("backoff-ends", 3, 4, SLOW_WORK);
     replying.send("/read/x", 40, 1_000);
     replying.servers[0].set(asks_for("2"));
     replying.send("/read/x", 40, 1_000);
     replying.servers[0].set(Reply::served(SLOW_WORK));
     replying.send("/read/x", 40, 1_500 + BACK_MS);
     check_served(&replying.send("/read/x", 40, WINDOW.as_millis() as u64));
-    replying.check_part(0, WINDOW);
+    replying.check_share(0, WINDOW);
     check_backoffs(&replying);
 }
 
 #[test]
 fn a_backoff_outlasts_the_record() {
-    let replying = Replying::start("backoff-record", 3, 1, WORK);
+    let replying = ScriptedWorld::start("backoff-record", 3, 1, WORK);
     replying.send("/read/x", 40, 1_000);
     replying.servers[0].set(asks_for("9"));
     replying.send("/read/x", 40, 1_500);
@@ -155,7 +155,7 @@
 
 #[test]
 fn a_backoff_until_a_date_holds() {
-    let replying = Replying::start("backoff-date", 2, 1, WORK);
+    let replying = ScriptedWorld::start("backoff-date", 2, 1, WORK);
     replying.send("/read/x", 40, 1_000);
     let now = SystemTime::now();
     let until = httpdate::fmt_http_date(now + Duration::from_secs(5));
@@ -172,14 +172,14 @@
     ($($name:ident: $value:expr;)*) => {$(
         #[test]
         fn $name() {
-            let replying = Replying::start(stringify!($name), 1, 3, SLOW_WORK);
+            let replying = ScriptedWorld::start(stringify!($name), 1, 3, SLOW_WORK);
             replying.send("/read/x", 20, 500);
             replying.servers[0].set(asks_for($value));
             replying.send("/read/x", 20, 1_000);
             replying.servers[0].set(Reply::served(SLOW_WORK));
             replying.send("/read/x", 20, 2 * BACK_MS);
             check_served(&replying.send("/read/x", 20, WINDOW.as_millis() as u64));
-            replying.check_part(0, WINDOW);
+            replying.check_share(0, WINDOW);
         }
     )*};
 }
--- a/tests/server_lives.rs
+++ b/tests/server_lives.rs
@@ -7,7 +7,7 @@
 mod routes;
 
 use doorswitch_standins::backend;
-use routes::{World, answers, patient, request};
+use routes::{World, answers, long_deadline_request, request};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
@@ -19,7 +19,7 @@
 const LATER: &str = "1796250009000";
 
 fn status(world: &World, place: usize) -> u16 {
-    world.ask(place, &request("/read/x", "id")).status
+    world.call(place, &request("/read/x", "id")).status
 }
 
 /// One server, whose record says when it started.
@@ -74,7 +74,7 @@
 fn open_when_it_starts_again(name: &str, path: &str) -> (u16, Duration, usize) {
     let taken = Arc::new(AtomicUsize::new(0));
     let world = world(name, vec![silent_at_first(&taken)]);
-    let mut client = world.send(0, &patient(path, "id"));
+    let mut client = world.send(0, &long_deadline_request(path, "id"));
     fleet::eventually("it is taken", || taken.load(Ordering::Relaxed) == 1);
     // Its connection is older than the time in which a router may have connected to the next life already.
     std::thread::sleep(Duration::from_millis(1_500));
--- a/tests/silent_connections.rs
+++ b/tests/silent_connections.rs
@@ -12,7 +12,7 @@
 mod fleet;
 mod routes;
 
-use routes::{World, answers, patient, request};
+use routes::{World, answers, long_deadline_request, request};
 use std::time::{Duration, Instant};
 
 /// The bound of the routers' settings, and what a new connection and a call may take.
@@ -26,14 +26,14 @@
 
 /// The server that answers a request.
 fn asked(world: &World) -> String {
-    world.ask(0, &request("/read/x", "id")).text()
+    world.call(0, &request("/read/x", "id")).text()
 }
 
 #[test]
 fn a_server_that_leaves_gets_nothing_new_though_the_store_s_connections_went_silent() {
-    let world = World::start_behind_networks("silent", vec![answers("0"), answers("1")]);
+    let world = World::start_behind_proxies("silent", vec![answers("0"), answers("1")]);
     let leaving = asked(&world);
-    world.store_network.as_ref().unwrap().blackhole_connections();
+    world.store_proxy.as_ref().unwrap().blackhole_connections();
     std::thread::sleep(Duration::from_millis(100));
     world.record_server(leaving.parse().unwrap(), "draining");
     let said = Instant::now();
@@ -46,9 +46,9 @@
 
 #[test]
 fn a_request_on_a_server_s_silent_connection_is_served_elsewhere_long_before_its_deadline() {
-    let world = World::start_behind_networks("silent-server", vec![answers("0"), answers("1")]);
+    let world = World::start_behind_proxies("silent-server", vec![answers("0"), answers("1")]);
     let used: usize = asked(&world).parse().unwrap();
-    world.server_networks[used].blackhole_connections();
+    world.server_proxies[used].blackhole_connections();
     std::thread::sleep(Duration::from_millis(100));
     let mut longest = Duration::ZERO;
     for number in 0..300 {
@@ -57,7 +57,7 @@
         }
         std::thread::sleep(Duration::from_millis(10));
         let began = Instant::now();
-        let answer = world.ask(0, &patient("/long/x", &format!("id-{number}")));
+        let answer = world.call(0, &long_deadline_request("/long/x", &format!("id-{number}")));
         let took = began.elapsed();
         assert_eq!(answer.status, 200, "after {took:?}: {}", world.log(0));
         assert!(took < SILENCE_FOUND, "after {took:?}");
