--- a/core/tests/watch_fleet/backup.rs
+++ b/core/tests/watch_fleet/backup.rs
@@ -4,11 +4,11 @@
 use doorswitch_core::{config, evacuation, servers};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A snapshot of the store's state.
+/// A backup of the store's state.
 #[derive(Clone)]
 pub struct Backup {
     revision: u64,
-    forgotten: u64,
+    history_start: u64,
     published: config::Published,
     config_revision: u64,
     servers: BTreeMap<String, (u64, servers::Vm)>,
@@ -20,10 +20,11 @@
 }
 
 impl Fleet {
+    /// Returns a backup of the store.
     pub fn back_up(&self) -> Backup {
         Backup {
             revision: self.revision,
-            forgotten: self.forgotten,
+            history_start: self.history_start,
             published: self.published.clone(),
             config_revision: self.config_revision,
             servers: self.servers.clone(),
@@ -35,12 +36,12 @@
         }
     }
 
-    /// Restores a backup and starts the next era.
+    /// Restores the store from a backup and starts the next era.
     pub fn restore(&mut self, backup: &Backup) {
         let backup = backup.clone();
         self.era += 1;
         self.revision = backup.revision;
-        self.forgotten = backup.forgotten;
+        self.history_start = backup.history_start;
         self.published = backup.published;
         self.config_revision = backup.config_revision;
         self.servers = backup.servers;
@@ -49,17 +50,17 @@
         self.evacuated = backup.evacuated;
         self.evacuations = backup.evacuations;
         self.history = backup.history;
-        self.store_calm_since_ms = self.now_ms;
+        self.store_last_fault_ms = self.now_ms;
     }
 
-    /// Repeats the writes of the operator and the servers that a restore from `before_restore` to `restored` lost, except
-    /// where they wrote something else since.
+    /// Repeats the writes of the operator and the servers that were lost when the state `before_restore` was replaced by
+    /// the backup `restored`, except for keys that were written again since.
     pub fn repeat_lost_writes(&mut self, before_restore: &Backup, restored: &Backup) {
         if before_restore.published.version > self.published.version {
             self.published = before_restore.published.clone();
             self.revision += 1;
             self.config_revision = self.revision;
-            self.note(doorswitch_core::watch::Topic::Configuration, None);
+            self.record_change(doorswitch_core::watch::Topic::Configuration, None);
         }
         for domain in before_restore.evacuated.symmetric_difference(&restored.evacuated) {
             if self.evacuated.contains(domain) == restored.evacuated.contains(domain) {
@@ -74,7 +75,7 @@
             }
             match (before_restore.servers.get(name), restored.servers.get(name)) {
                 (Some((_, vm)), before) if before.map(|(_, vm)| vm) != Some(vm) => {
-                    self.lives_of.insert(name.clone(), vm.life);
+                    self.latest_lives.insert(name.clone(), vm.life);
                     self.put_server_with_slots(name, vm.state, vm.slots);
                 }
                 (None, Some(_)) => self.remove_server(name),
--- a/core/tests/watch_fleet/checks.rs
+++ b/core/tests/watch_fleet/checks.rs
@@ -1,10 +1,10 @@
-//! What each router of the fleet is held to after every step.
+//! The checks of each router against the store's history, after every step.
 
 use super::{CONTACT_MS, Change, Fleet};
 use doorswitch_core::{node, servers, watch};
 
 impl Fleet {
-    /// Holds every router against the store's history.
+    /// Checks every running router.
     pub(super) fn check(&mut self) {
         for place in 0..self.routers.len() {
             let router = &mut self.routers[place];
@@ -13,16 +13,22 @@
             }
             let revision = router.node.vms_index();
             let seen = (router.node.config_version(), revision);
-            assert!(seen.0 >= router.seen.0, "an older configuration after a newer one");
-            assert!(seen.1 >= router.seen.1, "an older list after a newer one");
-            router.seen = seen;
+            assert!(
+                seen.0 >= router.last_seen.0,
+                "a router applied an older configuration after a newer one"
+            );
+            assert!(
+                seen.1 >= router.last_seen.1,
+                "a router applied an older list of servers after a newer one"
+            );
+            router.last_seen = seen;
             self.check_leaving(place);
-            self.check_lives(place);
+            self.check_server_incarnations(place);
             self.check_staleness(place);
         }
     }
 
-    /// Nothing is sent to a server that was seen to leave or to go.
+    /// Checks that a router uses no server whose leaving its copy of the list includes.
     fn check_leaving(&self, place: usize) {
         let node = &self.routers[place].node;
         let known = node.vms_index();
@@ -32,68 +38,75 @@
                     let of_life = server.vm.vm == *name && server.vm.life == vm.life;
                     of_life && server.vm.state == servers::VmState::Live
                 });
-                assert!(!live, "{name} is used by entry-{place} after it was heard to leave");
+                assert!(
+                    !live,
+                    "{name} is used by entry-{place} although its list includes that the server is leaving"
+                );
             }
         }
     }
 
-    /// Nothing of an earlier life of a server is used once a later one was heard of.
-    fn check_lives(&self, place: usize) {
+    /// Checks that a router uses no earlier incarnation of a server if its copy of the list includes a later one.
+    fn check_server_incarnations(&self, place: usize) {
         let node = &self.routers[place].node;
         let known = node.vms_index();
-        let heard = |(_, it): &(&String, &(u64, servers::Vm))| self.includes(known, it.0);
-        for (name, (revision, vm)) in self.servers.iter().filter(heard) {
+        let included = |(_, entry): &(&String, &(u64, servers::Vm))| self.includes(known, entry.0);
+        for (name, (revision, vm)) in self.servers.iter().filter(included) {
             let earlier = node
                 .servers()
                 .iter()
                 .filter(|(_, server)| !server.is_over())
                 .any(|(_, server)| server.vm.vm == *name && server.vm.life < vm.life);
-            assert!(!earlier, "entry-{place} uses an earlier life of {name} after {revision}");
+            assert!(
+                !earlier,
+                "entry-{place} uses an earlier incarnation of {name} after revision {revision}"
+            );
         }
     }
 
-    /// No request goes to an earlier life of a server.
+    /// Checks that a request is not dispatched to an earlier incarnation of a server than the router has in its table.
     pub(super) fn check_answer(&self, place: usize, answer: &node::Answer) {
         let node::Answer::Dispatch { vm, life, .. } = answer else { return };
         let mut known = self.routers[place].node.servers().iter();
         let later = known.any(|(_, server)| server.vm.vm == *vm && server.vm.life > *life);
-        assert!(!later, "entry-{place} sends a request to an earlier life of {vm}");
+        assert!(!later, "entry-{place} dispatches a request to an earlier incarnation of {vm}");
     }
 
-    /// The servers that a router may send to are those of the revision that its copy stands for. Its table also holds some
-    /// that are gone: of which it has requests open or had until the last list, and that back off.
+    /// Checks that a router uses only servers that are listed at the revision of its copy. Its table also contains removed
+    /// servers that back off, or that have open requests or had some until the last list.
     fn check_content(&self, place: usize) {
         let node = &self.routers[place].node;
         let known = node.vms_index();
         for (_, server) in node.servers().iter().filter(|(_, server)| server.is_live()) {
             let name = &server.vm.vm;
             let mut earlier =
-                self.history.iter().rev().filter(|it| self.includes(known, it.revision));
+                self.history.iter().rev().filter(|change| self.includes(known, change.revision));
             let last = earlier.find_map(|change| {
                 let (changed, record) = change.server.as_ref()?;
                 (changed == name).then_some(record)
             });
             let listed = matches!(last, Some(watch::ServerRecord::Listed(_)));
-            assert!(listed, "entry-{place} uses {name}, which {known} does not list");
+            assert!(listed, "entry-{place} uses {name}, which is not listed at {known}");
         }
     }
 
-    /// What a router in touch uses follows what is evacuated within the configuration's bound.
+    /// Checks that a router applies a change of evacuations within the staleness bound of the configuration.
     fn check_evacuations(&self, place: usize) {
         let node = &self.routers[place].node;
         let Some((at_ms, change)) = self.evacuations.last() else { return };
         let stale_ms = self.now_ms - at_ms;
-        let knows = node.evacuated().contains(&change.domain) == change.evacuated;
+        let applied = node.evacuated().contains(&change.domain) == change.evacuated;
         assert!(
-            knows || stale_ms <= self.bounds.configuration_ms,
+            applied || stale_ms <= self.bounds.configuration_ms,
             "entry-{place} has missed {change:?} for {stale_ms} ms"
         );
     }
 
+    /// Checks that a router without recent faults is within the staleness bounds of both topics.
     fn check_staleness(&mut self, place: usize) {
         let router = &self.routers[place];
-        let calm_ms = self.now_ms - router.calm_since_ms.max(self.store_calm_since_ms);
-        if calm_ms < CONTACT_MS || !self.reaches_store(place) {
+        let undisturbed_ms = self.now_ms - router.last_fault_ms.max(self.store_last_fault_ms);
+        if undisturbed_ms < CONTACT_MS || !self.reaches_store(place) {
             return;
         }
         self.check_content(place);
@@ -105,7 +118,8 @@
             }
             watch::Topic::Servers => !self.includes(router.node.vms_index(), change.revision),
         };
-        let oldest = self.history.iter().rev().take(50).filter(missed).min_by_key(|it| it.at_ms);
+        let oldest =
+            self.history.iter().rev().take(50).filter(missed).min_by_key(|change| change.at_ms);
         let Some(oldest) = oldest else { return };
         let stale_ms = self.now_ms - oldest.at_ms;
         let bound_ms = match oldest.topic {
--- a/core/tests/watch_fleet/mod.rs
+++ b/core/tests/watch_fleet/mod.rs
@@ -1,6 +1,7 @@
-//! A fleet of core routers that follow a fake store with revisions and watches, in simulated time.
+//! Simulates core routers that follow a fake store with revisions and long polls, in simulated time.
 //!
-//! The store keeps its own account of what was true when; after every step each router is held against it.
+//! The fake store records every change with its time. After every step, the state of each router is checked against
+//! this history.
 
 #![allow(dead_code, missing_docs, clippy::unwrap_used)]
 
@@ -19,12 +20,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 pub const TICK_MS: u64 = 20;
-/// How long a call of a router waits for the store beyond the wait that it asked for.
+/// How long a router waits for an answer of the store beyond the wait that its poll asks for.
 const CALL_TIMEOUT_MS: u64 = 1_000;
-/// A router is held to its bound once it was untroubled for so long.
+/// The staleness of a router is checked again this long after its last fault.
 pub const CONTACT_MS: u64 = 3_000;
 
-/// How the store treats calls.
+/// How the store reacts to calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Store {
     Well,
@@ -32,48 +33,52 @@
     Silent,
 }
 
-/// What travels.
+/// A message or a reply that is in transit.
 enum Event {
     Message { to: String, envelope: message::Envelope },
     Gossip { to: String, gossip: message::Gossip },
     StoreReply { place: usize, life: u64, call: ids::CallId, reply: store::Reply },
 }
 
-struct Waiting {
-    call: watch::Poll,
+/// A poll that a router has sent and that has no outcome yet.
+struct OpenPoll {
+    poll: watch::Poll,
     sent_ms: u64,
-    /// The store took it and never answers it.
+    /// The store received the poll and never answers it.
     unanswered: bool,
 }
 
-/// The outcome of a call that the router has not received yet.
+/// The outcome of a poll that the router has not received yet.
 struct PendingOutcome {
     arrives_ms: u64,
-    /// The store's era when it answered; `None` if it did not.
+    /// The store's era when it answered; `None` if there is no answer.
     era: Option<u64>,
-    call: watch::Poll,
+    poll: watch::Poll,
     outcome: watch::Outcome,
 }
 
+/// A simulated router process.
 pub struct Router {
     pub node: node::Node,
     pub life: u64,
     pub address: String,
     pub alive: bool,
     pub frozen: bool,
-    /// Cut off from the store.
+    /// Whether the router cannot reach the store.
     pub cut: bool,
-    /// The store refuses its calls.
+    /// Whether the store rejects the calls of this router only.
     pub turned_away: bool,
-    /// Routers of other groups cannot be reached.
+    /// The network partition of the router; routers in different partitions cannot reach each other.
     pub group: u64,
-    /// Since when nothing has troubled it.
-    calm_since_ms: u64,
-    waiting: Vec<Waiting>,
-    /// Outcomes of calls that have not arrived yet.
-    answers: Vec<PendingOutcome>,
-    seen: (u64, store::Position),
-    held: Vec<Event>,
+    /// When a fault of this router last began or ended.
+    last_fault_ms: u64,
+    open_polls: Vec<OpenPoll>,
+    /// Outcomes of polls that are on their way to the router.
+    pending_outcomes: Vec<PendingOutcome>,
+    /// The configuration version and the position of the server list at the last check.
+    last_seen: (u64, store::Position),
+    /// Events that arrived while the router was frozen.
+    deferred: Vec<Event>,
 }
 
 /// A change in the store's history.
@@ -85,54 +90,59 @@
     server: Option<(String, watch::ServerRecord)>,
 }
 
+/// A simulated fleet and its store.
 pub struct Fleet {
     pub now_ms: u64,
     pub routers: Vec<Router>,
     pub store: Store,
-    /// Datagrams that are lost, in a hundred.
+    /// Percentage of gossip datagrams that are lost.
     pub loss_percent: u32,
-    /// How long an answer of the store is on its way at most.
+    /// The maximum time that an answer of the store is in transit, in milliseconds.
     pub answer_ms: u64,
-    /// Calls that reached the store.
+    /// Number of calls of routers that reached the store: polls and announcements.
     pub calls: u64,
     pub bounds: watch::Bounds,
-    /// How stale a router that was in touch was at most, by topic.
+    /// The largest staleness of a checked router, by topic, in milliseconds.
     pub stalest_ms: BTreeMap<watch::Topic, u64>,
+    /// Addresses of routers that announced themselves to the store.
     pub announced: BTreeSet<String>,
     seeds: usize,
-    /// The number of restores of the store.
+    /// The store's era: the number of its restores.
     era: u64,
     revision: u64,
-    forgotten: u64,
+    /// The store has no history of changes before this revision.
+    history_start: u64,
     published: config::Published,
     config_revision: u64,
     servers: BTreeMap<String, (u64, servers::Vm)>,
-    /// What routers wrote, with the revision of each value.
+    /// Values that routers wrote, with the revision of each.
     pub values: BTreeMap<String, (u64, Vec<u8>)>,
-    /// Calls for those values.
+    /// Number of calls that read or write these values.
     pub value_calls: u64,
-    /// The latest life of each server, also of those that are gone.
-    lives_of: BTreeMap<String, ids::ServerLife>,
-    /// Servers whose records cannot be read.
+    /// The latest incarnation of each server, also of removed ones.
+    latest_lives: BTreeMap<String, ids::ServerLife>,
+    /// Servers whose records are unreadable.
     unreadable: BTreeSet<String>,
-    /// What is evacuated, and every change of that.
+    /// The evacuated failure domains, followed by every change of this set with its time.
     evacuated: BTreeSet<String>,
     evacuations: Vec<(u64, evacuation::Change)>,
     history: Vec<Change>,
-    store_calm_since_ms: u64,
+    /// When a fault of the store last began or ended.
+    store_last_fault_ms: u64,
     events: BTreeMap<(u64, u64), Event>,
     next_event: u64,
     lives: u64,
-    /// What routers answered to requests: by which router, in which of its lives, to which request.
+    /// Answers of routers to requests: the router's index, its incarnation, the request's slot and the answer.
     pub answers: Vec<(usize, u64, ids::RequestSlot, node::Answer)>,
     rng: StdRng,
-    /// Draws apart from the rest, so that a seed's schedule does not hang on these calls.
+    /// A separate generator for delays of value calls, so that the schedule of a seed does not depend on these calls.
     value_rng: StdRng,
 }
 
+/// Staleness bounds that most tests use.
 pub const BOUNDS: watch::Bounds = watch::Bounds { configuration_ms: 4_000, servers_ms: 4_000 };
 
-/// A fleet that has known itself for a while.
+/// Returns a fleet that has run long enough for all routers to be up to date.
 pub fn settled(routers: usize, bounds: watch::Bounds, seed: u64) -> Fleet {
     let mut fleet = Fleet::new(routers, 3, bounds, seed);
     fleet.run_ms(15_000);
@@ -141,7 +151,7 @@
 }
 
 impl Fleet {
-    /// Routers that start at once and know some seeds, before a store that holds some servers.
+    /// Starts all routers at once, with the addresses of the first `seeds` routers as seeds and six servers in the store.
     pub fn new(routers: usize, seeds: usize, bounds: watch::Bounds, seed: u64) -> Self {
         let mut fleet = Self {
             now_ms: 1_000,
@@ -156,18 +166,18 @@
             seeds,
             era: 0,
             revision: 1,
-            forgotten: 0,
+            history_start: 0,
             published: config::Published::next(None, "first", document()),
             config_revision: 1,
             servers: BTreeMap::new(),
             values: BTreeMap::new(),
             value_calls: 0,
-            lives_of: BTreeMap::new(),
+            latest_lives: BTreeMap::new(),
             unreadable: BTreeSet::new(),
             evacuated: BTreeSet::new(),
             evacuations: Vec::new(),
             history: Vec::new(),
-            store_calm_since_ms: 0,
+            store_last_fault_ms: 0,
             events: BTreeMap::new(),
             next_event: 0,
             lives: 0,
@@ -185,7 +195,7 @@
         fleet
     }
 
-    /// The same, and routers serve a service to whoever comes.
+    /// Like `new`, with a configuration of one service, to which requests can be submitted.
     pub fn with_service(routers: usize, seeds: usize, bounds: watch::Bounds, seed: u64) -> Self {
         let mut fleet = Self::new(routers, seeds, bounds, seed);
         let document = config::Document { services: vec![service()], ..document() };
@@ -193,33 +203,35 @@
         fleet
     }
 
+    /// Publishes the next version of the configuration.
     pub fn publish(&mut self) {
         self.revision += 1;
         let operation = format!("publish-{}", self.revision);
         let document = self.published.document.clone();
         self.published = config::Published::next(Some(&self.published), &operation, document);
         self.config_revision = self.revision;
-        self.note(watch::Topic::Configuration, None);
+        self.record_change(watch::Topic::Configuration, None);
     }
 
-    /// Something that nobody follows is written.
+    /// Writes a key that no router watches.
     pub fn write_elsewhere(&mut self) {
         self.revision += 1;
     }
 
+    /// Discards the store's history of changes up to now.
     pub fn forget_history(&mut self) {
-        self.forgotten = self.revision;
+        self.history_start = self.revision;
     }
 
     pub fn set_store(&mut self, store: Store) {
         self.store = store;
-        self.store_calm_since_ms = self.now_ms;
+        self.store_last_fault_ms = self.now_ms;
     }
 
     pub fn kill(&mut self, place: usize) {
         self.routers[place].alive = false;
-        self.routers[place].waiting.clear();
-        self.routers[place].answers.clear();
+        self.routers[place].open_polls.clear();
+        self.routers[place].pending_outcomes.clear();
     }
 
     pub fn restart(&mut self, place: usize) {
@@ -230,16 +242,16 @@
         self.routers[place].group = group;
     }
 
-    /// Notes that a router was troubled until now.
+    /// Records that a fault of a router begins or ends now.
     pub fn trouble(&mut self, place: usize) {
-        self.routers[place].calm_since_ms = self.now_ms;
+        self.routers[place].last_fault_ms = self.now_ms;
     }
 
     pub fn set_frozen(&mut self, place: usize, frozen: bool) {
         self.trouble(place);
         self.routers[place].frozen = frozen;
         if !frozen {
-            for event in std::mem::take(&mut self.routers[place].held) {
+            for event in std::mem::take(&mut self.routers[place].deferred) {
                 self.deliver(event);
             }
         }
@@ -255,7 +267,7 @@
         self.routers[place].turned_away = turned_away;
     }
 
-    /// Delivers gossip with `digest` from a peer outside the fleet; the caller handles the node's resulting actions.
+    /// Delivers gossip with `digest` from a peer outside the fleet. The caller handles the node's resulting actions.
     pub fn gossip_from_unknown_peer(&mut self, place: usize, digest: message::Digest) {
         let from = members::Record {
             id: ids::Incarnation(77),
@@ -279,10 +291,10 @@
     }
 
     pub fn watchers(&self) -> Vec<usize> {
-        let watches = |router: &Router| {
+        let is_watcher = |router: &Router| {
             router.alive && router.node.watch_role() == Some(watch::Role::Watcher)
         };
-        (0..self.routers.len()).filter(|place| watches(&self.routers[*place])).collect()
+        (0..self.routers.len()).filter(|place| is_watcher(&self.routers[*place])).collect()
     }
 
     pub fn run_ms(&mut self, time_ms: u64) {
@@ -292,30 +304,31 @@
         }
     }
 
-    /// Runs until something holds, for at most `most_ms`; returns how long it took.
+    /// Runs until `holds` returns true and returns the elapsed milliseconds; panics after `most_ms`.
     pub fn run_until(&mut self, what: &str, most_ms: u64, holds: impl Fn(&Self) -> bool) -> u64 {
         let from_ms = self.now_ms;
         while !holds(self) {
-            assert!(self.now_ms < from_ms + most_ms, "{what}: not within {most_ms} ms");
+            assert!(self.now_ms < from_ms + most_ms, "{what}: not reached within {most_ms} ms");
             self.step();
         }
         self.now_ms - from_ms
     }
 
+    /// Whether all running routers are up to date.
     pub fn all_know_latest(&self) -> bool {
-        let live = self.routers.iter().filter(|router| router.alive);
-        live.map(|router| &router.node).all(|node| self.knows_latest(node))
+        let running = self.routers.iter().filter(|router| router.alive);
+        running.map(|router| &router.node).all(|node| self.knows_latest(node))
     }
 
-    /// Whether a router has the configuration and the servers as they are now.
+    /// Whether a router has the current configuration, servers and evacuations.
     pub fn knows_latest(&self, node: &node::Node) -> bool {
         let identity =
             |vm: &servers::Vm| (vm.vm.clone(), vm.life, vm.state == servers::VmState::Live);
         let listed: BTreeSet<_> =
             node.servers().iter().map(|(_, server)| identity(&server.vm)).collect();
-        let wanted: BTreeSet<_> = self.servers.values().map(|(_, vm)| identity(vm)).collect();
+        let expected: BTreeSet<_> = self.servers.values().map(|(_, vm)| identity(vm)).collect();
         let evacuated = *node.evacuated() == self.evacuated;
-        node.config_version() == self.published.version && listed == wanted && evacuated
+        node.config_version() == self.published.version && listed == expected && evacuated
     }
 
     pub fn step(&mut self) {
@@ -329,7 +342,7 @@
         }
         for place in 0..self.routers.len() {
             if self.routers[place].alive && !self.routers[place].frozen {
-                self.answer_calls(place);
+                self.deliver_outcomes(place);
                 self.routers[place].node.tick(self.now_ms);
                 self.carry_out(place);
             }
@@ -364,15 +377,19 @@
             cut: false,
             turned_away: false,
             group: 0,
-            calm_since_ms: self.now_ms,
-            waiting: Vec::new(),
-            answers: Vec::new(),
-            seen: Default::default(),
-            held: Vec::new(),
+            last_fault_ms: self.now_ms,
+            open_polls: Vec::new(),
+            pending_outcomes: Vec::new(),
+            last_seen: Default::default(),
+            deferred: Vec::new(),
         }
     }
 
-    fn note(&mut self, topic: watch::Topic, server: Option<(String, watch::ServerRecord)>) {
+    fn record_change(
+        &mut self,
+        topic: watch::Topic,
+        server: Option<(String, watch::ServerRecord)>,
+    ) {
         let (at_ms, revision) = (self.now_ms, self.revision);
         self.history.push(Change { at_ms, revision, topic, server });
     }
@@ -380,10 +397,10 @@
     pub fn carry_out(&mut self, place: usize) {
         for action in self.routers[place].node.take_actions() {
             match action {
-                node::Action::Poll(call) => {
+                node::Action::Poll(poll) => {
                     let router = &mut self.routers[place];
                     let unanswered = self.store == Store::Silent;
-                    router.waiting.push(Waiting { call, sent_ms: self.now_ms, unanswered });
+                    router.open_polls.push(OpenPoll { poll, sent_ms: self.now_ms, unanswered });
                     self.calls += u64::from(!router.cut);
                 }
                 node::Action::Announce => self.announce(place),
@@ -456,12 +473,12 @@
         self.routers[place].node.offer_seeds(known);
     }
 
-    /// Whether a router was untroubled for so long that it is held to its bounds.
+    /// Whether a router has been running without a fault, unpartitioned and connected to the store for `CONTACT_MS`.
     pub fn in_touch(&self, place: usize) -> bool {
         let router = &self.routers[place];
-        let calm_ms = self.now_ms - router.calm_since_ms;
-        let whole = router.alive && !router.frozen && router.group == 0;
-        whole && calm_ms >= CONTACT_MS && self.reaches_store(place)
+        let undisturbed_ms = self.now_ms - router.last_fault_ms;
+        let running = router.alive && !router.frozen && router.group == 0;
+        running && undisturbed_ms >= CONTACT_MS && self.reaches_store(place)
     }
 
     fn send(&mut self, from: usize, to: String, event: Event) {
@@ -490,7 +507,7 @@
             return;
         }
         if router.frozen {
-            router.held.push(event);
+            router.deferred.push(event);
             return;
         }
         match event {
--- a/core/tests/watch_fleet/store.rs
+++ b/core/tests/watch_fleet/store.rs
@@ -1,16 +1,16 @@
-//! How the fake store answers the routers' calls for news.
+//! The records of the fake store, and its answers to polls of the routers.
 
-use super::{CALL_TIMEOUT_MS, Fleet, PendingOutcome, Store, Waiting};
+use super::{CALL_TIMEOUT_MS, Fleet, OpenPoll, PendingOutcome, Store};
 use doorswitch_core::{evacuation, ids, servers, store, watch};
 use rand::RngExt;
 
 impl Fleet {
-    /// A server records its state.
+    /// Writes a server's record with the given state.
     pub fn put_server(&mut self, name: &str, state: servers::VmState) {
         self.put_server_with_slots(name, state, 4);
     }
 
-    /// The same, and how many requests it works on at once.
+    /// Like `put_server`, with the number of requests that the server runs at once.
     pub fn put_server_with_slots(&mut self, name: &str, state: servers::VmState, slots: u64) {
         let vm = servers::Vm {
             vm: name.to_owned(),
@@ -20,43 +20,50 @@
             failure_domain: "a".to_owned(),
             state,
             slots,
-            life: self.lives_of.get(name).copied().unwrap_or(ids::ServerLife(1)),
+            life: self.latest_lives.get(name).copied().unwrap_or(ids::ServerLife(1)),
             cold_ms: 0,
         };
         self.revision += 1;
         self.unreadable.remove(name);
         self.servers.insert(name.to_owned(), (self.revision, vm.clone()));
         let record = watch::ServerRecord::Listed(vm);
-        self.note(watch::Topic::Servers, Some((name.to_owned(), record)));
+        self.record_change(watch::Topic::Servers, Some((name.to_owned(), record)));
     }
 
+    /// Removes a server's record.
     pub fn remove_server(&mut self, name: &str) {
         self.revision += 1;
         self.servers.remove(name);
         self.unreadable.remove(name);
-        self.note(watch::Topic::Servers, Some((name.to_owned(), watch::ServerRecord::Gone)));
+        self.record_change(
+            watch::Topic::Servers,
+            Some((name.to_owned(), watch::ServerRecord::Gone)),
+        );
     }
 
-    /// A server starts again under its name.
+    /// Starts a new incarnation of a server under the same name.
     pub fn restart_server(&mut self, name: &str, state: servers::VmState) {
         self.restart_server_with_slots(name, state, 4);
     }
 
-    /// The same, and how many requests it works on at once.
+    /// Like `restart_server`, with the number of requests that the server runs at once.
     pub fn restart_server_with_slots(&mut self, name: &str, state: servers::VmState, slots: u64) {
-        self.lives_of.entry(name.to_owned()).or_insert(ids::ServerLife(1)).0 += 1;
+        self.latest_lives.entry(name.to_owned()).or_insert(ids::ServerLife(1)).0 += 1;
         self.put_server_with_slots(name, state, slots);
     }
 
-    /// Another writer spoils a server's record.
+    /// Overwrites a server's record with an unreadable value, as a faulty writer would.
     pub fn spoil_server(&mut self, name: &str) {
         self.revision += 1;
         self.servers.remove(name);
         self.unreadable.insert(name.to_owned());
-        self.note(watch::Topic::Servers, Some((name.to_owned(), watch::ServerRecord::Unreadable)));
+        self.record_change(
+            watch::Topic::Servers,
+            Some((name.to_owned(), watch::ServerRecord::Unreadable)),
+        );
     }
 
-    /// The operator evacuates a failure domain, or takes that back.
+    /// Evacuates a failure domain or ends its evacuation, as an operator does.
     pub fn evacuate(&mut self, domain: &str, evacuated: bool) {
         self.revision += 1;
         match evacuated {
@@ -78,11 +85,11 @@
         known.era == self.era && revision <= known.revision
     }
 
-    /// The store never answers the calls that this router has in flight.
+    /// Leaves the open polls of a router unanswered forever.
     pub fn leave_calls_unanswered(&mut self, place: usize) {
         self.trouble(place);
-        for waiting in &mut self.routers[place].waiting {
-            waiting.unanswered = true;
+        for open in &mut self.routers[place].open_polls {
+            open.unanswered = true;
         }
     }
 
@@ -91,81 +98,85 @@
         self.store == Store::Well && !router.cut && !router.turned_away
     }
 
-    pub(super) fn answer_calls(&mut self, place: usize) {
-        for waiting in std::mem::take(&mut self.routers[place].waiting) {
-            let answer = self.answer(place, &waiting);
+    /// Answers the open polls of a router and delivers the outcomes whose transit time is over.
+    pub(super) fn deliver_outcomes(&mut self, place: usize) {
+        for open in std::mem::take(&mut self.routers[place].open_polls) {
+            let answer = self.answer(place, &open);
             let router = &self.routers[place];
-            let answered = !waiting.unanswered && !router.cut && self.store != Store::Silent;
+            let answered = !open.unanswered && !router.cut && self.store != Store::Silent;
             let era = self.era;
             let arrives_ms = self.now_ms + self.rng.random_range(0..=self.answer_ms);
             let router = &mut self.routers[place];
             match answer {
-                Some(outcome) => router.answers.push(PendingOutcome {
+                Some(outcome) => router.pending_outcomes.push(PendingOutcome {
                     arrives_ms,
                     era: answered.then_some(era),
-                    call: waiting.call,
+                    poll: open.poll,
                     outcome,
                 }),
-                None => router.waiting.push(waiting),
+                None => router.open_polls.push(open),
             }
         }
         let now_ms = self.now_ms;
-        let arrived: Vec<_> =
-            self.routers[place].answers.extract_if(.., |it| it.arrives_ms <= now_ms).collect();
-        for PendingOutcome { era, call, outcome, .. } in arrived {
+        let arrived: Vec<_> = self.routers[place]
+            .pending_outcomes
+            .extract_if(.., |pending| pending.arrives_ms <= now_ms)
+            .collect();
+        for PendingOutcome { era, poll, outcome, .. } in arrived {
             let node = &mut self.routers[place].node;
             if let Some(era) = era {
                 node.handle_store_era(era, now_ms);
             }
-            node.poll_ended(call, outcome, now_ms);
+            node.poll_ended(poll, outcome, now_ms);
             self.carry_out(place);
         }
     }
 
-    fn answer(&self, place: usize, waiting: &Waiting) -> Option<watch::Outcome> {
-        let Waiting { call, sent_ms, unanswered } = waiting;
+    /// The outcome of an open poll, or `None` while the store lets it wait.
+    fn answer(&self, place: usize, open: &OpenPoll) -> Option<watch::Outcome> {
+        let OpenPoll { poll, sent_ms, unanswered } = open;
         let waited_ms = self.now_ms - sent_ms;
         let router = &self.routers[place];
         if *unanswered || router.cut || self.store == Store::Silent {
-            let over = waited_ms >= call.wait_ms + CALL_TIMEOUT_MS;
+            let over = waited_ms >= poll.wait_ms + CALL_TIMEOUT_MS;
             return over.then_some(watch::Outcome::NoAnswer);
         }
         if router.turned_away || self.store == Store::Refuses {
             return Some(watch::Outcome::Rejected);
         }
         let unknown = |after: store::Position| {
-            after.revision < self.forgotten || after.revision > self.revision
+            after.revision < self.history_start || after.revision > self.revision
         };
-        if call.after.is_some_and(unknown) {
+        if poll.after.is_some_and(unknown) {
             return Some(watch::Outcome::HistoryLost);
         }
-        let update = self.news(call);
-        (update.has_changes() || waited_ms >= call.wait_ms)
+        let update = self.update_since(poll);
+        (update.has_changes() || waited_ms >= poll.wait_ms)
             .then_some(watch::Outcome::Answered { position: self.position(self.revision), update })
     }
 
-    fn evacuations(&self, call: &watch::Poll) -> evacuation::News {
-        let Some(after) = call.after else {
+    fn evacuations_since(&self, poll: &watch::Poll) -> evacuation::News {
+        let Some(after) = poll.after else {
             return evacuation::News::All(self.evacuated.clone());
         };
         let later = self.evacuations.iter().map(|(_, change)| change);
         let later = later.filter(|change| change.position.revision > after.revision);
-        let told = later.map(|change| {
+        let changes = later.map(|change| {
             let position = self.position(change.position.revision);
             evacuation::Change { position, ..change.clone() }
         });
-        evacuation::News::Changes(told.collect())
+        evacuation::News::Changes(changes.collect())
     }
 
-    fn news(&self, call: &watch::Poll) -> watch::Update {
-        match call.topic {
+    fn update_since(&self, poll: &watch::Poll) -> watch::Update {
+        match poll.topic {
             watch::Topic::Configuration => {
-                let changed = call.after.is_none_or(|it| self.config_revision > it.revision);
+                let changed = poll.after.is_none_or(|after| self.config_revision > after.revision);
                 let published = changed.then(|| Box::new(self.published.clone()));
-                let evacuations = self.evacuations(call);
+                let evacuations = self.evacuations_since(poll);
                 watch::Update::Configuration(watch::ConfigurationUpdate { published, evacuations })
             }
-            watch::Topic::Servers if call.after.is_none() => {
+            watch::Topic::Servers if poll.after.is_none() => {
                 let listed = self.servers.values().map(|(_, vm)| vm.clone()).collect();
                 let unreadable = self.unreadable.iter().cloned().collect();
                 let written =
@@ -174,7 +185,7 @@
                 watch::Update::AllServers(watch::AllServers { listed, unreadable, revisions })
             }
             watch::Topic::Servers => {
-                let after = call.after.map_or(0, |after| after.revision);
+                let after = poll.after.map_or(0, |after| after.revision);
                 let later = self.history.iter().filter(|change| change.revision > after);
                 let changes = later.filter_map(|change| {
                     let (vm, record) = change.server.clone()?;
--- a/core/tests/watch_fleet/traffic.rs
+++ b/core/tests/watch_fleet/traffic.rs
@@ -1,4 +1,4 @@
-//! Clients of a fleet, and the troubles that its routers get into.
+//! Requests of clients to a simulated fleet, and faults of its routers.
 
 use super::{BOUNDS, Fleet, Store, TICK_MS};
 use doorswitch_core::{ids, node, servers};
@@ -6,19 +6,22 @@
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
 
-/// A request that was handed to a router, by its place, its life and the request's slot there.
+/// Identifies a submitted request: the router's index, its incarnation and the request's slot in it.
 pub type Handed = (usize, u64, ids::RequestSlot);
 
+/// A fleet and the clients that send requests to it.
 pub struct Traffic {
     pub fleet: Fleet,
     pub rng: StdRng,
+    /// Requests per second.
     pub per_s: u64,
-    owed_milli: u64,
+    /// Thousandths of a request that are due and not submitted yet.
+    due_milli: u64,
     keys: u64,
 }
 
 impl Traffic {
-    /// A fleet that serves a service without servers yet, and loses some datagrams.
+    /// Creates a fleet with one service, without servers and with some loss of datagrams.
     pub fn new(routers: usize, seed: u64, salt: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed ^ salt);
         let mut fleet = Fleet::with_service(routers, 3, BOUNDS, seed);
@@ -26,35 +29,35 @@
         for place in 0..6 {
             fleet.remove_server(&format!("server-{place}"));
         }
-        Self { fleet, rng, per_s: 0, owed_milli: 0, keys: 0 }
+        Self { fleet, rng, per_s: 0, due_milli: 0, keys: 0 }
     }
 
-    /// The requests that are due in this step; each is to be handed to a router that is up.
+    /// The number of requests that are to be submitted in this step.
     pub fn due(&mut self) -> u64 {
-        self.owed_milli += self.per_s * TICK_MS;
-        let due = self.owed_milli / 1_000;
-        self.owed_milli %= 1_000;
+        self.due_milli += self.per_s * TICK_MS;
+        let due = self.due_milli / 1_000;
+        self.due_milli %= 1_000;
         due
     }
 
-    /// Hands a request to a router that is up, if there is one. Its answer is in the fleet's.
+    /// Submits a request to a random running router, if there is one. The fleet records its answer in `answers`.
     pub fn hand(&mut self) -> Option<Handed> {
-        let up = |place: &usize| {
+        let running = |place: &usize| {
             let router = &self.fleet.routers[*place];
             router.alive && !router.frozen
         };
-        let places: Vec<usize> = (0..self.fleet.routers.len()).filter(up).collect();
+        let places: Vec<usize> = (0..self.fleet.routers.len()).filter(running).collect();
         let place = *places.choose(&mut self.rng)?;
-        let wanted = self.wanted();
+        let request = self.next_request();
         let now_ms = self.fleet.now_ms;
         let router = &mut self.fleet.routers[place];
-        let slot = router.node.admit(wanted, now_ms);
-        let handed = (place, router.life, slot);
+        let slot = router.node.admit(request, now_ms);
+        let handle = (place, router.life, slot);
         self.fleet.carry_out(place);
-        Some(handed)
+        Some(handle)
     }
 
-    fn wanted(&mut self) -> node::AdmissionRequest {
+    fn next_request(&mut self) -> node::AdmissionRequest {
         self.keys += 1;
         let parts = match self.rng.random_bool(0.5) {
             true => {
@@ -80,7 +83,7 @@
         }
     }
 
-    /// One of the troubles of a router or the store, or the end of one: numbers 0 to 10.
+    /// Begins or ends a fault of a router or the store; `number` chooses it, from 0 to 10.
     pub fn trouble(&mut self, place: usize, number: u32) {
         match number {
             0 | 1 => self.fleet.restart(place),
@@ -100,6 +103,7 @@
         self.fleet.trouble(place);
     }
 
+    /// Ends all faults.
     pub fn end_troubles(&mut self) {
         self.fleet.set_store(Store::Well);
         for place in 0..self.fleet.routers.len() {
--- a/core/tests/world/checks.rs
+++ b/core/tests/world/checks.rs
@@ -1,4 +1,4 @@
-//! The promises, checked after every step.
+//! The guarantees that are checked after every step.
 
 use super::{End, World};
 use doorswitch_core::{ids, log_index};
@@ -10,7 +10,7 @@
         self.check_versions();
     }
 
-    /// Served and outstanding tokens never exceed what was paid.
+    /// Checks that served and outstanding tokens never exceed the paid tokens.
     fn check_spending(&self) {
         for (budget, truth) in self.truth.iter().enumerate() {
             let spent = truth.served_tokens + truth.outstanding_tokens;
@@ -18,17 +18,20 @@
         }
     }
 
-    /// A router's version never goes back.
+    /// Checks that no router applies an older configuration after a newer one.
     fn check_versions(&mut self) {
         for router in &mut self.routers {
             let version = router.node.config_version();
-            assert!(version >= router.version_seen, "version went back");
-            router.version_seen = version;
+            assert!(
+                version >= router.last_version,
+                "the configuration version of a router decreased"
+            );
+            router.last_version = version;
         }
     }
 
-    /// Once all is quiet: every request that ended for its caller is billed exactly once, with what
-    /// was served, and the two figures add up.
+    /// Checks that every request that ended for its caller is billed exactly once with the served tokens, and that the
+    /// billed and the served tokens are equal. To be called after all faults have ended and pending work is done.
     pub fn check_billing(&self) {
         let log = self.log();
         let mut served: HashMap<ids::RequestKey, u64> = HashMap::new();
@@ -37,16 +40,16 @@
             *served.entry(given.key).or_default() += given.actual_tokens;
             let state = log.find(given.key);
             let settled = matches!(state, Some(log_index::IdState::Settled { .. }));
-            // An end that could not be made safe is lost only with its router.
+            // An end that was not durably recorded is lost only if its router was killed.
             let lost = !safe && self.routers[given.at].life != given.life;
-            assert!(settled || lost, "request {} ended and is not billed", given.key);
+            assert!(settled || lost, "request {} ended and was not billed", given.key);
         }
-        let billed_requests: u64 = log.totals().map(|(_, _, it)| it.billed_requests).sum();
-        let consumed: u64 = log.totals().map(|(_, _, it)| it.consumed_tokens()).sum();
+        let billed_requests: u64 = log.totals().map(|(_, _, totals)| totals.billed_requests).sum();
+        let consumed: u64 = log.totals().map(|(_, _, totals)| totals.consumed_tokens()).sum();
         let served_tokens: u64 = self.truth.iter().map(|truth| truth.served_tokens).sum();
         assert!(
             consumed <= served_tokens,
-            "more billed ({consumed}) than served ({served_tokens})"
+            "billed {consumed} tokens, but only {served_tokens} were served"
         );
         if self.deaths == 0 {
             assert_eq!(billed_requests, served.len() as u64);
--- a/core/tests/world/faults.rs
+++ b/core/tests/world/faults.rs
@@ -1,10 +1,11 @@
-//! What the fake store and the fake network do wrong.
+//! The fake store and the fake network, and the faults that can be injected into them.
 
 use super::{Event, STORE_TIMEOUT_MS, World};
 use doorswitch_core::{ids, ledger, message, store};
 use rand::RngExt;
 use std::collections::BTreeSet;
 
+/// The faults that are active.
 #[derive(Clone, Debug)]
 pub struct Faults {
     /// No call reaches the store.
@@ -13,15 +14,15 @@
     pub store_cut: BTreeSet<usize>,
     /// Pairs of routers that cannot reach each other, the lower one first.
     pub pairs_cut: BTreeSet<(usize, usize)>,
-    /// Of a hundred writes: applied, but the reply is lost.
+    /// Percentage of writes that are applied and whose reply is lost.
     pub lose_replies_percent: u32,
-    /// Of a hundred writes: reported as unanswered first, applied only later.
+    /// Percentage of writes that are reported as unanswered and applied later.
     pub late_writes_percent: u32,
-    /// Of a hundred messages: lost.
+    /// Percentage of messages that are lost.
     pub lose_messages_percent: u32,
-    /// Of a hundred messages: delivered twice.
+    /// Percentage of messages that are delivered twice.
     pub repeat_messages_percent: u32,
-    /// The longest time that a message or call takes one way.
+    /// The maximum one-way delay of a message or a store call, in milliseconds.
     pub delay_max_ms: u64,
 }
 
@@ -77,15 +78,15 @@
         if request.is_write() && self.chance(self.faults.late_writes_percent) {
             self.reply_unknown(from, life, call);
             let late_ms = STORE_TIMEOUT_MS + self.rng.random_range(0..3_000);
-            // Nobody waits for this reply any more: its call is unknown to the node by then.
-            self.after(late_ms, Event::StoreArrives { from, life, call, request });
+            // The node ignores the reply to this call, as it has already received `Unknown` for it.
+            self.schedule(late_ms, Event::StoreCall { from, life, call, request });
             return;
         }
         let delay_ms = self.delay_ms();
-        self.after(delay_ms, Event::StoreArrives { from, life, call, request });
+        self.schedule(delay_ms, Event::StoreCall { from, life, call, request });
     }
 
-    pub(super) fn store_arrives(
+    pub(super) fn execute_store_call(
         &mut self,
         from: usize,
         life: ids::Incarnation,
@@ -100,12 +101,12 @@
             return;
         }
         let delay_ms = self.delay_ms();
-        self.after(delay_ms, Event::StoreReplies { to: from, life, call, reply });
+        self.schedule(delay_ms, Event::StoreReply { to: from, life, call, reply });
     }
 
     fn reply_unknown(&mut self, to: usize, life: ids::Incarnation, call: ids::CallId) {
         let reply = store::Reply::Unknown;
-        self.after(STORE_TIMEOUT_MS, Event::StoreReplies { to, life, call, reply });
+        self.schedule(STORE_TIMEOUT_MS, Event::StoreReply { to, life, call, reply });
     }
 
     fn apply(&mut self, request: store::Request) -> store::Reply {
@@ -119,8 +120,8 @@
             },
             store::Request::Write { key, expected_index, value, sets_era_marker } => {
                 let present = self.store.get(&key).map_or(0, |(index, _)| *index);
-                let later = self.marked_eras.range(expected_index.era + 1..).next().is_some();
-                if present != expected_index.revision || later {
+                let newer_era = self.marked_eras.range(expected_index.era + 1..).next().is_some();
+                if present != expected_index.revision || newer_era {
                     return store::Reply::Conflict;
                 }
                 self.index += 1;
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Delivers to whatever life has the address when the message arrives, as a network does.
+    /// Sends to an address: the router that has it when the message arrives receives the message, as in a real network.
     pub(super) fn send(&mut self, at: usize, address: &str, envelope: message::Envelope) {
         // Ledger copies use a separate generator, so that they do not change the schedules of existing seeds.
         let is_copy = matches!(envelope.message, message::Message::LedgerCopy { .. });
@@ -161,7 +162,7 @@
         for _ in 0..times {
             let delay_ms = self.delay_ms();
             let envelope = envelope.clone();
-            self.after(delay_ms, Event::Message { to, envelope });
+            self.schedule(delay_ms, Event::Message { to, envelope });
         }
     }
 
@@ -173,7 +174,7 @@
             return;
         }
         let delay_ms = self.delay_ms();
-        self.after(delay_ms, Event::Gossip { to, gossip });
+        self.schedule(delay_ms, Event::Gossip { to, gossip });
     }
 }
 
--- a/core/tests/world/mod.rs
+++ b/core/tests/world/mod.rs
@@ -1,14 +1,14 @@
-//! Several core routers over a fake store and a fake network, in simulated time.
+//! Simulates several core routers with a fake store and a fake network in simulated time.
 //!
-//! Small fakes at the interfaces, no cluster simulator: the store applies compare-and-swap, the
-//! network delivers or loses, an engine serves what it is sent. The world keeps its own account of
-//! what was truly served and checks the product's promises after every step.
+//! The fakes replace only the interfaces of a router: the store applies compare-and-swap, the network delivers or loses
+//! messages, an engine serves each request that it receives. The simulation records independently of the routers what
+//! was paid and served, and checks the router's guarantees after every step.
 
 #![allow(dead_code, missing_docs, clippy::unwrap_used)]
 
 mod checks;
 mod faults;
-mod lives;
+mod router_lifecycle;
 mod sample;
 
 pub use faults::Faults;
@@ -21,18 +21,18 @@
 pub const TICK_MS: u64 = 20;
 const STORE_TIMEOUT_MS: u64 = 1_000;
 
-/// What travels or waits.
+/// An event that is scheduled for a later time.
 #[derive(Clone, Debug)]
 enum Event {
-    StoreArrives { from: usize, life: ids::Incarnation, call: ids::CallId, request: store::Request },
-    StoreReplies { to: usize, life: ids::Incarnation, call: ids::CallId, reply: store::Reply },
+    StoreCall { from: usize, life: ids::Incarnation, call: ids::CallId, request: store::Request },
+    StoreReply { to: usize, life: ids::Incarnation, call: ids::CallId, reply: store::Reply },
     Message { to: usize, envelope: message::Envelope },
     Gossip { to: usize, gossip: message::Gossip },
     Served { at: usize, life: ids::Incarnation, slot: ids::RequestSlot },
     VmGone { vm: String },
 }
 
-/// A router process, as the world runs it.
+/// A simulated router process.
 pub struct Router {
     pub node: node::Node,
     pub life: ids::Incarnation,
@@ -41,11 +41,12 @@
     pub region: usize,
     pub alive: bool,
     pub paused: bool,
-    held: Vec<Event>,
-    version_seen: u64,
+    /// Events that arrived while the router was paused.
+    deferred: Vec<Event>,
+    last_version: u64,
 }
 
-/// A request that was handed to a router.
+/// A request that was submitted to a router, and its progress.
 #[derive(Clone, Debug)]
 pub struct Given {
     pub at: usize,
@@ -58,11 +59,12 @@
     pub dispatched: bool,
     pub running: bool,
     pub given_ms: u64,
-    /// When a refused one shall come back.
+    /// How long the caller should wait before a retry, if the request was refused.
     pub retry_after_ms: u64,
     pub end: Option<End>,
 }
 
+/// How a request ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum End {
     Refused(node::Reason),
@@ -70,7 +72,7 @@
     Closed { safe: bool },
 }
 
-/// How large the world is.
+/// The size and the limits of a simulated fleet.
 #[derive(Clone, Debug)]
 pub struct Shape {
     pub routers: usize,
@@ -107,7 +109,7 @@
 }
 
 impl Shape {
-    /// Budgets that one and two routers hold in hand for all, in a fleet of six.
+    /// A fleet of six routers in which one router holds the tokens of the first budget, and two those of the second.
     pub fn few_holders() -> Self {
         let mut shape = Self { routers: 6, ..Self::default() };
         for (place, budget) in shape.budgets.iter_mut().enumerate() {
@@ -120,23 +122,23 @@
     }
 }
 
-/// Tokens truly served and paid, per budget.
+/// Tokens of one budget that were paid and served, recorded independently of the routers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Truth {
     pub paid_tokens: u64,
     pub served_tokens: u64,
-    /// Bounds of the requests that run now.
+    /// The sum of the token bounds of the running requests.
     pub outstanding_tokens: u64,
 }
 
 impl Truth {
-    /// What could still be spent if all that is free were in one place.
+    /// Tokens that could still be spent if one router held all free tokens.
     pub fn left_tokens(&self) -> u64 {
         self.paid_tokens.saturating_sub(self.served_tokens + self.outstanding_tokens)
     }
 }
 
-/// A snapshot of the ledger.
+/// A backup of the stored ledger.
 #[derive(Clone, Debug)]
 pub struct Backup {
     index: u64,
@@ -144,6 +146,7 @@
     marked_eras: std::collections::BTreeSet<u64>,
 }
 
+/// A simulated fleet with its store and network.
 pub struct World {
     pub shape: Shape,
     pub now_ms: u64,
@@ -154,29 +157,30 @@
     pub executions: HashMap<ids::RequestKey, u64>,
     pub store: BTreeMap<String, (u64, Vec<u8>)>,
     pub store_calls: (u64, u64),
-    /// Reads of the ledger's values.
+    /// Number of reads of ledger values.
     pub ledger_reads: u64,
     pub written_off_tokens: u64,
     pub deaths: u64,
     pub notices: Vec<node::Notice>,
-    /// Requests that were refused, by their place in `given`.
+    /// Indexes in `given` of refused requests.
     pub refusals: Vec<usize>,
-    /// Milliseconds that a request runs at an engine.
+    /// How long a request runs at an engine, in milliseconds.
     pub serve_ms: u64,
-    /// The priority of requests that are admitted from now on.
+    /// The priority of the next submitted requests.
     pub priority: u8,
-    /// How long callers wait, from now on.
+    /// The time from submission to deadline of the next submitted requests, in milliseconds.
     pub deadline_ms: u64,
+    /// How long the platform still lists the VM of a replaced router, in milliseconds.
     pub vms_lag_ms: u64,
-    /// Routers that get no newer list of VMs from the platform.
+    /// Routers that receive no newer list of VMs from the platform.
     pub vms_stale: std::collections::BTreeSet<usize>,
     by_slot: HashMap<(ids::Incarnation, ids::RequestSlot), usize>,
     events: BTreeMap<(u64, u64), Event>,
     next_event: u64,
     index: u64,
-    /// The number of restores of the ledger.
+    /// The store's era: the number of restores of the ledger.
     pub era: u64,
-    /// Eras whose markers are set.
+    /// Eras whose markers are set in the store.
     marked_eras: std::collections::BTreeSet<u64>,
     vms: Vec<servers::Vm>,
     vms_index: u64,
@@ -233,7 +237,7 @@
         }
         world.list_routers();
         for place in 0..world.routers.len() {
-            world.tell_platform_news(place);
+            world.deliver_platform_state(place);
         }
         world
     }
@@ -242,7 +246,7 @@
         config::budget_name("workspace", &self.shape.budgets[budget].name)
     }
 
-    /// Lets time pass, step by step, checking after each.
+    /// Runs the simulation for `time_ms` and checks the guarantees after every step.
     pub fn run_ms(&mut self, time_ms: u64) {
         let end_ms = self.now_ms + time_ms;
         while self.now_ms < end_ms {
@@ -261,24 +265,24 @@
         }
         for place in 0..self.routers.len() {
             if self.routers[place].alive && !self.routers[place].paused {
-                // Watches are polls here: a second apart, when the store can be reached.
+                // The platform's state is polled once a second while the store is reachable.
                 if (self.now_ms / TICK_MS + place as u64).is_multiple_of(50) {
-                    self.tell_platform_news(place);
+                    self.deliver_platform_state(place);
                 }
-                // Watches end when the store becomes unavailable; the next answer contains its era.
+                // Polls end when the store becomes unavailable; the next answer contains its era.
                 if (self.now_ms / TICK_MS + place as u64).is_multiple_of(5)
                     && self.reaches_store(place)
                 {
                     self.routers[place].node.handle_store_era(self.era, self.now_ms);
                 }
                 self.routers[place].node.tick(self.now_ms);
-                self.carry_out(place);
+                self.perform_actions(place);
             }
         }
         self.check();
     }
 
-    /// Hands a request to a router.
+    /// Submits a request to a router; returns its index in `given`, or `None` if the router is killed or paused.
     pub fn admit(
         &mut self,
         at: usize,
@@ -293,7 +297,7 @@
             return None;
         }
         let key = ids::RequestKey { high: key, low: budget as u64 };
-        let wanted = node::AdmissionRequest {
+        let request = node::AdmissionRequest {
             attempts_max: u32::MAX,
             fingerprint: None,
             key,
@@ -310,7 +314,7 @@
             deadline_ms: self.now_ms + self.deadline_ms,
         };
         let life = router.life;
-        let slot = self.routers[at].node.admit(wanted, self.now_ms);
+        let slot = self.routers[at].node.admit(request, self.now_ms);
         let given = Given {
             at,
             life,
@@ -328,11 +332,11 @@
         self.given.push(given);
         let place = self.given.len() - 1;
         self.by_slot.insert((life, slot), place);
-        self.carry_out(at);
+        self.perform_actions(at);
         Some(place)
     }
 
-    /// Pays into a budget, as an operator's command does.
+    /// Adds tokens to a budget, as an operator's command does.
     pub fn pay(&mut self, budget: usize, tokens: u64) {
         self.operations += 1;
         let name = self.budget_name(budget);
@@ -348,7 +352,7 @@
         self.truth[budget].paid_tokens += tokens;
     }
 
-    /// Publishes the next version, as an operator's command does.
+    /// Publishes the next version of the configuration, as an operator's command does.
     pub fn publish(&mut self) {
         let earlier: Option<config::Published> =
             self.store.get(config::KEY).map(|(_, value)| serde_json::from_slice(value).unwrap());
@@ -387,14 +391,15 @@
         index
     }
 
-    /// Returns a backup of the stored ledger.
+    /// Returns a backup of the stored ledger and its era markers.
     pub fn back_up_ledger(&self) -> Backup {
         let ledger = self.store.iter().filter(|(key, _)| key.starts_with(ledger::PREFIX));
         let values = ledger.map(|(key, value)| (key.clone(), value.clone())).collect();
         Backup { index: self.index, values, marked_eras: self.marked_eras.clone() }
     }
 
-    /// Restores the ledger from a backup and starts the next era; indexes are assigned again.
+    /// Restores the ledger from a backup and starts the next era. Later writes reuse indexes that were assigned after
+    /// the backup.
     pub fn restore_ledger(&mut self, backup: &Backup) {
         self.store.retain(|key, _| !key.starts_with(ledger::PREFIX));
         self.store.extend(backup.values.clone());
@@ -403,46 +408,46 @@
         self.era += 1;
     }
 
-    fn after(&mut self, delay_ms: u64, event: Event) {
+    fn schedule(&mut self, delay_ms: u64, event: Event) {
         self.next_event += 1;
         self.events.insert((self.now_ms + delay_ms, self.next_event), event);
     }
 
     fn deliver(&mut self, event: Event) {
         let to = match &event {
-            Event::StoreReplies { to, .. } | Event::Message { to, .. } => Some(*to),
+            Event::StoreReply { to, .. } | Event::Message { to, .. } => Some(*to),
             Event::Gossip { to, .. } => Some(*to),
             Event::Served { at, .. } => Some(*at),
-            Event::StoreArrives { .. } | Event::VmGone { .. } => None,
+            Event::StoreCall { .. } | Event::VmGone { .. } => None,
         };
         if let Some(to) = to {
             if !self.routers[to].alive {
                 return;
             }
             if self.routers[to].paused {
-                self.routers[to].held.push(event);
+                self.routers[to].deferred.push(event);
                 return;
             }
         }
         match event {
-            Event::StoreArrives { from, life, call, request } => {
-                self.store_arrives(from, life, call, request);
+            Event::StoreCall { from, life, call, request } => {
+                self.execute_store_call(from, life, call, request);
             }
-            Event::StoreReplies { to, life, call, reply } => {
+            Event::StoreReply { to, life, call, reply } => {
                 if self.routers[to].life == life {
                     self.routers[to].node.handle_store_reply(call, reply, self.now_ms);
-                    self.carry_out(to);
+                    self.perform_actions(to);
                 }
             }
             Event::Message { to, envelope } => {
                 self.routers[to].node.handle_message(envelope, self.now_ms);
-                self.carry_out(to);
+                self.perform_actions(to);
             }
             Event::Gossip { to, gossip } => {
                 self.routers[to].node.handle_gossip(&gossip, self.now_ms);
-                self.carry_out(to);
+                self.perform_actions(to);
             }
-            Event::Served { at, life, slot } => self.served(at, life, slot),
+            Event::Served { at, life, slot } => self.finish_request(at, life, slot),
             Event::VmGone { vm } => {
                 self.vms.retain(|listed| listed.vm != vm);
                 self.vms_index += 1;
@@ -450,7 +455,7 @@
         }
     }
 
-    fn served(&mut self, at: usize, life: ids::Incarnation, slot: ids::RequestSlot) {
+    fn finish_request(&mut self, at: usize, life: ids::Incarnation, slot: ids::RequestSlot) {
         let Some(place) = self.by_slot.get(&(life, slot)).copied() else { return };
         if self.routers[at].life != life || !self.given[place].running {
             return;
@@ -466,12 +471,12 @@
         let truth = &mut self.truth[given.budget];
         truth.outstanding_tokens -= given.bound_tokens;
         truth.served_tokens += consumed_tokens;
-        let ending = node::RequestOutcome::Ran { consumed_tokens, outcome, healthy: true };
-        self.routers[at].node.finish(slot, ending, self.now_ms);
-        self.carry_out(at);
+        let outcome = node::RequestOutcome::Ran { consumed_tokens, outcome, healthy: true };
+        self.routers[at].node.finish(slot, outcome, self.now_ms);
+        self.perform_actions(at);
     }
 
-    fn carry_out(&mut self, at: usize) {
+    fn perform_actions(&mut self, at: usize) {
         let life = self.routers[at].life;
         for action in self.routers[at].node.take_actions() {
             match action {
@@ -487,7 +492,7 @@
                     self.notices.push(notice);
                 }
                 node::Action::ConfigInForce { .. } | node::Action::ServerRestarted { .. } => {}
-                // The world tells routers the platform's news by itself.
+                // The simulation delivers the platform's state itself: `settings.watch` is `None`.
                 node::Action::Poll(_)
                 | node::Action::CancelPoll { .. }
                 | node::Action::Announce => unreachable!(),
@@ -502,7 +507,7 @@
         slot: ids::RequestSlot,
         answer: node::Answer,
     ) {
-        // A request that is refused inside `admit` is answered before its slot is known here.
+        // A request that is refused inside `admit` is answered before its slot is in `by_slot`.
         let place = self.by_slot.get(&(life, slot)).copied().unwrap_or(self.given.len() - 1);
         let given = &mut self.given[place];
         match answer {
@@ -513,13 +518,20 @@
                 if given.unrepeatable {
                     let times = self.executions.entry(given.key).or_default();
                     *times += 1;
-                    assert_eq!(*times, 1, "unrepeatable request {} ran again", given.key);
+                    assert_eq!(
+                        *times, 1,
+                        "unrepeatable request {} was dispatched a second time",
+                        given.key
+                    );
                 }
                 let time_ms = self.serve_ms;
-                self.after(time_ms, Event::Served { at, life, slot });
+                self.schedule(time_ms, Event::Served { at, life, slot });
             }
             node::Answer::Refuse { reason, retry_after_ms } => {
-                assert!(!given.dispatched, "refused as not run after it was dispatched");
+                assert!(
+                    !given.dispatched,
+                    "request was refused as not run after it was dispatched"
+                );
                 given.retry_after_ms = retry_after_ms;
                 given.end = Some(End::Refused(reason));
                 self.refusals.push(place);
--- a/core/tests/world/lives.rs
+++ b/core/tests/world/router_lifecycle.rs
@@ -1,4 +1,4 @@
-//! How router processes start, sleep, die and stop, and what the platform tells them.
+//! Starts, pauses, kills and stops router processes, and delivers the platform's state to them.
 
 use super::{Event, Router, World};
 use doorswitch_core::{config, ids, node, servers};
@@ -6,14 +6,14 @@
 use std::collections::BTreeSet;
 
 impl World {
-    /// Kills a router; its streams may go on at the engines.
+    /// Kills a router. The engines finish its requests, so their tokens count as served at once.
     pub fn kill(&mut self, at: usize) {
         if !self.routers[at].alive {
             return;
         }
         self.deaths += 1;
         self.routers[at].alive = false;
-        self.routers[at].held.clear();
+        self.routers[at].deferred.clear();
         let life = self.routers[at].life;
         for given in self.given.iter_mut().filter(|given| given.life == life && given.running) {
             given.running = false;
@@ -23,7 +23,8 @@
         }
     }
 
-    /// Starts a killed router again: at its old address, or on a new VM while the old one goes.
+    /// Starts a killed router again, either at its old address or on a new VM. In the latter case, the platform removes
+    /// the old VM from its list after `vms_lag_ms`.
     pub fn restart(&mut self, at: usize, same_address: bool) {
         if self.routers[at].alive {
             return;
@@ -32,8 +33,8 @@
         let (vm, address) = match same_address {
             true => old,
             false => {
-                let gone = Event::VmGone { vm: old.0 };
-                self.after(self.vms_lag_ms, gone);
+                let removal = Event::VmGone { vm: old.0 };
+                self.schedule(self.vms_lag_ms, removal);
                 let number: u64 = self.rng.random();
                 (format!("vm-{number}"), format!("10.1.{}.{}:1", number % 250, number / 250 % 250))
             }
@@ -46,26 +47,28 @@
         self.routers[at].paused = true;
     }
 
+    /// Resumes a paused router and delivers the events that arrived in the meantime.
     pub fn resume(&mut self, at: usize) {
         if !self.routers[at].paused {
             return;
         }
         self.routers[at].paused = false;
-        for event in std::mem::take(&mut self.routers[at].held) {
+        for event in std::mem::take(&mut self.routers[at].deferred) {
             self.deliver(event);
         }
     }
 
+    /// Asks a router to shut down gracefully.
     pub fn stop(&mut self, at: usize) {
         if self.routers[at].alive && !self.routers[at].paused {
             self.routers[at].node.stop(self.now_ms);
-            self.carry_out(at);
+            self.perform_actions(at);
         }
     }
 
     pub(super) fn new_router(&mut self, place: usize, vm: String, address: String) -> Router {
         let life = ids::Incarnation(self.rng.random());
-        let seeds = self.routers.iter().map(|it| it.address.clone()).collect();
+        let seeds = self.routers.iter().map(|router| router.address.clone()).collect();
         let settings = node::Settings {
             incarnation: life,
             vm: vm.clone(),
@@ -89,11 +92,12 @@
             region: place % self.shape.regions,
             alive: true,
             paused: false,
-            held: Vec::new(),
-            version_seen: 0,
+            deferred: Vec::new(),
+            last_version: 0,
         }
     }
 
+    /// Adds routers to the platform's list of VMs.
     pub(super) fn list_routers(&mut self) {
         let routers = self.routers.iter().map(|router| servers::Vm {
             vm: router.vm.clone(),
@@ -112,7 +116,8 @@
         self.vms_index += 1;
     }
 
-    pub(super) fn tell_platform_news(&mut self, place: usize) {
+    /// Delivers the configuration and the list of VMs to a router, as the platform has them now.
+    pub(super) fn deliver_platform_state(&mut self, place: usize) {
         if self.faults.store_out || self.faults.store_cut.contains(&place) {
             return;
         }
@@ -125,6 +130,6 @@
             let index = doorswitch_core::store::Position::new(0, self.vms_index);
             router.node.offer_vms(index, self.vms.clone(), self.now_ms);
         }
-        self.carry_out(place);
+        self.perform_actions(place);
     }
 }
--- a/core/tests/world/sample.rs
+++ b/core/tests/world/sample.rs
@@ -1,4 +1,4 @@
-//! The configuration and the servers of a world.
+//! The configuration and the backend servers of a simulated fleet.
 
 use super::Shape;
 use doorswitch_core::{config, servers};
