--- a/core/tests/arbitrary_messages.rs
+++ b/core/tests/arbitrary_messages.rs
@@ -1,5 +1,5 @@
-//! Whatever arrives from a peer is decoded and taken without a panic, and a list of servers stays as it was if what
-//! arrived is not newer.
+//! Guards against panics on arbitrary datagrams, against outdated lists of servers that are applied, and against datagrams
+//! that are too large.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -13,6 +13,7 @@
 /// The largest datagram that a router sends.
 const DATAGRAM_BYTES_MAX: usize = 8 << 10;
 
+/// Returns datagrams that a router sends while records, limits and the configuration change.
 fn datagrams(fleet: &mut Fleet) -> Vec<Vec<u8>> {
     fleet.put_server("server-1", servers::VmState::Leaving);
     fleet.restart_server("server-2", servers::VmState::Live);
@@ -26,10 +27,10 @@
         .collect();
     let now_ms = fleet.now_ms;
     for (vm, life) in &names {
-        let said = servers::Stated::Value(1_100);
-        fleet.routers[0].node.report_limit(vm, *life, said, 5, now_ms);
+        let limit = servers::Stated::Value(1_100);
+        fleet.routers[0].node.report_limit(vm, *life, limit, 5, now_ms);
     }
-    let mut found = permits(fleet, &names[0]);
+    let mut datagrams = permits(fleet, &names[0]);
     for _ in 0..40 {
         fleet.now_ms += watch_fleet::TICK_MS;
         let now_ms = fleet.now_ms;
@@ -41,14 +42,14 @@
                 node::Action::Send { envelope, .. } => message::Datagram::Message(envelope),
                 _ => continue,
             };
-            found.push(postcard::to_stdvec(&datagram).unwrap());
+            datagrams.push(postcard::to_stdvec(&datagram).unwrap());
         }
     }
-    assert!(!found.is_empty());
-    found
+    assert!(!datagrams.is_empty());
+    datagrams
 }
 
-/// A question for permits and an answer, which a router in calm does not send.
+/// A permit request and a reply, which routers don't send in an undisturbed fleet.
 fn permits(fleet: &Fleet, (vm, life): &(String, ids::ServerLife)) -> Vec<Vec<u8>> {
     let id = |place: usize| fleet.routers[place].node.members().own().id;
     let wanted = servers::PermitsWanted { permits: 2, within_ms: 400, trial: false };
@@ -72,7 +73,7 @@
     datagrams.iter().map(|datagram| postcard::to_stdvec(datagram).unwrap()).collect()
 }
 
-fn take(fleet: &mut Fleet, datagram: message::Datagram) {
+fn handle(fleet: &mut Fleet, datagram: message::Datagram) {
     let now_ms = fleet.now_ms;
     let node = &mut fleet.routers[1].node;
     match datagram {
@@ -84,13 +85,13 @@
 }
 
 #[test]
-fn any_datagram_is_taken_without_a_panic() {
+fn an_arbitrary_datagram_causes_no_panic() {
     let mut fleet = settled(6, BOUNDS, 31);
-    let sound = datagrams(&mut fleet);
+    let valid = datagrams(&mut fleet);
     let mut g = Gen::from_size_and_seed(64, 31);
     let mut decoded = 0;
     for case in 0..CASES {
-        let mut bytes = sound[case % sound.len()].clone();
+        let mut bytes = valid[case % valid.len()].clone();
         for _ in 0..1 + usize::arbitrary(&mut g) % 3 {
             let place = usize::arbitrary(&mut g) % bytes.len();
             bytes[place] = u8::arbitrary(&mut g);
@@ -100,13 +101,13 @@
         }
         if let Ok(datagram) = postcard::from_bytes::<message::Datagram>(&bytes) {
             decoded += 1;
-            take(&mut fleet, datagram);
+            handle(&mut fleet, datagram);
         }
     }
-    assert!(decoded > CASES / 10, "{decoded} of {CASES} could be decoded");
+    assert!(decoded > CASES / 10, "only {decoded} of {CASES} datagrams could be decoded");
 }
 
-/// A list of servers that is no newer than what a router knows.
+/// A list of servers that is not newer than the copy of router 1.
 fn old_list(fleet: &Fleet, g: &mut Gen) -> message::Message {
     let known = fleet.routers[1].node.vms_index();
     let position = store::Position::new(known.era, u64::arbitrary(g) % (known.revision + 1));
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn a_list_that_is_no_newer_loses_no_server() {
+fn a_list_of_servers_that_is_not_newer_removes_no_server() {
     let mut fleet = settled(6, BOUNDS, 32);
     let mut g = Gen::from_size_and_seed(64, 32);
     let servers = |fleet: &Fleet| -> Vec<servers::Vm> {
@@ -140,16 +141,16 @@
         let message = old_list(&fleet, &mut g);
         let (from, to) =
             (fleet.routers[0].node.members().own().id, fleet.routers[1].node.members().own().id);
-        take(&mut fleet, message::Datagram::Message(message::Envelope { from, to, message }));
+        handle(&mut fleet, message::Datagram::Message(message::Envelope { from, to, message }));
     }
     assert_eq!(servers(&fleet), before);
 }
 
 #[test]
-fn long_names_of_another_writer_make_no_datagram_too_large() {
+fn long_names_from_another_writer_do_not_make_datagrams_too_large() {
     let mut fleet = settled(6, BOUNDS, 33);
     for number in 0..40 {
-        // As long as the texts of a record may be, all together.
+        // The texts of a record may have this length in total.
         fleet.put_server(&format!("{number:0800}"), servers::VmState::Live);
     }
     fleet.run_ms(400);
@@ -158,7 +159,7 @@
     }
     fleet.run_ms(4_000);
     let count = fleet.routers[1].node.servers().iter().count();
-    assert!(count >= 40, "{count} servers are known");
+    assert!(count >= 40, "only {count} servers are listed");
     let alive: Vec<&members::Record> = fleet.routers[1].node.members().live().collect();
     assert_eq!(alive.len(), 5);
     assert_eq!(fleet.routers[1].node.watch_role(), Some(watch::Role::EveryRouter));
--- a/core/tests/digests.rs
+++ b/core/tests/digests.rs
@@ -1,4 +1,4 @@
-//! What a router believes of a peer's word about the store.
+//! Guards against digests and configurations of peers that wrongly replace a router's copy of the store.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -7,8 +7,8 @@
 use doorswitch_core::{ids, message, node, store, watch};
 use watch_fleet::{BOUNDS, Fleet, settled};
 
-/// A digest that a peer, or somebody who says so, might send.
-fn told(config_version: u64, position: store::Position) -> message::Digest {
+/// A digest as a peer, or another sender that pretends to be one, may send it.
+fn digest(config_version: u64, position: store::Position) -> message::Digest {
     message::Digest {
         config_version,
         configuration: message::CopyState { position, age_ms: Some(0) },
@@ -17,7 +17,7 @@
     }
 }
 
-fn hear(fleet: &mut Fleet, digest: message::Digest) -> Vec<node::Action> {
+fn handle(fleet: &mut Fleet, digest: message::Digest) -> Vec<node::Action> {
     fleet.gossip_from_unknown_peer(0, digest);
     fleet.routers[0].node.take_actions()
 }
@@ -32,37 +32,37 @@
         position: store::Position::new(0, 1),
         record: watch::ServerRecord::Gone,
     };
-    let old = message::Digest { changes: vec![gone], ..told(0, store::Position::new(0, 2)) };
-    hear(&mut fleet, old);
+    let old = message::Digest { changes: vec![gone], ..digest(0, store::Position::new(0, 2)) };
+    handle(&mut fleet, old);
     let node = &fleet.routers[0].node;
     let after = (node.config_version(), node.vms_index(), node.servers().iter().count());
     assert_eq!(known, after);
 }
 
 #[test]
-fn a_digest_that_leaves_changes_out_is_asked_about_and_not_believed() {
+fn a_digest_with_missing_changes_is_not_applied_and_causes_one_request_of_each_kind() {
     let mut fleet = settled(20, BOUNDS, 14);
     let node = &fleet.routers[0].node;
     let (config_version, index) = (node.config_version(), node.vms_index());
     let later = |revisions| store::Position::new(index.era, index.revision + revisions);
-    let gap = message::Digest { changes_after: later(5), ..told(config_version + 1, later(10)) };
-    let actions = hear(&mut fleet, gap.clone());
+    let gap = message::Digest { changes_after: later(5), ..digest(config_version + 1, later(10)) };
+    let actions = handle(&mut fleet, gap.clone());
     let node = &fleet.routers[0].node;
     assert_eq!((node.config_version(), node.vms_index()), (config_version, index));
-    let asked = |actions: &[node::Action]| {
-        let asks = actions.iter().filter(|action| {
+    let requests = |actions: &[node::Action]| {
+        let sent = actions.iter().filter(|action| {
             let node::Action::Send { envelope, .. } = action else { return false };
             matches!(
                 envelope.message,
                 message::Message::VmsRequest | message::Message::ConfigRequest
             )
         });
-        asks.count()
+        sent.count()
     };
-    assert_eq!(asked(&actions), 2, "one question for each");
+    assert_eq!(requests(&actions), 2, "one request for each topic");
     for _ in 0..50 {
-        let again = hear(&mut fleet, gap.clone());
-        assert_eq!(asked(&again), 0, "no more while the answer may be on its way");
+        let again = handle(&mut fleet, gap.clone());
+        assert_eq!(requests(&again), 0, "no further request while the reply may be on its way");
     }
 }
 
@@ -84,9 +84,9 @@
         let node = &mut fleet.routers[0].node;
         node.handle_message(message::Envelope { from: ids::Incarnation(77), to, message }, now_ms);
         assert_eq!(node.config_version(), known);
-        let noticed = |action: &node::Action| {
+        let is_notice = |action: &node::Action| {
             matches!(action, node::Action::Notice(node::Notice::UnusableValue(_)))
         };
-        assert!(node.take_actions().iter().any(noticed), "it is logged");
+        assert!(node.take_actions().iter().any(is_notice), "the unusable value is not reported");
     }
 }
--- a/core/tests/evacuation.rs
+++ b/core/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuated failure domains: who hears of them, and what their servers get.
+//! Guards against routers that learn of the evacuation of a failure domain, or of its end, too late or not at all.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -21,59 +21,59 @@
     evacuation::Change { position: at(revision), domain: DOMAIN.to_owned(), evacuated }
 }
 
-fn evacuates_and_takes_back(routers: usize) {
+fn check_evacuation_and_end(routers: usize) {
     let mut fleet = settled(routers, BOUNDS, 1);
     for evacuated in [true, false, true] {
         fleet.evacuate(DOMAIN, evacuated);
-        fleet.run_until("all know", 2_000, Fleet::all_know_latest);
+        fleet.run_until("all routers are up to date", 2_000, Fleet::all_know_latest);
         fleet.run_ms(3_000);
     }
 }
 
-macro_rules! each_hears {
+macro_rules! evacuations_reach_all {
     ($($name:ident: $routers:expr;)*) => {$(
         #[test]
         fn $name() {
-            evacuates_and_takes_back($routers);
+            check_evacuation_and_end($routers);
         }
     )*};
 }
 
-each_hears! {
-    one_router_hears_of_an_evacuation: 1;
-    seven_routers_hear_of_an_evacuation: 7;
-    forty_routers_hear_of_an_evacuation: 40;
+evacuations_reach_all! {
+    one_router_applies_an_evacuation_in_time: 1;
+    seven_routers_apply_an_evacuation_in_time: 7;
+    forty_routers_apply_an_evacuation_in_time: 40;
 }
 
 #[test]
-fn a_router_that_starts_learns_of_an_evacuation_before_it_is_ready() {
+fn a_starting_router_is_not_ready_before_it_has_received_the_evacuations() {
     for store in [Store::Well, Store::Refuses] {
         let mut fleet = settled(7, BOUNDS, 2);
         fleet.evacuate(DOMAIN, true);
-        fleet.run_until("all know", 2_000, Fleet::all_know_latest);
+        fleet.run_until("all routers are up to date", 2_000, Fleet::all_know_latest);
         fleet.set_store(store);
         fleet.restart(3);
         let ready = |fleet: &Fleet| fleet.routers[3].node.config_version() > 0;
-        fleet.run_until("it is ready", 5_000, ready);
+        fleet.run_until("the router is ready", 5_000, ready);
         assert!(fleet.routers[3].node.evacuated().contains(DOMAIN), "{store:?}");
     }
 }
 
 #[test]
-fn an_evacuation_whose_call_stays_unanswered_is_heard_in_time() {
+fn an_evacuation_is_applied_in_time_although_open_polls_stay_unanswered() {
     for at_ms in (0..10_000).step_by(900) {
         let mut fleet = settled(7, BOUNDS, 3);
         fleet.run_ms(at_ms);
         (0..7).for_each(|place| fleet.leave_calls_unanswered(place));
         fleet.evacuate(DOMAIN, true);
-        // The fleet holds every router in touch to its bound.
+        // The fleet asserts the staleness bounds in every step.
         fleet.run_ms(6_000);
         assert!(fleet.all_know_latest());
     }
 }
 
 #[test]
-fn older_answers_change_nothing() {
+fn older_answers_do_not_undo_newer_evacuations() {
     let mut known = evacuation::Evacuations::default();
     known.take(at(10), evacuation::News::Changes(vec![change(10, true)]));
     known.take(at(9), evacuation::News::Changes(vec![change(8, false)]));
@@ -86,14 +86,15 @@
 }
 
 #[test]
-fn the_same_evacuation_twice_is_one() {
+fn a_repeated_evacuation_is_ended_by_one_change() {
     let mut known = evacuation::Evacuations::default();
     known.take(at(11), evacuation::News::Changes(vec![change(10, true), change(11, true)]));
     known.take(at(12), evacuation::News::Changes(vec![change(12, false)]));
     assert!(known.domains.is_empty());
 }
 
-/// Evacuations beside outages, unanswered calls, restarts, cuts and lost history.
+/// Runs a random schedule of evacuations with outages, unanswered polls, restarts, routers without a connection to the
+/// store, and discarded history.
 fn random_schedule(routers: usize, seed: u64) {
     let mut fleet = Fleet::new(routers, 3, BOUNDS, seed);
     let mut rng = StdRng::seed_from_u64(seed ^ 0x5eed);
--- a/core/tests/restores.rs
+++ b/core/tests/restores.rs
@@ -1,4 +1,4 @@
-//! Fleets whose store is restored from a backup. Guards against routers that reach the store and miss later writes.
+//! Guards against routers that miss later writes after the store was restored from a backup.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -21,11 +21,9 @@
 /// Whether no running router uses a server.
 fn is_unused(fleet: &Fleet, server: usize) -> bool {
     let name = format!("server-{server}");
-    fleet
-        .routers
-        .iter()
-        .filter(|router| router.alive)
-        .all(|router| !router.node.servers().iter().any(|(_, it)| it.vm.vm == name && it.is_live()))
+    fleet.routers.iter().filter(|router| router.alive).all(|router| {
+        !router.node.servers().iter().any(|(_, listed)| listed.vm.vm == name && listed.is_live())
+    })
 }
 
 /// Restores the store from a backup that lacks the latest changes. Before it answers calls again, server 0 starts to
@@ -41,7 +39,7 @@
     fleet.remove_server("server-2");
     fleet.evacuate("b", true);
     fleet.put_server("server-new", servers::VmState::Live);
-    fleet.run_until("all know", 4_000, Fleet::all_know_latest);
+    fleet.run_until("all routers are up to date", 4_000, Fleet::all_know_latest);
     let before_restore = fleet.back_up();
     fleet.set_store(store);
     fleet.run_ms(500);
@@ -57,12 +55,12 @@
     );
     assert!(calls <= READS_PER_S * (1 + elapsed_ms / 1_000), "{calls} calls in {elapsed_ms} ms");
     let evacuated = |router: &watch_fleet::Router| router.node.evacuated().contains("b");
-    assert!(fleet.routers.iter().all(evacuated), "it was evacuated in the lost history");
+    assert!(fleet.routers.iter().all(evacuated), "domain b was evacuated in the lost history");
     assert!(is_unused(&fleet, 1), "server 1 left in the lost history");
     assert!(is_unused(&fleet, 2), "server 2 was removed in the lost history");
     fleet.run_ms(1_000);
     fleet.repeat_lost_writes(&before_restore, &backup);
-    fleet.run_until("all know", HELD_BACK_MS + 4_000, Fleet::all_know_latest);
+    fleet.run_until("all routers are up to date", HELD_BACK_MS + 4_000, Fleet::all_know_latest);
 }
 
 macro_rules! restores {
@@ -145,7 +143,7 @@
         fleet.set_cut(place, false);
         fleet.set_frozen(place, false);
     }
-    fleet.run_until("all know", HELD_BACK_MS + 10_000, Fleet::all_know_latest);
+    fleet.run_until("all routers are up to date", HELD_BACK_MS + 10_000, Fleet::all_know_latest);
 }
 
 macro_rules! schedules {
@@ -166,7 +164,7 @@
     thirty_routers_follow_restores_with_other_faults: 30 routers, 0..6;
 }
 
-/// Guards against a false era from a peer that replaces what routers know, or keeps them from following the store.
+/// Guards against a false era from a peer that replaces the copies of routers, or stops them from following the store.
 #[test]
 fn an_era_reported_only_by_a_peer_is_not_applied() {
     let mut fleet = settled(7, BOUNDS, 3);
@@ -174,9 +172,13 @@
     for _ in 0..20 {
         let era = 1 << 40;
         let position = store::Position::new(era, 1);
-        let seen = message::CopyState { position, age_ms: Some(0) };
-        let digest =
-            message::Digest { era, configuration: seen, servers: seen, ..Default::default() };
+        let copy_state = message::CopyState { position, age_ms: Some(0) };
+        let digest = message::Digest {
+            era,
+            configuration: copy_state,
+            servers: copy_state,
+            ..Default::default()
+        };
         fleet.gossip_from_unknown_peer(0, digest);
         fleet.carry_out(0);
         fleet.run_ms(100);
--- a/core/tests/unanswered_calls.rs
+++ b/core/tests/unanswered_polls.rs
@@ -1,10 +1,10 @@
-//! Calls for news that the store takes and never answers, while it answers all others.
+//! Guards against stale routers while single polls stay unanswered, although the store answers all other calls.
 //!
-//! Routers refused new keys and kept to old routes for up to 11 s after a silent outage. A call for the
-//! configuration had been made in the last second of the outage (`event=watch_failed prefix=op/ wait_ms=10000
-//! after_ms=11001` at 14.5 s and again at 25.5 s; the store was silent from 11.9 s to 15.4 s, the change was
-//! acknowledged at 16.1 s). The connection lived and acknowledged; only that answer never came. So not the
-//! connections, nor the routers' view of each other: only the end of the call could show it.
+//! Routers refused new keys and used old routes for up to 11 s after an outage in which the store was silent (from 11.9 s
+//! to 15.4 s; the change was acknowledged at 16.1 s). A poll of the configuration that was sent in the last second of the
+//! outage was never answered (`event=watch_failed prefix=op/ wait_ms=10000 after_ms=11001` at 14.5 s and at 25.5 s). Its
+//! connection stayed open and acknowledged packets, and membership was unaffected, so that only the timeout of the poll
+//! could reveal the fault.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -22,7 +22,7 @@
     fleet.put_server("server-0", servers::VmState::Leaving);
 }
 
-/// The store is silent for so long at each moment of the longest call.
+/// Makes the store silent for `outage_ms`, starting at each of many moments within the longest poll.
 fn silent_at_each_moment(routers: usize, outage_ms: u64) {
     for at_ms in (0..11_000).step_by(700) {
         let mut fleet = settled(routers, BOUNDS, 1);
@@ -31,7 +31,7 @@
         fleet.run_ms(outage_ms);
         fleet.set_store(Store::Well);
         fleet.run_ms(300);
-        // The fleet holds every router in touch to its bound.
+        // The fleet asserts the staleness bounds in every step.
         change(&mut fleet);
         fleet.run_ms(5_000);
         change(&mut fleet);
@@ -39,7 +39,7 @@
     }
 }
 
-/// Of all routers, the calls in flight stay unanswered, at each moment of the longest call.
+/// Leaves the open polls of all routers unanswered, at each of many moments within the longest poll.
 fn unanswered_at_each_moment(routers: usize) {
     for at_ms in (0..11_000).step_by(700) {
         let mut fleet = settled(routers, BOUNDS, 2);
@@ -56,51 +56,51 @@
 }
 
 macro_rules! at_each_moment {
-    ($($name:ident: $trouble:expr;)*) => {$(
+    ($($name:ident: $run:expr;)*) => {$(
         #[test]
         fn $name() {
-            $trouble;
+            $run;
         }
     )*};
 }
 
 at_each_moment! {
-    unanswered_calls_of_one_router_after_a_silent_outage: silent_at_each_moment(1, 3_500);
-    unanswered_calls_of_two_routers_after_a_silent_outage: silent_at_each_moment(2, 3_500);
-    unanswered_calls_of_seven_routers_after_a_silent_outage: silent_at_each_moment(7, 3_500);
-    unanswered_calls_of_seven_routers_after_a_short_silence: silent_at_each_moment(7, 300);
-    unanswered_calls_of_twelve_routers_after_a_silent_outage: silent_at_each_moment(12, 3_500);
-    unanswered_calls_of_forty_routers_after_a_silent_outage: silent_at_each_moment(40, 3_500);
-    unanswered_calls_of_one_router: unanswered_at_each_moment(1);
-    unanswered_calls_of_seven_routers: unanswered_at_each_moment(7);
-    unanswered_calls_of_forty_routers: unanswered_at_each_moment(40);
+    unanswered_polls_of_one_router_after_a_silent_outage: silent_at_each_moment(1, 3_500);
+    unanswered_polls_of_two_routers_after_a_silent_outage: silent_at_each_moment(2, 3_500);
+    unanswered_polls_of_seven_routers_after_a_silent_outage: silent_at_each_moment(7, 3_500);
+    unanswered_polls_of_seven_routers_after_a_short_silence: silent_at_each_moment(7, 300);
+    unanswered_polls_of_twelve_routers_after_a_silent_outage: silent_at_each_moment(12, 3_500);
+    unanswered_polls_of_forty_routers_after_a_silent_outage: silent_at_each_moment(40, 3_500);
+    unanswered_polls_of_one_router: unanswered_at_each_moment(1);
+    unanswered_polls_of_seven_routers: unanswered_at_each_moment(7);
+    unanswered_polls_of_forty_routers: unanswered_at_each_moment(40);
 }
 
-/// A router that was cut off from its peers made a call that waits for long, as in a small fleet. Its peers are back, and
-/// the call is never answered; then they are gone again.
+/// A router without peers has sent a poll with a long wait, as in a small fleet. The poll is never answered while its
+/// peers are reachable again, and then the peers become unreachable a second time.
 #[test]
-fn an_unanswered_call_of_a_small_fleet_holds_up_no_listener() {
+fn an_unanswered_long_poll_of_an_isolated_router_does_not_delay_its_next_polls() {
     let mut fleet = settled(24, BOUNDS, 3);
     let place = 13;
     fleet.routers[place].group = 1;
     fleet.trouble(place);
-    fleet.run_until("it watches alone", 120_000, |fleet| {
-        let calls = fleet.routers[place].node.open_polls(watch::Topic::Servers, fleet.now_ms);
-        calls.iter().any(|call| call.wait_ms > 20_000)
+    fleet.run_until("the isolated router has sent a long poll", 120_000, |fleet| {
+        let polls = fleet.routers[place].node.open_polls(watch::Topic::Servers, fleet.now_ms);
+        polls.iter().any(|poll| poll.wait_ms > 20_000)
     });
     fleet.leave_calls_unanswered(place);
     fleet.routers[place].group = 0;
-    fleet.run_until("it listens again", 10_000, |fleet| {
+    fleet.run_until("the router is a listener again", 10_000, |fleet| {
         fleet.routers[place].node.watch_role() == Some(watch::Role::Listener)
     });
     fleet.routers[place].group = 1;
     fleet.trouble(place);
     change(&mut fleet);
-    // The fleet holds it to its bound.
+    // The fleet asserts the router's staleness bounds in every step.
     fleet.run_ms(8_000);
 }
 
-/// Calls that stay unanswered at any moment, beside outages, cuts, restarts and changes.
+/// Runs a random schedule of unanswered polls, outages, connections that fail, restarts and changes.
 fn random_schedule(routers: usize, seed: u64) {
     let mut fleet = Fleet::new(routers, 3, BOUNDS, seed);
     let mut rng = StdRng::seed_from_u64(seed ^ 0x5eed);
@@ -138,7 +138,7 @@
 }
 
 random_schedules! {
-    unanswered_calls_of_one_router_at_random: 1, 0..30;
-    unanswered_calls_of_six_routers_at_random: 6, 100..130;
-    unanswered_calls_of_thirty_routers_at_random: 30, 200..215;
+    unanswered_polls_of_one_router_at_random: 1, 0..30;
+    unanswered_polls_of_six_routers_at_random: 6, 100..130;
+    unanswered_polls_of_thirty_routers_at_random: 30, 200..215;
 }
--- a/core/tests/watch_fleet/checks.rs
+++ b/core/tests/watch_fleet/checks.rs
@@ -31,9 +31,9 @@
     /// Checks that a router uses no server whose leaving its copy of the list includes.
     fn check_leaving(&self, place: usize) {
         let node = &self.routers[place].node;
-        let known = node.vms_index();
+        let position = node.vms_index();
         for (name, (revision, vm)) in &self.servers {
-            if vm.state == servers::VmState::Leaving && self.includes(known, *revision) {
+            if vm.state == servers::VmState::Leaving && self.includes(position, *revision) {
                 let live = node.servers().iter().any(|(_, server)| {
                     let of_life = server.vm.vm == *name && server.vm.life == vm.life;
                     of_life && server.vm.state == servers::VmState::Live
@@ -49,8 +49,9 @@
     /// Checks that a router uses no earlier incarnation of a server if its copy of the list includes a later one.
     fn check_server_incarnations(&self, place: usize) {
         let node = &self.routers[place].node;
-        let known = node.vms_index();
-        let included = |(_, entry): &(&String, &(u64, servers::Vm))| self.includes(known, entry.0);
+        let position = node.vms_index();
+        let included =
+            |(_, entry): &(&String, &(u64, servers::Vm))| self.includes(position, entry.0);
         for (name, (revision, vm)) in self.servers.iter().filter(included) {
             let earlier = node
                 .servers()
@@ -67,8 +68,8 @@
     /// Checks that a request is not dispatched to an earlier incarnation of a server than the router has in its table.
     pub(super) fn check_answer(&self, place: usize, answer: &node::Answer) {
         let node::Answer::Dispatch { vm, life, .. } = answer else { return };
-        let mut known = self.routers[place].node.servers().iter();
-        let later = known.any(|(_, server)| server.vm.vm == *vm && server.vm.life > *life);
+        let mut servers = self.routers[place].node.servers().iter();
+        let later = servers.any(|(_, server)| server.vm.vm == *vm && server.vm.life > *life);
         assert!(!later, "entry-{place} dispatches a request to an earlier incarnation of {vm}");
     }
 
@@ -76,17 +77,17 @@
     /// servers that back off, or that have open requests or had some until the last list.
     fn check_content(&self, place: usize) {
         let node = &self.routers[place].node;
-        let known = node.vms_index();
+        let position = node.vms_index();
         for (_, server) in node.servers().iter().filter(|(_, server)| server.is_live()) {
             let name = &server.vm.vm;
             let mut earlier =
-                self.history.iter().rev().filter(|change| self.includes(known, change.revision));
+                self.history.iter().rev().filter(|change| self.includes(position, change.revision));
             let last = earlier.find_map(|change| {
                 let (changed, record) = change.server.as_ref()?;
                 (changed == name).then_some(record)
             });
             let listed = matches!(last, Some(watch::ServerRecord::Listed(_)));
-            assert!(listed, "entry-{place} uses {name}, which is not listed at {known}");
+            assert!(listed, "entry-{place} uses {name}, which is not listed at {position}");
         }
     }
 
--- a/core/tests/watch_fleet/mod.rs
+++ b/core/tests/watch_fleet/mod.rs
@@ -468,9 +468,9 @@
             return;
         }
         self.calls += 2;
-        let known = self.announced.iter().cloned().collect();
+        let addresses = self.announced.iter().cloned().collect();
         self.announced.insert(self.routers[place].address.clone());
-        self.routers[place].node.offer_seeds(known);
+        self.routers[place].node.offer_seeds(addresses);
     }
 
     /// Whether a router has been running without a fault, unpartitioned and connected to the store for `CONTACT_MS`.
--- a/core/tests/watch_fleet/store.rs
+++ b/core/tests/watch_fleet/store.rs
@@ -80,9 +80,9 @@
         store::Position { era: self.era, revision }
     }
 
-    /// Whether a copy at position `known` includes the change at `revision` of the current era.
-    pub(super) fn includes(&self, known: store::Position, revision: u64) -> bool {
-        known.era == self.era && revision <= known.revision
+    /// Whether a copy at `position` includes the change at `revision` of the current era.
+    pub(super) fn includes(&self, position: store::Position, revision: u64) -> bool {
+        position.era == self.era && revision <= position.revision
     }
 
     /// Leaves the open polls of a router unanswered forever.
--- a/core/tests/watching.rs
+++ b/core/tests/watching.rs
@@ -1,4 +1,4 @@
-//! Who asks the store for news, and how soon everybody has them.
+//! Guards against routers that apply updates of the store too late, and against fleets that poll the store too often.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -9,6 +9,7 @@
 use rand::{RngExt, SeedableRng};
 use watch_fleet::{BOUNDS, Fleet, Store, settled};
 
+/// Bounds that are shorter than those of most tests.
 const TIGHT: watch::Bounds = watch::Bounds { configuration_ms: 2_000, servers_ms: 2_000 };
 
 fn calls_in(fleet: &mut Fleet, time_ms: u64) -> u64 {
@@ -17,59 +18,60 @@
     fleet.calls - before
 }
 
-/// Something changes for both topics.
+/// Makes a change in both topics.
 fn change(fleet: &mut Fleet) {
     fleet.publish();
     fleet.put_server("server-0", servers::VmState::Leaving);
 }
 
 #[test]
-fn in_a_small_fleet_every_router_watches() {
+fn in_a_small_fleet_every_router_polls_the_store() {
     let fleet = settled(8, TIGHT, 1);
-    let duties = fleet.routers.iter().map(|router| router.node.watch_role());
-    assert!(duties.into_iter().all(|duty| duty == Some(watch::Role::EveryRouter)));
+    let roles = fleet.routers.iter().map(|router| router.node.watch_role());
+    assert!(roles.into_iter().all(|role| role == Some(watch::Role::EveryRouter)));
 }
 
 #[test]
-fn in_a_larger_fleet_two_in_different_failure_domains_watch() {
+fn in_a_larger_fleet_two_routers_of_different_failure_domains_poll_the_store() {
     for seed in 0..5 {
         let fleet = settled(40, BOUNDS, seed);
         let watchers = fleet.watchers();
         assert_eq!(watchers.len(), 2, "{watchers:?}");
-        // The fleet's domains go by place, four of them.
+        // The failure domain of a router is its index modulo 4.
         assert_ne!(watchers[0] % 4, watchers[1] % 4, "{watchers:?}");
     }
 }
 
-macro_rules! calls_do_not_grow {
+macro_rules! polls_do_not_increase_with_the_fleet {
     ($($name:ident: $routers:expr;)*) => {$(
         #[test]
         fn $name() {
             let mut fleet = settled($routers, BOUNDS, 3);
             let calls = calls_in(&mut fleet, 20_000);
-            // Two watchers, two topics, a call each second, and now and then one more.
+            // Two watchers poll two topics once a second, with a few additional polls.
             assert!((60..=110).contains(&calls), "{calls} calls in 20 s");
         }
     )*};
 }
 
-calls_do_not_grow! {
-    calls_in_calm_with_23_routers: 23;
-    calls_in_calm_with_86_routers: 86;
-    calls_in_calm_with_295_routers: 295;
+polls_do_not_increase_with_the_fleet! {
+    polls_of_an_undisturbed_fleet_of_23_routers: 23;
+    polls_of_an_undisturbed_fleet_of_86_routers: 86;
+    polls_of_an_undisturbed_fleet_of_295_routers: 295;
 }
 
 #[test]
-fn news_reach_all_soon_although_datagrams_are_lost() {
+fn updates_reach_all_routers_in_time_although_datagrams_are_lost() {
     let mut fleet = settled(86, BOUNDS, 4);
     fleet.loss_percent = 30;
     for _ in 0..10 {
         change(&mut fleet);
         fleet.run_ms(500);
-        let know = fleet.routers.iter().filter(|router| fleet.knows_latest(&router.node)).count();
-        assert!(know * 100 >= 86 * 90, "{know} of 86 after half a second");
-        // Before their knowledge counts as overdue, and without asking the store.
-        fleet.run_until("news everywhere", 1_500, Fleet::all_know_latest);
+        let current =
+            fleet.routers.iter().filter(|router| fleet.knows_latest(&router.node)).count();
+        assert!(current * 100 >= 86 * 90, "{current} of 86 routers are up to date after 500 ms");
+        // This is before their copies count as stale, so that they don't poll the store.
+        fleet.run_until("all routers are up to date", 1_500, Fleet::all_know_latest);
         fleet.run_ms(500);
     }
 }
@@ -88,7 +90,7 @@
                 }
                 let before = fleet.calls;
                 change(&mut fleet);
-                // The fleet holds every router in touch to its bound.
+                // The fleet asserts the staleness bounds in every step.
                 fleet.run_ms(10_000);
                 let calls = fleet.calls - before;
                 assert!(calls < 20 * 10, "{calls} calls in 10 s");
@@ -98,16 +100,16 @@
 }
 
 watchers_fail! {
-    both_watchers_die: 40, BOUNDS, |fleet, place| fleet.kill(place);
+    both_watchers_are_killed: 40, BOUNDS, |fleet, place| fleet.kill(place);
     both_watchers_freeze: 40, BOUNDS, |fleet, place| fleet.set_frozen(place, true);
     both_watchers_are_cut_from_the_store: 40, BOUNDS, |fleet, place| fleet.set_cut(place, true);
-    both_watchers_are_turned_away: 40, BOUNDS, |fleet, place| fleet.set_turned_away(place, true);
+    both_watchers_are_rejected_by_the_store: 40, BOUNDS, |fleet, place| fleet.set_turned_away(place, true);
     both_watchers_are_cut_with_a_tight_bound: 40, TIGHT, |fleet, place| fleet.set_cut(place, true);
-    both_watchers_die_in_a_fleet_of_295: 295, BOUNDS, |fleet, place| fleet.kill(place);
+    both_watchers_are_killed_in_a_fleet_of_295: 295, BOUNDS, |fleet, place| fleet.kill(place);
 }
 
 #[test]
-fn calls_fall_again_once_watchers_are_back() {
+fn polls_decrease_again_after_the_watchers_reach_the_store() {
     let mut fleet = settled(40, BOUNDS, 5);
     for place in fleet.watchers() {
         fleet.set_cut(place, true);
@@ -122,51 +124,57 @@
 }
 
 #[test]
-fn an_outage_costs_a_bounded_number_of_calls() {
+fn an_outage_of_the_store_causes_a_bounded_number_of_polls() {
     for store in [Store::Refuses, Store::Silent] {
         let mut fleet = settled(86, BOUNDS, 6);
         fleet.set_store(store);
         let calls = calls_in(&mut fleet, 10_000);
-        // Twelve a second for each topic, and the watchers' own.
+        // Each topic may be polled 12 times a second, in addition to the polls of the watchers.
         assert!(calls <= 10 * (2 * 12 + 10), "{calls} calls in 10 s of {store:?}");
         change(&mut fleet);
         fleet.set_store(Store::Well);
-        let took_ms = fleet.run_until("news after the outage", 4_000, Fleet::all_know_latest);
+        let took_ms = fleet.run_until(
+            "all routers are up to date after the outage",
+            4_000,
+            Fleet::all_know_latest,
+        );
         assert!(took_ms <= 2_500, "{took_ms} ms after {store:?}");
     }
 }
 
 #[test]
-fn a_fleet_that_starts_from_nothing_reads_the_store_a_few_times() {
+fn a_fleet_whose_routers_all_start_at_once_makes_few_calls_of_the_store() {
     for seed in 0..4 {
         let mut fleet = Fleet::new(86, 3, BOUNDS, seed);
-        let took_ms = fleet.run_until("all know", 10_000, Fleet::all_know_latest);
+        let took_ms = fleet.run_until("all routers are up to date", 10_000, Fleet::all_know_latest);
         assert!(took_ms <= 3_000, "{took_ms} ms");
         assert!(fleet.calls <= 40, "{} calls", fleet.calls);
     }
 }
 
 #[test]
-fn a_fleet_without_seeds_finds_itself_through_the_store() {
+fn routers_without_seeds_discover_each_other_through_the_store() {
     let mut fleet = Fleet::new(30, 0, BOUNDS, 7);
     fleet.run_ms(20_000);
     assert!(fleet.all_know_latest());
-    let known = fleet.routers.iter().map(|router| router.node.members().live_count());
-    assert!(known.into_iter().all(|known| known == 30));
+    let live = fleet.routers.iter().map(|router| router.node.members().live_count());
+    assert!(live.into_iter().all(|live| live == 30));
     assert_eq!(fleet.watchers().len(), 2);
 }
 
 #[test]
-fn a_router_starts_from_a_peers_word_while_the_store_is_away() {
+fn a_router_starts_with_the_state_of_its_peers_while_the_store_is_unavailable() {
     let mut fleet = settled(20, BOUNDS, 8);
     fleet.set_store(Store::Refuses);
     fleet.run_ms(3_000);
     fleet.restart(17);
-    fleet.run_until("it knows", 1_000, |fleet| fleet.knows_latest(&fleet.routers[17].node));
+    fleet.run_until("the router is up to date", 1_000, |fleet| {
+        fleet.knows_latest(&fleet.routers[17].node)
+    });
 }
 
 #[test]
-fn groups_that_do_not_hear_each_other_both_follow_and_find_each_other_again() {
+fn both_sides_of_a_network_partition_follow_the_store_and_merge_afterwards() {
     let mut fleet = settled(40, BOUNDS, 9);
     for place in 0..40 {
         fleet.routers[place].group = (place % 2) as u64;
@@ -183,24 +191,25 @@
 }
 
 #[test]
-fn a_router_that_hears_nobody_asks_the_store_itself() {
+fn a_router_that_is_isolated_from_its_peers_polls_the_store() {
     let mut fleet = settled(40, BOUNDS, 10);
-    let lone = (0..40).find(|place| !fleet.watchers().contains(place)).unwrap();
-    fleet.routers[lone].group = 1;
+    let isolated = (0..40).find(|place| !fleet.watchers().contains(place)).unwrap();
+    fleet.routers[isolated].group = 1;
     for _ in 0..6 {
         change(&mut fleet);
         fleet.run_ms(3_000);
     }
-    assert!(fleet.knows_latest(&fleet.routers[lone].node));
+    assert!(fleet.knows_latest(&fleet.routers[isolated].node));
 }
 
-/// The bound of a deployment whose twin showed it: a router started among others that the store was cut off from.
-const CLOSE: watch::Bounds = watch::Bounds { configuration_ms: 3_000, servers_ms: 3_000 };
+/// Bounds of a deployment in whose simulation a router that started among others without a connection to the store
+/// exceeded its bound.
+const SHORT: watch::Bounds = watch::Bounds { configuration_ms: 3_000, servers_ms: 3_000 };
 
 #[test]
-fn one_router_in_touch_among_some_that_are_not_follows_in_time() {
+fn a_router_that_starts_among_peers_without_the_store_is_up_to_date_in_time() {
     for seed in 0..20 {
-        let mut fleet = settled(17, CLOSE, seed);
+        let mut fleet = settled(17, SHORT, seed);
         for place in 0..3 {
             fleet.routers[place].group = 1;
             fleet.set_cut(place, place > 0);
@@ -208,7 +217,7 @@
         fleet.kill(0);
         fleet.run_ms(500);
         fleet.restart(0);
-        // The fleet holds every router in touch to its bound.
+        // The fleet asserts the staleness bounds in every step.
         for _ in 0..4 {
             fleet.run_ms(1_000);
             change(&mut fleet);
@@ -217,18 +226,18 @@
     }
 }
 
-macro_rules! one_alone_in_touch {
+macro_rules! one_router_reaches_the_store {
     ($($name:ident: $routers:expr;)*) => {$(
         #[test]
         fn $name() {
             for seed in 0..3 {
-                let mut fleet = settled($routers, CLOSE, seed);
+                let mut fleet = settled($routers, SHORT, seed);
                 for place in 1..$routers {
                     fleet.set_cut(place, true);
                 }
                 for _ in 0..4 {
                     change(&mut fleet);
-                    // The fleet holds every router in touch to its bound.
+                    // The fleet asserts the staleness bounds in every step.
                     fleet.run_ms(4_000);
                 }
             }
@@ -236,34 +245,34 @@
     )*};
 }
 
-one_alone_in_touch! {
-    the_only_one_of_23_in_touch_follows_in_time: 23;
-    the_only_one_of_86_in_touch_follows_in_time: 86;
-    the_only_one_of_295_in_touch_follows_in_time: 295;
+one_router_reaches_the_store! {
+    the_only_router_of_23_that_reaches_the_store_is_up_to_date_in_time: 23;
+    the_only_router_of_86_that_reaches_the_store_is_up_to_date_in_time: 86;
+    the_only_router_of_295_that_reaches_the_store_is_up_to_date_in_time: 295;
 }
 
 #[test]
-fn a_peer_that_is_as_late_delays_no_call() {
+fn an_equally_stale_peer_does_not_delay_a_poll() {
     for seed in 0..50 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut watch =
-            watch::Subscription::new(watch::Topic::Configuration, CLOSE.configuration_ms);
+            watch::Subscription::new(watch::Topic::Configuration, SHORT.configuration_ms);
         watch.confirm(store::Position::new(0, 5), 0);
         let fleet = watch::Fleet { routers: 17, rank: 3, alone: false };
         let due = (0..3_500).step_by(20).find(|now_ms| {
-            // The time on the way makes what it tells look a little newer each time.
+            // The delay of its messages makes the reported state look slightly newer each time.
             if now_ms % 100 == 0 {
                 watch.confirm(store::Position::new(0, 5), now_ms / 50);
             }
             watch.due_poll(watch::Role::Listener, fleet, *now_ms, &mut rng).is_some()
         });
-        // Overdue after 1,500 ms; 17 routers make 12 calls a second.
+        // The copy is stale after 1,500 ms, and 17 routers make 12 polls a second.
         assert!(due.is_some_and(|now_ms| now_ms <= 3_020), "seed {seed}: {due:?}");
     }
 }
 
 #[test]
-fn history_that_is_forgotten_is_read_anew_by_few() {
+fn few_routers_read_the_store_again_after_its_history_was_discarded() {
     let mut fleet = settled(60, BOUNDS, 11);
     let before = fleet.calls;
     for _ in 0..5 {
@@ -281,15 +290,15 @@
 }
 
 #[test]
-fn what_peers_told_is_not_undone_by_an_older_answer_of_the_store() {
+fn an_older_answer_of_the_store_does_not_undo_updates_from_peers() {
     let mut fleet = settled(40, BOUNDS, 12);
     fleet.answer_ms = 900;
     fleet.run_ms(2_000);
-    // A server's records change all the time, and answers arrive in any order.
-    for round in 0..40 {
+    // Records change faster than answers arrive, and answers arrive in any order.
+    for change in 0..40 {
         fleet.put_server("server-1", servers::VmState::Live);
         fleet.run_ms(100);
-        match round % 3 {
+        match change % 3 {
             0 => fleet.remove_server("server-2"),
             1 => fleet.put_server("server-2", servers::VmState::Leaving),
             _ => fleet.forget_history(),
@@ -301,7 +310,7 @@
     assert!(fleet.all_know_latest());
 }
 
-/// A schedule of troubles that come at any moment, more than one at once.
+/// Runs a random schedule of overlapping faults and changes.
 fn random_schedule(routers: usize, bounds: watch::Bounds, seed: u64) -> Fleet {
     let mut fleet = Fleet::new(routers, 3, bounds, seed);
     let mut rng = StdRng::seed_from_u64(seed ^ 0x5eed);
@@ -337,7 +346,7 @@
             14 => fleet.forget_history(),
             _ => fleet.write_elsewhere(),
         }
-        // Twelve watchers' worth of restarts would hide what a dead one leaves behind.
+        // Some killed routers stay down for several steps, as restarts at once would hide the effects of a lost router.
         if !fleet.routers[place].alive && rng.random_range(0..2) == 0 {
             fleet.restart(place);
         }
