--- a/core/tests/ledger.rs
+++ b/core/tests/ledger.rs
@@ -1,137 +1,138 @@
-//! The ledger and its writer: what a lost reply, a lost race or an end may and may not change.
+//! Guards against tokens that the ledger or its writer creates or loses when a reply is lost, a write conflicts or a
+//! router shuts down.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
-mod ledger_bench;
+mod ledger_harness;
 
 use doorswitch_core::{ids, ledger, ledger_writer, store};
-use ledger_bench::{Bench, OTHER, OWN};
+use ledger_harness::{Harness, OTHER, OWN};
 use quickcheck::quickcheck;
 
 #[test]
 fn a_draw_without_a_reply_counts_only_once_it_is_read_back() {
-    let mut bench = Bench::new(100_000);
-    let (sent, _) = bench.read();
+    let mut harness = Harness::new(100_000);
+    let (sent, _) = harness.read();
     let sent = sent.unwrap();
-    bench.reply(sent.call, store::Reply::Unknown);
-    assert_eq!(bench.account().free_tokens(), 0);
-    bench.apply(&sent);
-    bench.read();
-    assert_eq!(bench.account().free_tokens(), bench.held_in_store());
-    assert!(bench.held_in_store() > 0);
+    harness.reply(sent.call, store::Reply::Unknown);
+    assert_eq!(harness.account().free_tokens(), 0);
+    harness.apply(&sent);
+    harness.read();
+    assert_eq!(harness.account().free_tokens(), harness.granted_in_store());
+    assert!(harness.granted_in_store() > 0);
 }
 
 #[test]
-fn a_draw_that_never_arrived_is_no_token() {
-    let mut bench = Bench::new(100_000);
-    let (sent, _) = bench.read();
-    bench.reply(sent.unwrap().call, store::Reply::Unknown);
-    let (again, _) = bench.read();
-    bench.assert_safe();
+fn a_draw_that_never_arrived_grants_no_tokens() {
+    let mut harness = Harness::new(100_000);
+    let (sent, _) = harness.read();
+    harness.reply(sent.unwrap().call, store::Reply::Unknown);
+    let (again, _) = harness.read();
+    harness.assert_safe();
     let again = again.unwrap();
-    let reply = bench.apply(&again);
-    bench.reply(again.call, reply);
-    assert_eq!(bench.account().free_tokens(), bench.held_in_store());
+    let reply = harness.apply(&again);
+    harness.reply(again.call, reply);
+    assert_eq!(harness.account().free_tokens(), harness.granted_in_store());
 }
 
 #[test]
-fn returned_tokens_are_out_of_reach_from_the_moment_the_write_is_made() {
-    let mut bench = Bench::with_surplus();
-    let before = bench.account().free_tokens();
-    let (sent, _) = bench.read();
+fn returned_tokens_cannot_be_spent_once_the_write_is_sent() {
+    let mut harness = Harness::with_surplus();
+    let before = harness.account().free_tokens();
+    let (sent, _) = harness.read();
     assert!(sent.is_some());
-    assert!(bench.account().free_tokens() < before);
+    assert!(harness.account().free_tokens() < before);
 }
 
 #[test]
-fn a_return_that_may_still_arrive_stays_out_of_reach() {
-    let mut bench = Bench::with_surplus();
-    let (sent, _) = bench.read();
+fn returned_tokens_cannot_be_spent_while_the_write_may_still_arrive() {
+    let mut harness = Harness::with_surplus();
+    let (sent, _) = harness.read();
     let sent = sent.unwrap();
-    bench.reply(sent.call, store::Reply::Unknown);
-    // The store still shows the old value: the write may be on its way.
-    let (_, _) = bench.read();
-    bench.apply(&sent);
-    bench.assert_safe();
+    harness.reply(sent.call, store::Reply::Unknown);
+    // The store still contains the old value, but the write may still be on its way.
+    let (_, _) = harness.read();
+    harness.apply(&sent);
+    harness.assert_safe();
 }
 
 #[test]
-fn a_return_that_lost_its_race_comes_back() {
-    let mut bench = Bench::with_surplus();
-    let before = bench.account().free_tokens();
-    let (sent, _) = bench.read();
+fn tokens_of_a_return_that_conflicted_are_not_lost() {
+    let mut harness = Harness::with_surplus();
+    let before = harness.account().free_tokens();
+    let (sent, _) = harness.read();
     let sent = sent.unwrap();
-    bench.index += 1;
-    let reply = bench.apply(&sent);
+    harness.index += 1;
+    let reply = harness.apply(&sent);
     assert_eq!(reply, store::Reply::Conflict);
-    bench.reply(sent.call, reply);
-    bench.shard.pay("w/main", "second", 1).unwrap();
-    bench.index += 1;
-    let (again, _) = bench.read();
-    bench.assert_safe();
+    harness.reply(sent.call, reply);
+    harness.shard.pay("w/main", "second", 1).unwrap();
+    harness.index += 1;
+    let (again, _) = harness.read();
+    harness.assert_safe();
     let again = again.unwrap();
-    bench.index += 1;
-    bench.reply(again.call, store::Reply::Conflict);
-    bench.read();
-    assert!(bench.account().free_tokens() <= before);
+    harness.index += 1;
+    harness.reply(again.call, store::Reply::Conflict);
+    harness.read();
+    assert!(harness.account().free_tokens() <= before);
 }
 
 #[test]
 fn a_holder_that_was_written_off_draws_no_more() {
-    let mut bench = Bench::new(100_000);
-    bench.round();
-    bench.shard.write_off(OWN);
-    bench.index += 1;
-    let (sent, events) = bench.read();
+    let mut harness = Harness::new(100_000);
+    harness.sync();
+    harness.shard.write_off(OWN);
+    harness.index += 1;
+    let (sent, events) = harness.read();
     assert!(sent.is_none());
     assert!(events.contains(&ledger_writer::Event::WrittenOff));
 }
 
 #[test]
-fn a_stopping_holder_closes_with_its_last_word() {
-    let mut bench = Bench::new(100_000);
-    bench.round();
-    let slot = bench.budget;
-    let reservation = bench.table.reserve(slot, 100).unwrap().dispatch();
-    bench.table.settle(reservation, 60);
-    bench.stopping = true;
-    bench.round();
-    let budget = &bench.shard.budgets["w/main"];
+fn a_stopping_holder_closes_its_grant_with_its_final_totals() {
+    let mut harness = Harness::new(100_000);
+    harness.sync();
+    let slot = harness.budget;
+    let reservation = harness.table.reserve(slot, 100).unwrap().dispatch();
+    harness.table.settle(reservation, 60);
+    harness.stopping = true;
+    harness.sync();
+    let budget = &harness.shard.budgets["w/main"];
     assert!(budget.grants.is_empty());
     assert_eq!(budget.remaining_tokens(), Some(100_000 - 60));
     assert_eq!(budget.closed_consumed_tokens, 60);
 }
 
 #[test]
-fn a_stopping_holder_returns_what_is_free_while_a_request_still_runs() {
-    let mut bench = Bench::new(100_000);
-    bench.round();
-    let slot = bench.budget;
-    let running = bench.table.reserve(slot, 100).unwrap().dispatch();
-    bench.stopping = true;
-    bench.round();
-    assert_eq!(bench.shard.budgets["w/main"].remaining_tokens(), Some(100_000 - 100));
-    assert!(bench.table.reserve(slot, 1).is_none(), "what was returned is not spent");
-    bench.table.settle(running, 60);
-    bench.round();
-    let budget = &bench.shard.budgets["w/main"];
+fn a_stopping_holder_returns_its_free_tokens_while_a_request_still_runs() {
+    let mut harness = Harness::new(100_000);
+    harness.sync();
+    let slot = harness.budget;
+    let running = harness.table.reserve(slot, 100).unwrap().dispatch();
+    harness.stopping = true;
+    harness.sync();
+    assert_eq!(harness.shard.budgets["w/main"].remaining_tokens(), Some(100_000 - 100));
+    assert!(harness.table.reserve(slot, 1).is_none(), "returned tokens cannot be spent");
+    harness.table.settle(running, 60);
+    harness.sync();
+    let budget = &harness.shard.budgets["w/main"];
     assert!(budget.grants.is_empty());
     assert_eq!(budget.remaining_tokens(), Some(100_000 - 60));
 }
 
 #[test]
-fn an_unreadable_ledger_is_left_alone() {
-    let mut bench = Bench::new(100);
+fn an_unreadable_ledger_is_not_overwritten() {
+    let mut harness = Harness::new(100);
     let call = ids::CallId(77);
-    bench.start(call);
+    harness.start(call);
     let found = store::Reply::Found { index: store::Position::new(0, 9), value: b"{".to_vec() };
-    let (sent, events) = bench.reply(call, found);
+    let (sent, events) = harness.reply(call, found);
     assert!(sent.is_none());
     assert!(matches!(events[..], [ledger_writer::Event::Unusable(_)]));
 }
 
 #[test]
-fn a_payment_applies_once_and_not_with_another_amount() {
+fn a_payment_is_applied_once_and_not_with_another_amount() {
     let mut shard = ledger::Shard::default();
     assert!(shard.pay("w/main", "one", 5).unwrap());
     assert!(!shard.pay("w/main", "one", 5).unwrap());
@@ -141,7 +142,7 @@
 }
 
 #[test]
-fn a_dead_holders_grant_counts_as_spent() {
+fn the_grant_of_a_terminated_holder_counts_as_spent() {
     let mut shard = ledger::Shard::default();
     shard.pay("w/main", "one", 1_000).unwrap();
     shard.draw("w/main", OTHER, 400);
@@ -151,7 +152,7 @@
 }
 
 #[test]
-fn a_write_off_tells_each_budget_and_what_its_holder_said_last() {
+fn a_write_off_covers_each_budget_and_subtracts_the_reported_consumption() {
     let mut shard = ledger::Shard::default();
     for budget in ["w/main", "w/side"] {
         shard.pay(budget, "one", 1_000).unwrap();
@@ -159,17 +160,17 @@
     }
     let main = shard.budgets.get_mut("w/main").unwrap().grants.get_mut(&OTHER).unwrap();
     main.consumed_tokens = 150;
-    let dead = shard.grants_of(OTHER);
-    let told: Vec<(&str, u64)> =
-        dead.iter().map(|it| (it.budget.as_str(), it.written_off_tokens())).collect();
-    assert_eq!(told, [("w/main", 250), ("w/side", 400)]);
+    let grants = shard.grants_of(OTHER);
+    let written_off: Vec<(&str, u64)> =
+        grants.iter().map(|grant| (grant.budget.as_str(), grant.written_off_tokens())).collect();
+    assert_eq!(written_off, [("w/main", 250), ("w/side", 400)]);
     assert_eq!(shard.write_off(OTHER), 650);
     assert!(shard.grants_of(OTHER).is_empty());
 }
 
 quickcheck! {
-    /// Whatever is drawn, returned, closed and written off: what remains is never negative, and what
-    /// is granted never more than what was paid.
+    /// Random draws, returns, closings and write-offs never make the remaining tokens negative, so that the granted
+    /// tokens never exceed the paid ones.
     fn the_ledger_never_grants_more_than_was_paid(ops: Vec<(u8, u8, u16)>) -> bool {
         let mut shard = ledger::Shard::default();
         shard.pay("w/main", "one", 10_000).unwrap();
--- a/core/tests/ledger_bad_values.rs
+++ b/core/tests/ledger_bad_values.rs
@@ -1,63 +1,63 @@
-//! A shard of the ledger that another writer has spoilt: nothing is spent that was not granted before, nothing is
-//! written over it, and it is told of once.
+//! Guards against an unusable value of a ledger shard that is overwritten, reported more than once, or leads to spending
+//! beyond the granted tokens.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
-mod ledger_bench;
+mod ledger_harness;
 
 use doorswitch_core::{ids, ledger_writer, store};
-use ledger_bench::Bench;
+use ledger_harness::Harness;
 
 const INDEX: store::Position = store::Position::new(0, 7);
 
-/// Reads what `reply` says twice; returns what was told of.
-fn read_twice(bench: &mut Bench, reply: &store::Reply) -> Vec<ledger_writer::Event> {
+/// Lets the writer read `reply` twice and returns the reported events.
+fn read_twice(harness: &mut Harness, reply: &store::Reply) -> Vec<ledger_writer::Event> {
     let mut events = Vec::new();
     for number in [501, 502] {
         let call = ids::CallId(number);
-        bench.writer.request_sync();
-        let request = bench.start(call);
-        assert!(matches!(request, store::Request::Read { .. }), "{request:?} writes over it");
-        let (sent, told) = bench.reply(call, reply.clone());
-        assert!(sent.is_none(), "nothing is written over it");
-        events.extend(told);
+        harness.writer.request_sync();
+        let request = harness.start(call);
+        assert!(matches!(request, store::Request::Read { .. }), "{request:?} is not a read");
+        let (sent, reported) = harness.reply(call, reply.clone());
+        assert!(sent.is_none(), "the unusable value was overwritten");
+        events.extend(reported);
     }
     events
 }
 
-fn holds_on_and_recovers(reply: &store::Reply) {
-    let mut bench = Bench::new(100_000);
-    bench.round();
-    let free = bench.account().free_tokens();
+fn check_unusable_value(reply: &store::Reply) {
+    let mut harness = Harness::new(100_000);
+    harness.sync();
+    let free = harness.account().free_tokens();
     assert!(free > 0);
-    // Between two rounds the writer knows what lies there; a call without an answer makes it read again.
+    // Between syncs the writer keeps a copy of the value; an unanswered call makes it read the value again.
     let call = ids::CallId(500);
-    bench.start(call);
-    bench.reply(call, store::Reply::Unknown);
-    let events = read_twice(&mut bench, reply);
+    harness.start(call);
+    harness.reply(call, store::Reply::Unknown);
+    let events = read_twice(&mut harness, reply);
     let unusable =
         |event: &&ledger_writer::Event| matches!(event, ledger_writer::Event::Unusable(_));
     assert_eq!(events.iter().filter(unusable).count(), 1, "{events:?}");
-    assert_eq!(bench.account().free_tokens(), free, "what was granted stays");
-    bench.assert_safe();
-    bench.index += 10;
-    bench.round();
-    bench.assert_safe();
-    assert!(bench.account().free_tokens() >= free, "a value that can be read is followed again");
+    assert_eq!(harness.account().free_tokens(), free, "granted tokens stay available");
+    harness.assert_safe();
+    harness.index += 10;
+    harness.sync();
+    harness.assert_safe();
+    assert!(harness.account().free_tokens() >= free, "a readable value is used again");
 }
 
-macro_rules! spoilt_values {
+macro_rules! unusable_values {
     ($($name:ident: $reply:expr;)*) => { $(
         #[test]
         fn $name() {
-            holds_on_and_recovers(&$reply);
+            check_unusable_value(&$reply);
         }
     )* };
 }
 
-spoilt_values! {
-    a_value_that_is_not_encoded_is_told_of_once: store::Reply::Undecodable { index: INDEX };
-    a_value_that_is_no_shard_is_told_of_once: store::Reply::Found { index: INDEX, value: b"{".to_vec() };
-    a_value_that_is_empty_is_told_of_once: store::Reply::Found { index: INDEX, value: Vec::new() };
-    a_value_that_was_removed_does_not_begin_anew: store::Reply::Missing { era: 0 };
+unusable_values! {
+    an_undecodable_value_is_reported_once: store::Reply::Undecodable { index: INDEX };
+    a_value_that_is_no_shard_is_reported_once: store::Reply::Found { index: INDEX, value: b"{".to_vec() };
+    an_empty_value_is_reported_once: store::Reply::Found { index: INDEX, value: Vec::new() };
+    a_removed_value_is_not_replaced_by_an_empty_shard: store::Reply::Missing { era: 0 };
 }
--- a/core/tests/ledger_bench/mod.rs
+++ b/core/tests/ledger_harness/mod.rs
@@ -1,4 +1,4 @@
-//! One writer of the ledger and a store with a single value, driven call by call.
+//! A test harness for one ledger writer with a store that holds a single shard; the test makes every call.
 
 #![allow(dead_code, clippy::unwrap_used, missing_docs)]
 
@@ -9,8 +9,8 @@
 pub const OWN: ids::Incarnation = ids::Incarnation(1);
 pub const OTHER: ids::Incarnation = ids::Incarnation(2);
 
-/// One writer, its accounts and a store with a single value, driven by hand.
-pub struct Bench {
+/// A writer, its accounts and a store with a single shard.
+pub struct Harness {
     pub table: grants::Table,
     pub budget: ids::BudgetSlot,
     pub writer: ledger_writer::Writer,
@@ -22,17 +22,19 @@
     pub stopping: bool,
 }
 
-/// A write that went out.
+/// A write that was sent to the store.
 pub struct Sent {
     pub call: ids::CallId,
     pub expected_index: store::Position,
     pub value: Vec<u8>,
 }
 
+/// The record of the holder `OWN`.
 pub fn description() -> ledger::Holder {
     ledger::Holder { vm: "a".to_owned(), address: "a:1".to_owned(), listed_index: 1, listed_era: 0 }
 }
 
+/// The writer's context for a call of `OWN`, the only router.
 pub fn context(
     description: &ledger::Holder,
     now_ms: u64,
@@ -50,7 +52,7 @@
     }
 }
 
-impl Bench {
+impl Harness {
     pub fn new(paid_tokens: u64) -> Self {
         let mut table = grants::Table::new(1);
         let cover =
@@ -71,7 +73,7 @@
         }
     }
 
-    /// The position of the value in the store's history.
+    /// The position of the shard in the store's history.
     pub fn position(&self) -> store::Position {
         store::Position::new(0, self.index)
     }
@@ -80,6 +82,7 @@
         self.table.account(self.budget)
     }
 
+    /// Delivers a reply to the writer; returns the write that follows and the reported events.
     pub fn reply(
         &mut self,
         call: ids::CallId,
@@ -102,8 +105,7 @@
         (sent, events)
     }
 
-    /// Starts a round, by a read unless the writer knows what it would read; returns the write that
-    /// follows.
+    /// Starts a sync, with a read unless the writer has a current copy, and returns the write that follows.
     pub fn read(&mut self) -> (Option<Sent>, Vec<ledger_writer::Event>) {
         self.now_ms += 10_000;
         self.calls += 1;
@@ -115,14 +117,14 @@
         self.reply(call, found)
     }
 
-    /// Starts a round; returns the first call.
+    /// Starts a sync and returns its first request.
     pub fn start(&mut self, call: ids::CallId) -> store::Request {
         let description = description();
         let context = context(&description, self.now_ms, self.stopping);
         self.writer.start(call, &mut self.table, &context)
     }
 
-    /// The store takes a write, now or late.
+    /// Applies a write in the store, immediately after it was sent or later.
     pub fn apply(&mut self, sent: &Sent) -> store::Reply {
         if sent.expected_index.revision != self.index {
             return store::Reply::Conflict;
@@ -132,30 +134,31 @@
         store::Reply::Written { era: 0 }
     }
 
-    /// A round that works.
-    pub fn round(&mut self) {
+    /// Performs a sync without faults.
+    pub fn sync(&mut self) {
         if let (Some(sent), _) = self.read() {
             let reply = self.apply(&sent);
             self.reply(sent.call, reply);
         }
     }
 
-    /// Makes the router hold far more than it wants.
+    /// Returns a harness whose router has many more tokens than its target.
     pub fn with_surplus() -> Self {
-        let mut bench = Self::new(100_000);
-        bench.table.account_mut(bench.budget).shortage_tokens = 20_000;
-        bench.round();
-        bench.table.account_mut(bench.budget).shortage_tokens = 0;
-        assert!(bench.account().free_tokens() >= 20_000);
-        bench
+        let mut harness = Self::new(100_000);
+        harness.table.account_mut(harness.budget).shortage_tokens = 20_000;
+        harness.sync();
+        harness.table.account_mut(harness.budget).shortage_tokens = 0;
+        assert!(harness.account().free_tokens() >= 20_000);
+        harness
     }
 
-    pub fn held_in_store(&self) -> u64 {
+    /// Tokens that are granted to `OWN` in the store.
+    pub fn granted_in_store(&self) -> u64 {
         self.shard.budgets["w/main"].grants.get(&OWN).map_or(0, |grant| grant.granted_tokens)
     }
 
-    /// The promise: what can be spent here is never more than the store has granted.
+    /// Asserts that the tokens that the router can spend never exceed those that the store has granted to it.
     pub fn assert_safe(&self) {
-        assert!(self.account().free_tokens() <= self.held_in_store());
+        assert!(self.account().free_tokens() <= self.granted_in_store());
     }
 }
--- a/core/tests/ledger_rounds.rs
+++ b/core/tests/ledger_sync.rs
@@ -1,68 +1,71 @@
-//! Rounds of the ledger's writer: when there is one, what it reads and writes, and how much it draws.
+//! Guards against unnecessary reads of the ledger writer, late or lost syncs, and draws of too many or too few tokens.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
-mod ledger_bench;
+mod ledger_harness;
 
 use doorswitch_core::{config, grants, ids, ledger, ledger_writer, store};
-use ledger_bench::{Bench, OTHER, context, description};
+use ledger_harness::{Harness, OTHER, context, description};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// Starts a second round after a first one whose reply told the index of the value.
-fn second_round(bench: &mut Bench) -> (ids::CallId, store::Request) {
-    let (sent, _) = bench.read();
+/// Starts a second sync after a first one whose reply contained the index of the value.
+fn start_second_sync(harness: &mut Harness) -> (ids::CallId, store::Request) {
+    let (sent, _) = harness.read();
     let sent = sent.unwrap();
-    assert_eq!(bench.apply(&sent), store::Reply::Written { era: 0 });
-    bench.reply(sent.call, store::Reply::WrittenAt { index: bench.position() });
-    let slot = bench.budget;
-    let reservation = bench.table.reserve(slot, 1_000).unwrap().dispatch();
-    bench.table.settle(reservation, 1_000);
-    bench.now_ms += 1_000;
+    assert_eq!(harness.apply(&sent), store::Reply::Written { era: 0 });
+    harness.reply(sent.call, store::Reply::WrittenAt { index: harness.position() });
+    let slot = harness.budget;
+    let reservation = harness.table.reserve(slot, 1_000).unwrap().dispatch();
+    harness.table.settle(reservation, 1_000);
+    harness.now_ms += 1_000;
     let call = ids::CallId(500);
-    (call, bench.start(call))
+    (call, harness.start(call))
 }
 
 #[test]
 fn a_value_whose_index_is_known_is_written_without_reading_it() {
-    let mut bench = Bench::new(100_000);
-    let (_, request) = second_round(&mut bench);
+    let mut harness = Harness::new(100_000);
+    let (_, request) = start_second_sync(&mut harness);
     let store::Request::Write { expected_index, .. } = request else {
         panic!("a write, not {request:?}");
     };
-    assert_eq!(expected_index, bench.position());
+    assert_eq!(expected_index, harness.position());
 }
 
 #[test]
-fn a_write_that_was_overtaken_goes_on_from_what_lies_there() {
-    let mut bench = Bench::new(100_000);
-    let (call, _) = second_round(&mut bench);
-    bench.shard.draw("w/main", OTHER, 90_000);
-    bench.index += 1;
-    let overtaken =
-        store::Reply::ConflictWith { index: bench.position(), value: bench.shard.encode() };
-    let (sent, _) = bench.reply(call, overtaken);
+fn a_write_that_conflicted_is_repeated_on_the_newer_value() {
+    let mut harness = Harness::new(100_000);
+    let (call, _) = start_second_sync(&mut harness);
+    harness.shard.draw("w/main", OTHER, 90_000);
+    harness.index += 1;
+    let conflict =
+        store::Reply::ConflictWith { index: harness.position(), value: harness.shard.encode() };
+    let (sent, _) = harness.reply(call, conflict);
     let sent = sent.unwrap();
-    assert_eq!(sent.expected_index, bench.position());
+    assert_eq!(sent.expected_index, harness.position());
     let draft = ledger::Shard::decode(&sent.value).unwrap();
     assert_eq!(draft.budgets["w/main"].grants[&OTHER].granted_tokens, 90_000);
     assert!(draft.budgets["w/main"].remaining_tokens().is_some());
 }
 
 #[test]
-fn a_small_fleet_tries_again_within_half_a_second_however_long_the_store_was_away() {
-    let mut bench = Bench::new(100_000);
+fn a_small_fleet_retries_within_400_ms_after_a_store_outage_of_any_length() {
+    let mut harness = Harness::new(100_000);
     for call in 0..40 {
         let call = ids::CallId(600 + call);
-        bench.start(call);
-        bench.reply(call, store::Reply::Unknown);
-        bench.now_ms += 400;
-        assert!(bench.writer.may_be_due(bench.now_ms), "a round may start again after 400 ms");
+        harness.start(call);
+        harness.reply(call, store::Reply::Unknown);
+        harness.now_ms += 400;
+        assert!(
+            harness.writer.may_be_due(harness.now_ms),
+            "no sync is due 400 ms after a failed one"
+        );
     }
 }
 
 #[test]
-fn an_amount_that_an_older_configuration_named_does_not_replace_a_newer_one() {
+fn a_prepaid_amount_of_an_older_configuration_does_not_replace_a_newer_one() {
     let mut shard = ledger::Shard::default();
     shard.set_prepaid("w/main", 500, 4);
     shard.set_prepaid("w/main", 900, 3);
@@ -72,29 +75,29 @@
 }
 
 #[test]
-fn a_lowered_amount_is_not_spent_from_until_the_ledger_was_read_at_its_version() {
-    let mut bench = Bench::new(0);
-    bench.shard = ledger::Shard::default();
-    let slot = bench.budget;
+fn a_lowered_budget_is_not_spent_until_the_ledger_was_read_at_its_version() {
+    let mut harness = Harness::new(0);
+    harness.shard = ledger::Shard::default();
+    let slot = harness.budget;
     let cover =
         config::Cover { cover_s: 10, minimum_grant_tokens: 50_000, held_percent: 50, holders: 0 };
     let prepaid = |tokens, version| Some(grants::Prepaid { tokens, version });
-    bench.table.declare_prepaid("w/main", cover, prepaid(100_000, 1), 0);
-    bench.round();
-    bench.round();
-    let held = bench.account().free_tokens();
-    assert!(held > 1_000, "{held} tokens are in hand");
-    bench.table.declare_prepaid("w/main", cover, prepaid(1_000, 2), 0);
-    assert!(bench.table.reserve(slot, 500).is_none(), "not before the ledger was read");
-    bench.round();
-    bench.round();
-    let free = bench.account().free_tokens();
-    assert!(free <= 1_000, "{free} tokens of {held} are still here: {:?}", bench.shard);
-    assert!(bench.table.reserve(slot, 500).is_some() || bench.account().free_tokens() < 500);
+    harness.table.declare_prepaid("w/main", cover, prepaid(100_000, 1), 0);
+    harness.sync();
+    harness.sync();
+    let before = harness.account().free_tokens();
+    assert!(before > 1_000, "only {before} free tokens");
+    harness.table.declare_prepaid("w/main", cover, prepaid(1_000, 2), 0);
+    assert!(harness.table.reserve(slot, 500).is_none(), "reserved before the ledger was read");
+    harness.sync();
+    harness.sync();
+    let free = harness.account().free_tokens();
+    assert!(free <= 1_000, "{free} of {before} tokens are still free: {:?}", harness.shard);
+    assert!(harness.table.reserve(slot, 500).is_some() || harness.account().free_tokens() < 500);
 }
 
-/// An account of a budget of which others hold the share, and of which this router spent 10,000 tokens in a
-/// second; `undrawn_tokens` are left.
+/// Returns the accounts of a holder of a budget that has spent 10,000 tokens in a second, while `undrawn_tokens` are left
+/// in the ledger.
 fn holder_of(undrawn_tokens: u64) -> (grants::Table, ids::BudgetSlot) {
     let mut table = grants::Table::new(1);
     let cover =
@@ -110,7 +113,7 @@
 }
 
 #[test]
-fn of_a_budget_that_ends_soon_a_smaller_share_is_held() {
+fn a_holder_keeps_a_smaller_share_of_a_budget_that_is_almost_spent() {
     let share_milli = |undrawn_tokens: u64| {
         let (table, budget) = holder_of(undrawn_tokens);
         let account = table.account(budget);
@@ -122,10 +125,10 @@
     let (short, _) = share_milli(18_000);
     assert!(short * 3 < long, "{short} and {long} in a thousand");
     let (ample, _) = share_milli(30_000_000);
-    assert!(ample <= 10, "seconds of what is spent, however much was paid: {ample}");
+    assert!(ample <= 10, "the target covers seconds of spending, whatever was paid: {ample}");
 }
 
-/// The holder of a budget of which 100,000 tokens are undrawn and from which it has not spent.
+/// Returns the account of a holder that has spent nothing from its budget, of which 100,000 tokens are undrawn.
 fn new_holder(others_rate_tokens_per_s: u64, minimum_grant_tokens: u64) -> grants::Account {
     let mut table = grants::Table::new(1);
     let cover = config::Cover { cover_s: 10, minimum_grant_tokens, held_percent: 40, holders: 1 };
@@ -138,25 +141,29 @@
 }
 
 #[test]
-fn a_holder_has_no_more_in_hand_than_what_is_spent_calls_for() {
-    assert_eq!(new_holder(0, 0).target_tokens(), 0, "nobody has spent anything");
-    assert_eq!(new_holder(0, 2_000).target_tokens(), 2_000, "the minimum that its settings say");
-    assert_eq!(new_holder(200, 0).target_tokens(), 0, "what others spend they have in hand");
-    assert_eq!(new_holder(0, 1_000_000).target_tokens(), 40_000, "never more than the share");
+fn a_holder_keeps_no_more_tokens_than_its_spending_requires() {
+    assert_eq!(new_holder(0, 0).target_tokens(), 0, "no router has spent tokens");
+    assert_eq!(new_holder(0, 2_000).target_tokens(), 2_000, "the configured minimum");
+    assert_eq!(
+        new_holder(200, 0).target_tokens(),
+        0,
+        "other routers keep the tokens that they spend"
+    );
+    assert_eq!(new_holder(0, 1_000_000).target_tokens(), 40_000, "not more than the held share");
 }
 
 #[test]
-fn what_a_former_holder_reported_as_free_is_not_counted_as_unspent() {
+fn free_tokens_that_a_former_holder_reported_are_not_counted_as_unspent() {
     let (mut table, budget) = holder_of(50_000);
     let target_tokens = table.account(budget).target_tokens();
     assert!(target_tokens > 0);
-    // It handed them on when it ceased to hold: they are spent, or free here.
+    // The former holder transferred them when it stopped being a holder, so they are spent or free in this account.
     table.account_mut(budget).held_tokens = 100_000;
     assert_eq!(table.account(budget).target_tokens(), target_tokens);
 }
 
 #[test]
-fn several_holders_have_no_more_in_hand_than_what_is_spent_calls_for() {
+fn several_holders_keep_no_more_tokens_than_their_spending_requires() {
     let mut table = grants::Table::new(1);
     let cover =
         config::Cover { cover_s: 10, minimum_grant_tokens: 0, held_percent: 40, holders: 2 };
@@ -165,7 +172,7 @@
     account.holder = true;
     account.routers = 2;
     account.remaining_tokens = Some(1_000_000);
-    assert_eq!(account.target_tokens(), 0, "nobody has spent anything");
+    assert_eq!(account.target_tokens(), 0, "no router has spent tokens");
     account.granted_tokens = 1_000;
     account.consumed_tokens = 1_000;
     table.measure_rates(1_000);
@@ -176,35 +183,35 @@
 }
 
 #[test]
-fn needs_that_come_one_by_one_at_a_router_that_holds_nothing_take_few_draws() {
+fn single_requests_at_a_router_without_headroom_cause_few_draws() {
     let mut table = grants::Table::new(1);
     let cover =
         config::Cover { cover_s: 10, minimum_grant_tokens: 0, held_percent: 40, holders: 1 };
     let budget = table.declare("w/main", cover, 0);
-    let mut left_tokens = 1_000_000;
+    let mut undrawn_tokens = 1_000_000;
     let mut draws = 0;
-    for need in 0..200 {
+    for request in 0..200 {
         let account = table.account_mut(budget);
         account.draws_on_demand = true;
         account.shortage_tokens = 1_000;
         if account.needs_draw() {
-            let drawn_tokens = account.draw_tokens(left_tokens, 1);
+            let drawn_tokens = account.draw_tokens(undrawn_tokens, 1);
             assert!(drawn_tokens >= 1_000);
             account.granted_tokens += drawn_tokens;
-            left_tokens -= drawn_tokens;
+            undrawn_tokens -= drawn_tokens;
             draws += 1;
         }
         account.shortage_tokens = 0;
         account.consumed_tokens += 1_000;
-        table.measure_rates(10 * (need + 1));
+        table.measure_rates(10 * (request + 1));
     }
-    assert!(draws <= 20, "{draws} draws for 200 needs");
+    assert!(draws <= 20, "{draws} draws for 200 requests");
     let account = table.account(budget);
     assert!(account.free_tokens() <= 3 * account.rate_tokens_per_s(), "{account:?}");
 }
 
 #[test]
-fn a_value_is_read_by_whoever_asks_for_it_until_an_answer_comes() {
+fn a_requested_read_is_repeated_until_it_is_answered() {
     let mut table = grants::Table::new(1);
     let cover =
         config::Cover { cover_s: 10, minimum_grant_tokens: 0, held_percent: 33, holders: 1 };
@@ -212,25 +219,34 @@
     let mut writer = ledger_writer::Writer::new(0);
     let mut rng = StdRng::seed_from_u64(1);
     let description = description();
-    assert!(!writer.due(&table, &context(&description, 1_000, false)), "it holds nothing");
+    assert!(
+        !writer.due(&table, &context(&description, 1_000, false)),
+        "a router without grants needs no sync"
+    );
     writer.request_sync();
     let mut now_ms = 1_000;
     for number in 1..4 {
-        assert!(writer.due(&table, &context(&description, now_ms, false)), "round {number}");
+        assert!(
+            writer.due(&table, &context(&description, now_ms, false)),
+            "no sync is due before call {number}"
+        );
         let call = ids::CallId(number);
-        let asked = context(&description, now_ms, false);
-        writer.start(call, &mut table, &asked);
-        writer.handle_reply(call, store::Reply::Unknown, &mut table, &asked, &mut rng);
+        let writer_context = context(&description, now_ms, false);
+        writer.start(call, &mut table, &writer_context);
+        writer.handle_reply(call, store::Reply::Unknown, &mut table, &writer_context, &mut rng);
         now_ms += 5_000;
     }
-    let asked = context(&description, now_ms, false);
-    writer.start(ids::CallId(4), &mut table, &asked);
+    let writer_context = context(&description, now_ms, false);
+    writer.start(ids::CallId(4), &mut table, &writer_context);
     writer.handle_reply(
         ids::CallId(4),
         store::Reply::Missing { era: 0 },
         &mut table,
-        &asked,
+        &writer_context,
         &mut rng,
     );
-    assert!(!writer.due(&table, &context(&description, now_ms + 5_000, false)), "it was answered");
+    assert!(
+        !writer.due(&table, &context(&description, now_ms + 5_000, false)),
+        "a sync is due although the read was answered"
+    );
 }
--- a/core/tests/log.rs
+++ b/core/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log and its writer: the first claim runs, the first settlement is billed, whatever is lost.
+//! Guards against requests that run twice or are billed twice because writes to the log were lost, delayed or raced.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -29,8 +29,8 @@
     }
 }
 
-/// A store of segments and some writers that race for them.
-struct Bench {
+/// A store of log segments and several writers that append to them.
+struct Harness {
     values: BTreeMap<String, (u64, Vec<u8>)>,
     index: u64,
     writers: Vec<log_writer::Writer>,
@@ -38,7 +38,7 @@
     rng: StdRng,
 }
 
-impl Bench {
+impl Harness {
     fn new(writers: u64) -> Self {
         let writer = |id| log_writer::Writer::new(0, ids::Incarnation(id), EPOCH_SEGMENTS);
         Self {
@@ -98,14 +98,14 @@
         self.writers[at].reply(call, reply, 0, &mut self.rng)
     }
 
-    /// One call that works.
+    /// Performs one call without faults.
     fn call(&mut self, at: usize) -> Vec<log_writer::Completed> {
         let (call, request) = self.start(at);
         let reply = self.apply(request);
         self.reply(at, call, reply)
     }
 
-    /// Calls until something is done.
+    /// Performs calls until an entry is durable.
     fn finish(&mut self, at: usize) -> Vec<log_writer::Completed> {
         for _ in 0..20 {
             let done = self.call(at);
@@ -113,7 +113,7 @@
                 return done;
             }
         }
-        panic!("nothing became durable");
+        panic!("no entry became durable within 20 calls");
     }
 }
 
@@ -122,41 +122,41 @@
 }
 
 #[test]
-fn of_two_homes_that_race_the_first_segment_decides() {
-    let mut bench = Bench::new(2);
-    bench.append(0, log_index::Entry::Claim(claim(1)));
-    bench.append(1, log_index::Entry::Claim(claim(2)));
-    // Both find the log empty, then both create its first segment.
-    bench.call(0);
-    bench.call(1);
-    assert_eq!(verdict(&bench.finish(1)), Some(log_index::ClaimVerdict::Granted));
-    assert_eq!(verdict(&bench.finish(0)), Some(log_index::ClaimVerdict::Taken));
+fn of_two_concurrent_claims_the_first_written_segment_wins() {
+    let mut harness = Harness::new(2);
+    harness.append(0, log_index::Entry::Claim(claim(1)));
+    harness.append(1, log_index::Entry::Claim(claim(2)));
+    // Both writers read an empty log and then try to create its first segment.
+    harness.call(0);
+    harness.call(1);
+    assert_eq!(verdict(&harness.finish(1)), Some(log_index::ClaimVerdict::Granted));
+    assert_eq!(verdict(&harness.finish(0)), Some(log_index::ClaimVerdict::Taken));
 }
 
 #[test]
-fn a_segment_whose_reply_was_lost_is_recognised_as_ones_own() {
-    let mut bench = Bench::new(1);
-    bench.append(0, log_index::Entry::Claim(claim(1)));
-    bench.call(0);
-    let (call, request) = bench.start(0);
-    bench.apply(request);
-    assert!(bench.reply(0, call, store::Reply::Unknown).is_empty());
-    assert_eq!(verdict(&bench.finish(0)), Some(log_index::ClaimVerdict::Granted));
-    assert_eq!(bench.values.len(), 1);
+fn a_writer_recognizes_its_segment_although_the_reply_was_lost() {
+    let mut harness = Harness::new(1);
+    harness.append(0, log_index::Entry::Claim(claim(1)));
+    harness.call(0);
+    let (call, request) = harness.start(0);
+    harness.apply(request);
+    assert!(harness.reply(0, call, store::Reply::Unknown).is_empty());
+    assert_eq!(verdict(&harness.finish(0)), Some(log_index::ClaimVerdict::Granted));
+    assert_eq!(harness.values.len(), 1);
 }
 
 #[test]
-fn a_write_that_never_arrived_is_made_again() {
-    let mut bench = Bench::new(1);
-    bench.append(0, log_index::Entry::Claim(claim(1)));
-    bench.call(0);
-    let (call, _) = bench.start(0);
-    assert!(bench.reply(0, call, store::Reply::Unknown).is_empty());
-    assert_eq!(verdict(&bench.finish(0)), Some(log_index::ClaimVerdict::Granted));
+fn a_write_that_never_arrived_is_repeated() {
+    let mut harness = Harness::new(1);
+    harness.append(0, log_index::Entry::Claim(claim(1)));
+    harness.call(0);
+    let (call, _) = harness.start(0);
+    assert!(harness.reply(0, call, store::Reply::Unknown).is_empty());
+    assert_eq!(verdict(&harness.finish(0)), Some(log_index::ClaimVerdict::Granted));
 }
 
 #[test]
-fn a_claim_that_was_given_up_is_void_even_if_it_arrives_later() {
+fn a_released_claim_is_void_even_if_it_is_logged_after_its_release() {
     let mut index = log_index::Index::default();
     index.apply(&log_index::Entry::Release { key: KEY, attempt: ids::AttemptId(1) });
     index.apply(&log_index::Entry::Claim(claim(1)));
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn of_two_claims_in_the_log_the_first_one_holds() {
+fn of_two_claims_in_the_log_the_first_one_is_granted() {
     let mut index = log_index::Index::default();
     index.apply(&log_index::Entry::Claim(claim(1)));
     index.apply(&log_index::Entry::Claim(claim(2)));
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_release_does_not_void_anothers_claim() {
+fn a_release_does_not_void_the_claim_of_another_attempt() {
     let mut index = log_index::Index::default();
     index.apply(&log_index::Entry::Claim(claim(1)));
     index.apply(&log_index::Entry::Release { key: KEY, attempt: ids::AttemptId(2) });
@@ -193,21 +193,21 @@
 }
 
 #[test]
-fn a_taken_id_is_looked_up_again_before_it_is_called_taken() {
-    let mut bench = Bench::new(2);
-    bench.append(0, log_index::Entry::Claim(claim(1)));
-    bench.finish(0);
-    bench.append(1, log_index::Entry::Claim(claim(2)));
-    bench.finish(1);
-    bench.append(0, log_index::Entry::Settle(settlement(1, 5)));
-    bench.finish(0);
+fn a_claimed_id_is_read_again_before_it_is_reported_as_taken() {
+    let mut harness = Harness::new(2);
+    harness.append(0, log_index::Entry::Claim(claim(1)));
+    harness.finish(0);
+    harness.append(1, log_index::Entry::Claim(claim(2)));
+    harness.finish(1);
+    harness.append(0, log_index::Entry::Settle(settlement(1, 5)));
+    harness.finish(0);
     // The second writer has not read the settlement yet.
-    assert!(bench.append(1, log_index::Entry::Claim(claim(3))).is_none());
-    assert_eq!(verdict(&bench.finish(1)), Some(log_index::ClaimVerdict::Done(None)));
+    assert!(harness.append(1, log_index::Entry::Claim(claim(3))).is_none());
+    assert_eq!(verdict(&harness.finish(1)), Some(log_index::ClaimVerdict::Done(None)));
 }
 
 #[test]
-fn another_body_under_the_same_id_is_a_conflict() {
+fn a_different_body_with_the_same_id_is_a_conflict() {
     let mut index = log_index::Index::default();
     index.apply(&log_index::Entry::Claim(claim(1)));
     let other = log_index::Claim { body_hash: 2, ..claim(2) };
@@ -216,61 +216,61 @@
     assert_eq!(index.claim_verdict(&other), Some(log_index::ClaimVerdict::Conflict));
 }
 
-/// Writes segments of one settlement each, through one writer.
-fn write_segments(bench: &mut Bench, at: usize, numbers: std::ops::RangeInclusive<u64>) {
+/// Writes segments of one settlement each with one writer.
+fn write_segments(harness: &mut Harness, at: usize, numbers: std::ops::RangeInclusive<u64>) {
     for number in numbers {
         let mut settlement = settlement(77, 1);
         settlement.number = number;
         settlement.key = ids::RequestKey { high: 0, low: 1_000 + number };
-        bench.append(at, log_index::Entry::Settle(settlement));
-        bench.finish(at);
+        harness.append(at, log_index::Entry::Settle(settlement));
+        harness.finish(at);
     }
-    // Saves and clears what is due by now.
+    // Writes checkpoints and deletes old segments, as far as these are due.
     for _ in 0..10 {
-        if bench.writers[at].due(0) {
-            bench.call(at);
+        if harness.writers[at].due(0) {
+            harness.call(at);
         }
     }
 }
 
 #[test]
-fn old_segments_give_way_to_a_checkpoint_that_says_the_same() {
-    let mut bench = Bench::new(2);
-    write_segments(&mut bench, 0, 1..=40);
-    let segments = bench.values.keys().filter(|key| key.contains("/log/")).count() as u64;
+fn old_segments_are_replaced_by_a_checkpoint_with_the_same_content() {
+    let mut harness = Harness::new(2);
+    write_segments(&mut harness, 0, 1..=40);
+    let segments = harness.values.keys().filter(|key| key.contains("/log/")).count() as u64;
     assert!(segments < 2 * EPOCH_SEGMENTS, "{segments} segments are left");
-    bench.append(1, log_index::Entry::Claim(claim(5)));
-    assert_eq!(verdict(&bench.finish(1)), Some(log_index::ClaimVerdict::Granted));
-    let (_, _, totals) = bench.writers[1].index().totals().next().unwrap();
+    harness.append(1, log_index::Entry::Claim(claim(5)));
+    assert_eq!(verdict(&harness.finish(1)), Some(log_index::ClaimVerdict::Granted));
+    let (_, _, totals) = harness.writers[1].index().totals().next().unwrap();
     assert_eq!((totals.billed_requests, totals.billed_tokens), (40, 40));
-    // Numbers that the checkpoint holds are still known.
+    // Settlements that are included in the checkpoint are still recognized by their numbers.
     let mut again = settlement(77, 1);
     again.number = 3;
     again.key = ids::RequestKey { high: 0, low: 1_003 };
-    assert!(bench.append(1, log_index::Entry::Settle(again)).is_some());
+    assert!(harness.append(1, log_index::Entry::Settle(again)).is_some());
 }
 
 #[test]
-fn a_writer_that_slept_past_a_checkpoint_runs_nothing_by_a_cleared_segment() {
-    let mut bench = Bench::new(2);
-    write_segments(&mut bench, 0, 1..=7);
-    // The sleeper knows the log up to its end, and goes to sleep with a claim.
+fn a_writer_that_was_suspended_gets_no_claim_by_creating_a_deleted_segment() {
+    let mut harness = Harness::new(2);
+    write_segments(&mut harness, 0, 1..=7);
+    // Writer 1 has read the whole log and is suspended with an unwritten claim.
     let mut other = settlement(9, 1);
     other.key = ids::RequestKey { high: 0, low: 999 };
-    bench.append(1, log_index::Entry::Settle(other));
-    bench.finish(1);
-    bench.append(1, log_index::Entry::Claim(claim(2)));
-    // Meanwhile another claim wins, and the segments around it are cleared.
-    bench.append(0, log_index::Entry::Claim(claim(1)));
-    bench.finish(0);
-    write_segments(&mut bench, 0, 8..=40);
-    assert!(!bench.values.contains_key(&log_index::key(0, 8, EPOCH_SEGMENTS)));
-    let done = bench.finish(1);
+    harness.append(1, log_index::Entry::Settle(other));
+    harness.finish(1);
+    harness.append(1, log_index::Entry::Claim(claim(2)));
+    // Meanwhile writer 0 is granted the claim, and the segments around it are deleted.
+    harness.append(0, log_index::Entry::Claim(claim(1)));
+    harness.finish(0);
+    write_segments(&mut harness, 0, 8..=40);
+    assert!(!harness.values.contains_key(&log_index::key(0, 8, EPOCH_SEGMENTS)));
+    let done = harness.finish(1);
     assert_ne!(verdict(&done), Some(log_index::ClaimVerdict::Granted));
 }
 
 #[test]
-fn an_id_is_forgotten_only_after_its_time() {
+fn an_id_expires_only_after_its_retention_time() {
     let mut index = log_index::Index::default();
     let segment = |written_s, entries| log_index::Segment {
         writer: ids::Incarnation(1),
--- a/core/tests/restored_ledger.rs
+++ b/core/tests/restored_ledger.rs
@@ -19,15 +19,15 @@
     cuts: bool,
     /// Routers are killed and restarted.
     kills: bool,
-    /// At one restore in this many, all routers are killed while the store is unavailable; 0 if none is.
-    losses_of_all: u32,
+    /// All routers are killed during one of this many restores on average; 0 if they never are.
+    kill_all_one_in: u32,
 }
 
 const NONE: FaultKinds =
-    FaultKinds { writes: false, pauses: false, cuts: false, kills: false, losses_of_all: 0 };
+    FaultKinds { writes: false, pauses: false, cuts: false, kills: false, kill_all_one_in: 0 };
 
 const ALL: FaultKinds =
-    FaultKinds { writes: true, pauses: true, cuts: true, kills: true, losses_of_all: 0 };
+    FaultKinds { writes: true, pauses: true, cuts: true, kills: true, kill_all_one_in: 0 };
 
 /// Runs a random schedule. The world asserts after every step that no more tokens are served than were paid.
 fn run_schedule(shape: Shape, faults: FaultKinds, seed: u64) -> World {
@@ -48,13 +48,14 @@
             0 => {
                 world.faults.store_out = true;
                 world.run_ms(rng.random_range(0..1_500));
-                let all_die = faults.losses_of_all > 0 && rng.random_ratio(1, faults.losses_of_all);
-                if all_die {
+                let kill_all =
+                    faults.kill_all_one_in > 0 && rng.random_ratio(1, faults.kill_all_one_in);
+                if kill_all {
                     (0..routers).for_each(|at| world.kill(at));
                 }
                 world.restore_ledger(&backup);
                 world.faults.store_out = false;
-                if all_die {
+                if kill_all {
                     (0..routers).for_each(|at| world.restart(at, true));
                 }
             }
@@ -136,21 +137,21 @@
 }
 
 schedules! {
-    losses_of_all_at_restores_spend_no_token_twice:
-        Shape::default(), FaultKinds { losses_of_all: 2, ..NONE }, 0..60;
-    losses_of_all_at_restores_spend_no_token_of_few_holders_twice:
-        Shape::few_holders(), FaultKinds { losses_of_all: 2, ..NONE }, 0..60;
-    losses_of_all_at_restores_beside_all_faults_spend_no_token_twice:
-        Shape::default(), FaultKinds { losses_of_all: 3, ..ALL }, 0..60;
-    losses_of_all_at_restores_beside_all_faults_spend_no_token_of_few_holders_twice:
-        Shape::few_holders(), FaultKinds { losses_of_all: 3, ..ALL }, 0..60;
+    restores_with_all_routers_killed_spend_no_token_twice:
+        Shape::default(), FaultKinds { kill_all_one_in: 2, ..NONE }, 0..60;
+    restores_with_all_routers_killed_spend_no_token_of_few_holders_twice:
+        Shape::few_holders(), FaultKinds { kill_all_one_in: 2, ..NONE }, 0..60;
+    restores_with_all_routers_killed_beside_all_faults_spend_no_token_twice:
+        Shape::default(), FaultKinds { kill_all_one_in: 3, ..ALL }, 0..60;
+    restores_with_all_routers_killed_beside_all_faults_spend_no_token_of_few_holders_twice:
+        Shape::few_holders(), FaultKinds { kill_all_one_in: 3, ..ALL }, 0..60;
 }
 
-/// Prints for each class of schedules how many of 600 other seeds overspend, and the mean of served tokens of the others.
+/// Prints for each class of schedules which of 600 other seeds overspend, and the mean of served tokens of the others.
 #[test]
 #[ignore = "runs for minutes"]
 fn more_seeds_of_each_class() {
-    let one = |faults: FaultKinds, losses_of_all| FaultKinds { losses_of_all, ..faults };
+    let with_kills = |faults: FaultKinds, kill_all_one_in| FaultKinds { kill_all_one_in, ..faults };
     let classes = [
         ("restores alone", NONE),
         ("lost replies", FaultKinds { writes: true, ..NONE }),
@@ -158,8 +159,8 @@
         ("cuts", FaultKinds { cuts: true, ..NONE }),
         ("kills", FaultKinds { kills: true, ..NONE }),
         ("all faults", ALL),
-        ("losses of all", one(NONE, 2)),
-        ("losses of all beside all faults", one(ALL, 3)),
+        ("all routers killed", with_kills(NONE, 2)),
+        ("all routers killed beside all faults", with_kills(ALL, 3)),
     ];
     let seeds: u64 = std::env::var("SEEDS").map_or(600, |seeds| seeds.parse().unwrap());
     std::thread::scope(|scope| {
@@ -185,6 +186,6 @@
                 }));
             }
         }
-        running.into_iter().for_each(|one| println!("{}", one.join().unwrap()));
+        running.into_iter().for_each(|class| println!("{}", class.join().unwrap()));
     });
 }
--- a/core/tests/withheld.rs
+++ b/core/tests/withheld.rs
@@ -1,4 +1,5 @@
-//! What is withheld of budgets after a restore of the store, and when it can be spent again.
+//! Guards against tokens that are spent twice after a restore of the store, and against withheld tokens that stay
+//! unusable.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -21,7 +22,7 @@
     world
 }
 
-/// Has live routers in turn send requests to the first budget.
+/// Submits requests for the first budget to all routers in turn.
 fn spend(world: &mut World, requests: usize) {
     for turn in 0..requests {
         let number = world.given.len() as u64;
@@ -35,7 +36,8 @@
     world.truth[0].served_tokens
 }
 
-/// Restores the ledger from `backup` while `killed` are killed and started again.
+/// Restores the ledger from `backup` during an outage of the store. The routers `killed` are killed before and started
+/// afterwards.
 fn restore(world: &mut World, backup: &world::Backup, killed: std::ops::Range<usize>) {
     world.faults.store_out = true;
     killed.clone().for_each(|at| world.kill(at));
@@ -59,7 +61,7 @@
 }
 
 #[test]
-fn a_budget_that_a_backup_lacks_is_not_spent_twice_after_the_loss_of_all() {
+fn a_budget_that_the_backup_lacks_is_not_spent_twice_if_all_routers_were_killed() {
     let mut world = fleet(2);
     let backup = world.back_up_ledger();
     spend(&mut world, 60);
@@ -73,14 +75,14 @@
     spend(&mut world, 60);
     let refused = End::Refused(node::Reason::BudgetExhausted);
     assert_eq!(world.given.last().unwrap().end, Some(refused));
-    // It stays so once the era is settled.
+    // Requests are still refused after the era is settled.
     world.run_ms(60_000);
     spend(&mut world, 60);
     assert!(served(&world) <= PAID_TOKENS);
 }
 
 #[test]
-fn a_router_that_was_lost_costs_a_part_of_the_budget() {
+fn a_router_killed_during_a_restore_withholds_only_a_part_of_the_budget() {
     let mut world = fleet(3);
     spend(&mut world, 10);
     let backup = world.back_up_ledger();
@@ -91,7 +93,7 @@
 }
 
 #[test]
-fn a_quiet_workspace_keeps_tokens_over_a_restore_and_the_loss_of_all() {
+fn a_quiet_workspace_keeps_tokens_after_a_restore_during_which_all_routers_were_killed() {
     let mut world = fleet(5);
     for _ in 0..10 {
         spend(&mut world, 1);
@@ -108,7 +110,7 @@
 }
 
 #[test]
-fn an_operator_releases_what_is_withheld() {
+fn withheld_tokens_can_be_spent_after_an_operator_releases_them() {
     let mut world = fleet(4);
     spend(&mut world, 10);
     let backup = world.back_up_ledger();
@@ -131,7 +133,7 @@
 }
 
 #[test]
-fn a_lowered_budget_releases_nothing_that_is_withheld() {
+fn lowering_a_budget_releases_no_withheld_tokens() {
     let withheld = ledger::Withheld { unconfirmed_tokens: 6_000, lost_tokens: 0 };
     let mut budget = ledger::Budget { paid_tokens: 10_000, withheld, ..Default::default() };
     budget.closed_spent_tokens = 3_000;
@@ -156,7 +158,7 @@
 }
 
 #[test]
-fn a_router_that_drew_alone_and_was_lost_costs_a_part_of_the_budget() {
+fn an_isolated_router_that_is_killed_withholds_only_a_part_of_the_budget() {
     let mut world = fleet(6);
     let backup = world.back_up_ledger();
     (1..ROUTERS).for_each(|other| _ = world.faults.pairs_cut.insert((0, other)));
@@ -166,16 +168,20 @@
         world.run_ms(40);
     }
     world.run_ms(500);
-    assert!(served(&world) <= PAID_TOKENS / 3, "{} served by a router alone", served(&world));
+    assert!(
+        served(&world) <= PAID_TOKENS / 3,
+        "{} tokens served by an isolated router",
+        served(&world)
+    );
     world.kill(0);
     restore(&mut world, &backup, 0..0);
-    // The world asserts that no more is served than was paid.
+    // The simulation asserts in every step that no more tokens are served than were paid.
     spend(&mut world, 150);
     assert!(served(&world) > PAID_TOKENS / 2, "{} served", served(&world));
 }
 
 #[test]
-fn a_reserve_that_was_about_to_be_lowered_is_not_spent_twice() {
+fn a_reserve_that_is_lowered_after_the_backup_is_not_spent_twice() {
     let mut world = fleet(7);
     for _ in 0..10 {
         spend(&mut world, 1);
