--- a/core/tests/external_names.rs
+++ b/core/tests/external_names.rs
@@ -1,5 +1,5 @@
-//! Texts that leave the process: labels of metrics, values in log lines, stored values and the dump. Each stays as it is,
-//! whatever the types and fields behind it are called.
+//! Guards against unintended changes of texts that leave the process: labels of metrics, values in log lines, stored
+//! values and the dump. Each text stays the same if the type or field behind it is renamed.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -279,7 +279,7 @@
         node::CallOutcome::EarlierEra,
     ].map(node::CallOutcome::as_str).join(" ") => "Sent News Empty Forgotten Refused Silent Overtaken GivenUp Late EarlierEra";
     topics: watch::Topic::ALL.map(watch::Topic::as_str).join(" ") => "Configuration Servers";
-    duties: [
+    watch_roles: [
         watch::Role::Joining,
         watch::Role::EveryRouter,
         watch::Role::Watcher,
@@ -288,10 +288,10 @@
     evidence: [watch::Evidence::LaterCall, watch::Evidence::Peer]
         .map(watch::Evidence::as_str)
         .join(" ") => "LaterCall Peer";
-    sources_of_leavings: [leavings::Source::Record, leavings::Source::Answer]
+    sources_of_leaving_servers: [leavings::Source::Record, leavings::Source::Answer]
         .map(leavings::Source::as_str)
         .join(" ") => "Record Answer";
-    sources_of_leavings_in_the_dump: json(&[leavings::Source::Record, leavings::Source::Answer])
+    sources_of_leaving_servers_in_the_dump: json(&[leavings::Source::Record, leavings::Source::Answer])
         => r#"["record","answer"]"#;
     sources_of_quarantines: [
         node::QuarantineSource::Observed,
@@ -303,9 +303,9 @@
     headers: [servers::Header::Limit, servers::Header::Leaving, servers::Header::Backoff]
         .map(servers::Header::as_str)
         .join(" ") => "Limit Leaving Backoff";
-    verdict_on_withheld_tokens: ledger_writer::RecoveryDecision { silent: Some(2), is_final: false }
+    recovery_decision: ledger_writer::RecoveryDecision { silent: Some(2), is_final: false }
         .to_string() => "Verdict { silent: Some(2), is_final: false }";
-    final_verdict_on_withheld_tokens: ledger_writer::RecoveryDecision { silent: None, is_final: true }
+    final_recovery_decision: ledger_writer::RecoveryDecision { silent: None, is_final: true }
         .to_string() => "Verdict { silent: None, is_final: true }";
     a_service_in_publish: format!("{:?}", service()) => r#"Service { name: "notes", kind: Model, policy: "all", models: ["roast"], answer_tokens_max: 1, call_tokens: 2, unrepeatable: [Call { method: "POST", path_prefix: "/pay" }], queue_length: 3, queue_age_ms: 4, answer_time_ms: 5, connections_max: Some(6), event_tokens: 7, cold_milli_per_s: 8, cold_start_ms: 9 }"#;
     a_budget_in_publish: format!("{:?}", budget().cover()) => "Cover { cover_s: 1, minimum_grant_tokens: 2, held_percent: 4, holders: 5 }";
--- a/core/tests/promises.rs
+++ b/core/tests/guarantees.rs
@@ -1,7 +1,8 @@
-//! Random schedules of faults over several core routers: the promises hold after every step.
+//! Guards against violated guarantees (overspending, wrong billing, repeated unrepeatable requests, missing answers) under
+//! random schedules of faults, checked after every step.
 //!
-//! The seeds are fixed, so that a run gives the same verdict each time. A longer run with fresh seeds:
-//! `DOORSWITCH_FRESH_CASES=5000 cargo test -p doorswitch-core --release --test promises fresh`.
+//! The seeds are fixed, so that every run has the same result. A longer run with new seeds:
+//! `DOORSWITCH_FRESH_CASES=5000 cargo test -p doorswitch-core --release --test guarantees fresh`.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -10,7 +11,7 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use world::{End, Shape, World};
 
-/// One thing that happens.
+/// A step of a schedule.
 #[derive(Clone, Copy, Debug)]
 enum Op {
     Admit {
@@ -26,7 +27,7 @@
         budget: u8,
         bound: u8,
     },
-    /// The same new id through every router at once.
+    /// Submits the same new id to every router at once.
     Race {
         unrepeatable: bool,
     },
@@ -110,7 +111,7 @@
     let account = |budget: u8| usize::from(budget) % 2;
     match op {
         Op::Admit { at, budget, key, bound, actual, unrepeatable } => {
-            // Ids of repeatable and unrepeatable requests do not mix.
+            // Repeatable and unrepeatable requests use different ids.
             let key = u64::from(key) + if unrepeatable { 1_000 } else { 2_000 };
             let (bound, actual) = (u64::from(bound) + 1, u64::from(actual));
             world.admit(place(at), account(budget), key, bound, actual, unrepeatable);
@@ -162,8 +163,8 @@
     world.step();
 }
 
-/// Ends all faults and lets everything settle.
-fn quiet(world: &mut World) {
+/// Ends all faults and runs until pending work is done.
+fn recover(world: &mut World) {
     world.faults = world::Faults::default();
     for at in 0..world.routers.len() {
         world.resume(at);
@@ -172,7 +173,7 @@
     world.run_ms(40_000);
 }
 
-/// Spends what is left of every budget, so that a token made by mistake shows as an overspend.
+/// Spends the rest of every budget, so that a token that was created by a fault shows as an overspend.
 fn drain(world: &mut World) {
     const BOUND_TOKENS: u64 = 40;
     for budget in 0..world.truth.len() {
@@ -187,38 +188,38 @@
                 }
             }
             world.run_ms(1_500);
-            let closed = |it: &world::Given| matches!(it.end, Some(End::Closed { .. }));
+            let closed = |given: &world::Given| matches!(given.end, Some(End::Closed { .. }));
             let served = world.given[first..].iter().any(closed);
             refused = if served { 0 } else { refused + 1 };
         }
     }
 }
 
-fn promises_hold(shape: Shape, seed: u64, ops: &[Op]) {
+fn check_schedule(shape: Shape, seed: u64, ops: &[Op]) {
     let mut world = World::new(shape, seed);
     world.run_ms(1_000);
     let mut serial = 0;
     for op in ops {
         apply(&mut world, *op, &mut serial);
     }
-    quiet(&mut world);
+    recover(&mut world);
     for given in &world.given {
         let lost = world.routers[given.at].life != given.life;
-        assert!(given.end.is_some() || lost, "a request got no answer: {given:?}");
+        assert!(given.end.is_some() || lost, "a request received no answer: {given:?}");
     }
-    // Two deaths may take a settlement's router and its committer; one may not.
+    // Two kills may remove both the router of a settlement and its committer, and so lose it; one kill must not lose any.
     if world.deaths <= 1 {
         world.check_billing();
     }
     drain(&mut world);
 }
 
-fn fixed(shape: &Shape, cases: u64, first_seed: u64, keep: impl Fn(&Op) -> bool) {
+fn check_seeds(shape: &Shape, cases: u64, first_seed: u64, includes: impl Fn(&Op) -> bool) {
     for seed in first_seed..first_seed + cases {
         let mut generator = Gen::from_size_and_seed(60, seed);
         let ops: Vec<Op> = Vec::<Op>::arbitrary(&mut generator);
-        let ops: Vec<Op> = ops.into_iter().filter(&keep).collect();
-        let run = std::panic::catch_unwind(|| promises_hold(shape.clone(), seed, &ops));
+        let ops: Vec<Op> = ops.into_iter().filter(&includes).collect();
+        let run = std::panic::catch_unwind(|| check_schedule(shape.clone(), seed, &ops));
         if let Err(cause) = run {
             eprintln!("seed {seed}, schedule {ops:?}");
             std::panic::resume_unwind(cause);
@@ -227,11 +228,11 @@
 }
 
 macro_rules! schedules {
-    ($($name:ident: $shape:expr, $cases:expr, from seed $seed:expr, $keep:expr;)+) => {
+    ($($name:ident: $shape:expr, $cases:expr, from seed $seed:expr, $includes:expr;)+) => {
         $(
             #[test]
             fn $name() {
-                fixed(&$shape, $cases, $seed, $keep);
+                check_seeds(&$shape, $cases, $seed, $includes);
             }
         )+
     };
@@ -239,7 +240,7 @@
 
 schedules! {
     all_faults_together: Shape::default(), 150, from seed 1, |_| true;
-    no_deaths: Shape::default(), 100, from seed 10_000, |op| !matches!(op, Op::Kill { .. });
+    no_kills: Shape::default(), 100, from seed 10_000, |op| !matches!(op, Op::Kill { .. });
     only_the_store_fails: Shape::default(), 80, from seed 20_000, |op| !matches!(
         op,
         Op::Kill { .. } | Op::Pause { .. } | Op::CutRegion | Op::BadNetwork { .. } | Op::Stop { .. }
@@ -266,15 +267,15 @@
     let cases = std::env::var("DOORSWITCH_FRESH_CASES").ok().and_then(|text| text.parse().ok());
     let Some(cases) = cases else { return };
     fn holds(seed: u64, ops: Vec<Op>) -> bool {
-        promises_hold(Shape::default(), seed, &ops);
-        promises_hold(Shape::few_holders(), seed, &ops);
+        check_schedule(Shape::default(), seed, &ops);
+        check_schedule(Shape::few_holders(), seed, &ops);
         true
     }
     QuickCheck::new().tests(cases).quickcheck(holds as fn(u64, Vec<Op>) -> bool);
 }
 
 #[test]
-fn calm_serves_everything_and_bills_it() {
+fn all_requests_are_served_and_billed_without_faults() {
     let mut world = World::new(Shape::default(), 7);
     world.run_ms(1_000);
     for key in 0..40 {
@@ -292,8 +293,9 @@
 }
 
 #[test]
-fn a_settlement_outlives_its_router_when_its_committer_is_cut_off() {
-    // Found by a fresh seed: the answer ended while its committer, beyond a cut, had not heard.
+fn a_settlement_is_not_lost_with_its_router_while_its_committer_is_unreachable() {
+    // Found with a new seed: the answer ended before the settlement reached its committer, which was unreachable in
+    // another region.
     let admit = |at, budget, key, bound, actual| Op::Admit {
         at,
         budget,
@@ -310,5 +312,5 @@
         Op::Pass { ticks: 160 },
         Op::Kill { at: 77 },
     ];
-    promises_hold(Shape::default(), 0, &ops);
+    check_schedule(Shape::default(), 0, &ops);
 }
--- a/core/tests/holders.rs
+++ b/core/tests/holders.rs
@@ -1,4 +1,5 @@
-//! Budgets that only a few routers hold in hand, in a fleet that is large for them.
+//! Guards against refused requests, lost tokens and many store calls if only a few routers of a large fleet hold the tokens
+//! of a budget.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -53,29 +54,30 @@
     assert!(places.iter().all(|place| served(&world, *place)), "{:?}", world.refusals);
     assert!(world.ledger(0).grants.len() <= 2, "{:?}", world.ledger(0).grants);
     let calls = world.store_calls.0 + world.store_calls.1 - before.0 - before.1;
-    // Settlements are logged as well; without holders each request is a write that others overtake.
+    // The calls include the log of settlements. Without holders, every request would cause a write of the ledger, and
+    // these writes would conflict.
     assert!(calls < 3 * ROUTERS as u64, "{calls} calls for {ROUTERS} requests");
 }
 
 #[test]
-fn what_is_left_over_comes_back() {
+fn unused_tokens_return_to_the_holder() {
     let mut world = fleet();
     for at in 0..ROUTERS {
         world.admit(at, 0, at as u64, BOUND_TOKENS, 0, false);
     }
     world.run_ms(3_000);
     let holder = holders(&world)[0];
-    let kept: Vec<u64> =
+    let remaining: Vec<u64> =
         (0..ROUTERS).filter(|at| *at != holder).map(|at| free_tokens(&world, at)).collect();
-    assert_eq!(kept.iter().sum::<u64>(), 0, "{kept:?}");
-    // All of it can be spent by one request.
+    assert_eq!(remaining.iter().sum::<u64>(), 0, "{remaining:?}");
+    // One request can spend all of them.
     let place = world.admit((holder + 1) % ROUTERS, 0, 1_000, 90_000, 90_000, false).unwrap();
     world.run_ms(3_000);
     assert!(served(&world, place), "{:?}", world.given[place].end);
 }
 
 #[test]
-fn a_silent_holder_is_passed_over() {
+fn requests_are_served_although_the_holder_does_not_answer() {
     let mut world = fleet();
     let holder = holders(&world)[0];
     world.kill(holder);
@@ -99,16 +101,16 @@
 }
 
 #[test]
-fn a_fleet_that_starts_reads_no_more_of_the_ledger_than_its_holders_need() {
+fn a_starting_fleet_reads_the_ledger_only_for_its_holders() {
     let world = fleet();
     let budgets = world.shape.budgets.len() as u64;
-    // Without that, every router reads every value.
+    // The failure is that every router reads every value.
     let reads = world.ledger_reads;
     assert!(reads <= 4 * budgets, "{reads} reads for {budgets} budgets");
 }
 
 #[test]
-fn what_a_router_drew_itself_and_did_not_use_goes_to_the_holder_without_a_call() {
+fn unused_tokens_that_a_router_drew_itself_go_to_the_holder_without_a_store_call() {
     let mut world = fleet();
     let holder = holders(&world)[0];
     for at in (0..ROUTERS).filter(|at| *at != holder) {
@@ -120,22 +122,28 @@
     assert!(served(&world, place), "{:?}", world.given[place].end);
     world.faults.pairs_cut.clear();
     world.run_ms(10_000);
-    let holder_life = world.routers[holder].life;
+    let holder_id = world.routers[holder].life;
     let ledger = world.ledger(0);
-    let others = ledger.grants.iter().filter(|(life, _)| **life != holder_life);
+    let others = ledger.grants.iter().filter(|(id, _)| **id != holder_id);
     let drawn_tokens: u64 = others.map(|(_, grant)| grant.granted_tokens).sum();
-    assert!(drawn_tokens >= BOUND_TOKENS, "{drawn_tokens} still granted: no call gave them back");
+    assert!(
+        drawn_tokens >= BOUND_TOKENS,
+        "only {drawn_tokens} tokens still granted: a store call returned them"
+    );
     let elsewhere = (0..ROUTERS).filter(|at| *at != holder);
     let left_tokens: u64 = elsewhere.map(|at| free_tokens(&world, at)).sum();
-    assert!(left_tokens < BOUND_TOKENS / 5, "{left_tokens} were not handed to the holder");
-    // Nothing is lost by that: the whole budget can still be spent.
+    assert!(
+        left_tokens < BOUND_TOKENS / 5,
+        "{left_tokens} tokens were not transferred to the holder"
+    );
+    // No tokens were lost: the rest of the budget can still be spent.
     let rest = world.admit(holder, 0, 2, 95_000, 95_000, false).unwrap();
     world.run_ms(3_000);
     assert!(served(&world, rest), "{:?}", world.given[rest].end);
 }
 
 #[test]
-fn an_empty_budget_is_refused_without_a_call_for_each_request() {
+fn requests_for_an_empty_budget_are_refused_without_a_store_call_each() {
     let mut world = fleet();
     for at in 0..ROUTERS {
         world.admit(at, 0, at as u64, 4_000, 4_000, false);
@@ -149,40 +157,40 @@
     world.run_ms(1_000);
     let calls = world.store_calls.0 + world.store_calls.1 - before.0 - before.1;
     let refused = world.refusals.len();
-    assert!(refused >= 200, "{refused} were refused");
+    assert!(refused >= 200, "only {refused} requests were refused");
     assert!(calls < 60, "{calls} calls for {refused} refusals");
     let reason = &world.given[*world.refusals.last().unwrap()].end;
     assert_eq!(*reason, Some(End::Refused(node::Reason::BudgetExhausted)));
 }
 
 #[test]
-fn a_dead_member_is_suspected_soon_however_large_the_fleet() {
+fn a_killed_member_is_suspected_within_3_s_in_a_large_fleet() {
     let mut world = fleet();
-    let dead = world.routers[3].life;
+    let killed = world.routers[3].life;
     world.kill(3);
     world.run_ms(3_000);
     let suspects = |router: &world::Router, id: ids::Incarnation| {
         let record = router.node.members().find(id);
         record.is_some_and(|record| record.health >= members::Health::Suspect)
     };
-    let living = world.routers.iter().filter(|router| router.life != dead);
-    let knowing = living.filter(|router| suspects(router, dead)).count();
-    assert!(knowing > 0, "nobody noticed");
+    let running = world.routers.iter().filter(|router| router.life != killed);
+    let suspecting = running.filter(|router| suspects(router, killed)).count();
+    assert!(suspecting > 0, "no router suspects the killed member");
 }
 
 #[test]
-fn a_life_that_starts_where_another_held_tokens_is_told_and_closes_them() {
+fn a_router_that_replaces_a_killed_holder_at_its_address_closes_the_holders_grants() {
     let mut world = fleet();
     let holder = holders(&world)[0];
     let earlier = world.routers[holder].life;
-    // A holder has something in hand once the budget is spent from.
+    // A holder keeps tokens only after requests have spent from the budget.
     world.admit(holder, 0, 0, BOUND_TOKENS, BOUND_TOKENS, false);
     world.run_ms(2_000);
     assert!(world.ledger(0).grants.contains_key(&earlier));
     world.kill(holder);
     world.restart(holder, true);
     world.run_ms(10_000);
-    // Somebody else holds the budget now; what an earlier life held, only its successor at the address can close.
+    // Another router is the holder now. Only the successor at the address can close the grants of the killed router.
     world.admit((holder + 1) % ROUTERS, 0, 1, BOUND_TOKENS, BOUND_TOKENS, false);
     world.run_ms(10_000);
     let ledger = world.ledger(0);
--- a/core/tests/fair_parts.rs
+++ b/core/tests/server_shares.rs
@@ -1,5 +1,5 @@
-//! No healthy server of a service stays without its part of the requests: what was learned of a server in few or old answers
-//! kept it from being asked again (`one of four equal servers got 0 requests for all of the following 12 to 16 s`).
+//! Guards against healthy servers that receive no requests because a few old answers rate them too low. Without requests
+//! there are no new answers: one of four equal servers received no requests for 12 to 16 s.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -8,24 +8,24 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
 
-/// No healthy server stays under a quarter of an even part for so long.
+/// In each window of this length, a healthy server receives at least a quarter of an even share of the requests.
 const WINDOW_MS: u64 = 4_000;
-/// A server that is well again after a trouble has its part after this time.
-const BACK_MS: u64 = 4_000;
+/// A server receives its share again this long after the end of a fault.
+const RECOVERY_MS: u64 = 4_000;
 const SERVICE: &str = "service";
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Trouble {
+enum Fault {
     None,
-    /// Eight times as slow.
+    /// The server is eight times as slow.
     Slow,
-    /// Its answers are failures.
+    /// All requests to the server fail.
     Fails,
-    /// It turns away ten requests at once.
+    /// The server rejects ten concurrent requests of each router.
     Full,
-    /// Its address refuses connections, and then a later life is there.
+    /// The server's address refuses connections, until a new incarnation of the server is listed.
     Crashes,
-    /// No requests come for a minute.
+    /// Clients send no requests for a minute.
     Pause,
 }
 
@@ -53,8 +53,8 @@
     runs: BTreeMap<(u64, u64), Run>,
     number: u64,
     per_s: u64,
-    owed_milli: u64,
-    /// What callers waited, of requests that were answered.
+    due_milli: u64,
+    /// The durations of successful requests.
     took_ms: Vec<u64>,
     rng: StdRng,
 }
@@ -76,7 +76,7 @@
             runs: BTreeMap::new(),
             number: 0,
             per_s,
-            owed_milli: 0,
+            due_milli: 0,
             took_ms: Vec::new(),
             rng: StdRng::seed_from_u64(seed),
         };
@@ -106,9 +106,9 @@
         for _ in 0..time_ms {
             self.now_ms += 1;
             self.end_runs();
-            self.owed_milli += self.per_s;
-            while self.owed_milli >= 1_000 {
-                self.owed_milli -= 1_000;
+            self.due_milli += self.per_s;
+            while self.due_milli >= 1_000 {
+                self.due_milli -= 1_000;
                 let router = self.rng.random_range(0..self.tables.len());
                 self.send(router);
             }
@@ -116,14 +116,14 @@
     }
 
     fn send(&mut self, router: usize) {
-        let wanted = servers::Wanted {
+        let criteria = servers::Wanted {
             service: SERVICE,
             classes: &[],
             prefix_hash: None,
             parts: &[],
             not: &[],
         };
-        let chosen = self.tables[router].choose(&wanted, self.now_ms, &mut self.rng);
+        let chosen = self.tables[router].choose(&criteria, self.now_ms, &mut self.rng);
         let Ok(servers::Choice { slot, .. }) = chosen else { return };
         let table = &self.tables[router];
         let name = &table.get(slot).unwrap().vm.vm;
@@ -156,7 +156,7 @@
         }
     }
 
-    /// The least that any server got in a window, in percent of an even part; `healthy` are looked at.
+    /// The least number of requests of any server in `healthy` in any window, in percent of an even share.
     fn least_percent(&self, since_ms: u64, healthy: &[usize]) -> u64 {
         let even = self.per_s * WINDOW_MS / 1_000 / self.servers.len() as u64;
         let least = healthy.iter().map(|place| {
@@ -171,34 +171,34 @@
         least.min().unwrap_or(0) * 100 / even
     }
 
-    /// The first server is in trouble for a while.
-    fn trouble(&mut self, trouble: Trouble) {
+    /// Injects a fault and ends it after 4 s, or 60 s for a pause of requests.
+    fn fault(&mut self, fault: Fault) {
         let (work_ms, per_s) = (self.servers[0].work_ms, self.per_s);
-        match trouble {
-            Trouble::None => {}
-            Trouble::Slow => self.servers[0].work_ms = 8 * work_ms,
-            Trouble::Fails => self.servers[0].fails = true,
-            Trouble::Full => {
+        match fault {
+            Fault::None => {}
+            Fault::Slow => self.servers[0].work_ms = 8 * work_ms,
+            Fault::Fails => self.servers[0].fails = true,
+            Fault::Full => {
                 for router in 0..self.tables.len() {
-                    self.turn_away_ten(router);
+                    self.reject_ten(router);
                 }
             }
-            Trouble::Crashes => {
+            Fault::Crashes => {
                 self.servers[0].life += 1;
                 let tables = self.tables.iter_mut();
                 tables.for_each(|table| table.refused(table.find("vm-0").unwrap(), self.now_ms));
             }
-            Trouble::Pause => self.per_s = 0,
+            Fault::Pause => self.per_s = 0,
         }
-        self.run_ms(if trouble == Trouble::Pause { 60_000 } else { 4_000 });
+        self.run_ms(if fault == Fault::Pause { 60_000 } else { 4_000 });
         self.servers[0].work_ms = work_ms;
         self.servers[0].fails = false;
         self.per_s = per_s;
         self.list();
     }
 
-    /// Ten requests of a router that run at the first server together are turned away.
-    fn turn_away_ten(&mut self, router: usize) {
+    /// Lets the first server reject ten concurrent requests of a router.
+    fn reject_ten(&mut self, router: usize) {
         let slot = self.tables[router].find("vm-0").unwrap();
         for _ in 0..10 {
             self.tables[router].turned_away(slot, self.now_ms - 5, self.now_ms);
@@ -206,56 +206,56 @@
     }
 }
 
-fn schedule(routers: usize, servers: usize, work_ms: u64, trouble: Trouble, seed: u64) -> u64 {
-    // Of an even part, 25 requests come in a window, at any size.
+fn schedule(routers: usize, servers: usize, work_ms: u64, fault: Fault, seed: u64) -> u64 {
+    // A quarter of an even share is 25 requests in a window, at any number of servers.
     let per_s = servers as u64 * 100 * 1_000 / WINDOW_MS;
     let mut sim = Sim::new(routers, servers, work_ms, per_s, seed);
     let healthy: Vec<usize> = (0..servers).collect();
     sim.run_ms(8_000);
     let before = sim.least_percent(1_000, &healthy);
-    sim.trouble(trouble);
+    sim.fault(fault);
     let others = sim.least_percent(9_000, &healthy[1..]);
-    let others = if trouble == Trouble::Pause { 100 } else { others };
-    sim.run_ms(BACK_MS);
+    let others = if fault == Fault::Pause { 100 } else { others };
+    sim.run_ms(RECOVERY_MS);
     let since_ms = sim.now_ms;
     sim.run_ms(8_000);
     before.min(others).min(sim.least_percent(since_ms, &healthy))
 }
 
-macro_rules! parts {
-    ($($name:ident: $routers:expr, $servers:expr, $work_ms:expr, $trouble:expr;)*) => {$(
+macro_rules! shares {
+    ($($name:ident: $routers:expr, $servers:expr, $work_ms:expr, $fault:expr;)*) => {$(
         #[test]
         fn $name() {
             let least: Vec<u64> =
-                (0..7).map(|seed| schedule($routers, $servers, $work_ms, $trouble, seed)).collect();
+                (0..7).map(|seed| schedule($routers, $servers, $work_ms, $fault, seed)).collect();
             println!("{} {least:?}", stringify!($name));
-            assert!(least.iter().all(|percent| *percent >= 25), "{least:?} percent of an even part");
+            assert!(least.iter().all(|percent| *percent >= 25), "{least:?} percent of an even share");
         }
     )*};
 }
 
-parts! {
-    healthy_servers_have_their_part_from_one_router: 1, 4, 15, Trouble::None;
-    two_healthy_servers_have_their_part_from_one_router: 1, 2, 15, Trouble::None;
-    forty_healthy_servers_have_their_part_from_one_router: 1, 40, 15, Trouble::None;
-    healthy_servers_have_their_part_from_seven_routers: 7, 4, 15, Trouble::None;
-    healthy_servers_have_their_part_from_thirty_routers: 30, 12, 15, Trouble::None;
-    busy_servers_have_their_part_from_seven_routers: 7, 4, 200, Trouble::None;
-    a_server_has_its_part_after_a_slow_phase_from_one_router: 1, 4, 15, Trouble::Slow;
-    a_server_has_its_part_after_a_slow_phase_from_seven_routers: 7, 4, 15, Trouble::Slow;
-    a_server_has_its_part_after_a_slow_phase_from_thirty_routers: 30, 40, 15, Trouble::Slow;
-    a_server_has_its_part_after_failures_from_one_router: 1, 4, 15, Trouble::Fails;
-    a_server_has_its_part_after_failures_from_seven_routers: 7, 4, 15, Trouble::Fails;
-    a_server_has_its_part_after_ten_refusals_at_once: 1, 4, 15, Trouble::Full;
-    a_server_has_its_part_after_ten_refusals_at_once_from_seven_routers: 7, 4, 15, Trouble::Full;
-    a_server_has_its_part_after_a_crash_from_one_router: 1, 4, 15, Trouble::Crashes;
-    a_server_has_its_part_after_a_crash_from_seven_routers: 7, 4, 15, Trouble::Crashes;
-    servers_have_their_part_after_a_minute_without_requests: 7, 4, 15, Trouble::Pause;
+shares! {
+    healthy_servers_receive_their_share_from_one_router: 1, 4, 15, Fault::None;
+    two_healthy_servers_receive_their_share_from_one_router: 1, 2, 15, Fault::None;
+    forty_healthy_servers_receive_their_share_from_one_router: 1, 40, 15, Fault::None;
+    healthy_servers_receive_their_share_from_seven_routers: 7, 4, 15, Fault::None;
+    healthy_servers_receive_their_share_from_thirty_routers: 30, 12, 15, Fault::None;
+    busy_servers_receive_their_share_from_seven_routers: 7, 4, 200, Fault::None;
+    a_server_receives_its_share_after_a_slow_phase_from_one_router: 1, 4, 15, Fault::Slow;
+    a_server_receives_its_share_after_a_slow_phase_from_seven_routers: 7, 4, 15, Fault::Slow;
+    a_server_receives_its_share_after_a_slow_phase_from_thirty_routers: 30, 40, 15, Fault::Slow;
+    a_server_receives_its_share_after_failures_from_one_router: 1, 4, 15, Fault::Fails;
+    a_server_receives_its_share_after_failures_from_seven_routers: 7, 4, 15, Fault::Fails;
+    a_server_receives_its_share_after_ten_rejections_at_once: 1, 4, 15, Fault::Full;
+    a_server_receives_its_share_after_ten_rejections_at_once_from_seven_routers: 7, 4, 15, Fault::Full;
+    a_server_receives_its_share_after_a_crash_from_one_router: 1, 4, 15, Fault::Crashes;
+    a_server_receives_its_share_after_a_crash_from_seven_routers: 7, 4, 15, Fault::Crashes;
+    servers_receive_their_share_after_a_minute_without_requests: 7, 4, 15, Fault::Pause;
 }
 
-/// A slow server is asked now and then; callers pay little for it.
+/// A slow server is still tried sometimes, which must slow down few callers.
 #[test]
-fn a_slow_server_gets_little_while_it_is_slow() {
+fn a_slow_server_receives_few_requests_while_it_is_slow() {
     for (routers, seed) in [(1, 1), (7, 2), (30, 3)] {
         let mut sim = Sim::new(routers, 4, 15, 250, seed);
         sim.run_ms(8_000);
@@ -267,7 +267,7 @@
         let slow = sends.iter().filter(|at_ms| **at_ms >= since_ms).count();
         let mean_ms =
             sim.took_ms[answered..].iter().sum::<u64>() / (sim.took_ms.len() - answered) as u64;
-        println!("{routers} routers: {slow} of 5000 to the slow one, mean {mean_ms} ms");
-        assert!(slow <= 5_000 / 12, "{routers} routers: {slow} of 5000 went to the slow one");
+        println!("{routers} routers: {slow} of 5000 to the slow server, mean {mean_ms} ms");
+        assert!(slow <= 5_000 / 12, "{routers} routers: {slow} of 5000 went to the slow server");
     }
 }
--- a/core/tests/settlements_in_cuts.rs
+++ b/core/tests/settlements_in_partitions.rs
@@ -1,4 +1,4 @@
-//! Guards against streams that are not billed once after regions and the platform were cut while they ended.
+//! Guards against streams that are lost or billed twice if they end while regions and the platform are unreachable.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -11,10 +11,10 @@
 const ROUTERS: usize = 4;
 const STREAMS: usize = 8;
 const TOKENS: u64 = 63;
-/// The maximum time from the end of the last cut until each stream is billed.
+/// The maximum time from the end of the last network partition until each stream is billed.
 const BILLED_WITHIN_MS: u64 = 40_000;
 
-/// Other faults during the cuts.
+/// Additional faults during the partitions.
 #[derive(Clone, Copy)]
 struct Faults {
     replies: bool,
@@ -24,7 +24,8 @@
 
 const NONE: Faults = Faults { replies: false, messages: false, pauses: false };
 
-/// Runs streams at all routers while the regions and some routers' paths to the platform are cut, in any order.
+/// Runs streams at all routers while the regions are partitioned and some routers can't reach the platform. The partitions
+/// end in random order.
 fn run(faults: Faults, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed ^ 0x5e77);
     let mut world = World::new(Shape { routers: ROUTERS, ..Shape::default() }, seed);
@@ -61,7 +62,7 @@
     }
     world.resume(paused);
     world.run_ms(BILLED_WITHIN_MS);
-    assert!(world.given.iter().all(|one| matches!(one.end, Some(End::Closed { .. }))));
+    assert!(world.given.iter().all(|stream| matches!(stream.end, Some(End::Closed { .. }))));
     let billed: u64 = world.log().totals().map(|(_, _, totals)| totals.billed_requests).sum();
     let tokens: u64 = world.log().totals().map(|(_, _, totals)| totals.billed_tokens).sum();
     assert_eq!((billed, tokens), (STREAMS as u64, STREAMS as u64 * TOKENS), "seed {seed}");
@@ -78,12 +79,12 @@
 }
 
 schedules! {
-    streams_that_end_in_cuts_are_billed_once: NONE;
-    streams_that_end_in_cuts_beside_lost_replies_are_billed_once:
+    streams_that_end_during_partitions_are_billed_once: NONE;
+    streams_that_end_during_partitions_beside_lost_replies_are_billed_once:
         Faults { replies: true, ..NONE };
-    streams_that_end_in_cuts_beside_lost_messages_are_billed_once:
+    streams_that_end_during_partitions_beside_lost_messages_are_billed_once:
         Faults { messages: true, ..NONE };
-    streams_that_end_in_cuts_beside_a_pause_are_billed_once: Faults { pauses: true, ..NONE };
-    streams_that_end_in_cuts_beside_all_faults_are_billed_once:
+    streams_that_end_during_partitions_beside_a_pause_are_billed_once: Faults { pauses: true, ..NONE };
+    streams_that_end_during_partitions_beside_all_faults_are_billed_once:
         Faults { replies: true, messages: true, pauses: true };
 }
--- a/core/tests/transfers.rs
+++ b/core/tests/transfers.rs
@@ -1,4 +1,4 @@
-//! Tokens that pass from router to router: none is made, whatever gets lost or comes again.
+//! Guards against tokens that are created when messages of a transfer are lost, repeated or delayed.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -8,8 +8,8 @@
 use world::{Shape, TICK_MS, World};
 
 const PAID_TOKENS: u64 = 10_000;
-const GIVEN_TOKENS: u64 = 5_000;
-const PATIENCE_MS: u64 = 5_000;
+const TRANSFER_TOKENS: u64 = 5_000;
+const TIMEOUT_MS: u64 = 5_000;
 
 fn pair() -> World {
     let shape = Shape { routers: 2, regions: 1, paid_tokens: PAID_TOKENS, ..Shape::default() };
@@ -24,48 +24,52 @@
 }
 
 fn run_until(world: &mut World, what: &str, condition: impl Fn(&World) -> bool) {
-    let end_ms = world.now_ms + PATIENCE_MS;
+    let end_ms = world.now_ms + TIMEOUT_MS;
     while !condition(world) {
-        assert!(world.now_ms < end_ms, "never came: {what}");
+        assert!(world.now_ms < end_ms, "not reached within {TIMEOUT_MS} ms: {what}");
         world.run_ms(TICK_MS);
     }
 }
 
 #[test]
-fn a_transfer_that_comes_again_is_not_applied_by_the_next_life_at_the_address() {
+fn a_repeated_transfer_is_not_applied_by_the_next_router_at_the_address() {
     let mut world = pair();
-    // The first router draws nearly all and spends none of it.
+    // Router 0 draws nearly all tokens and spends none of them.
     let all = PAID_TOKENS - 1_500;
     world.admit(0, 0, 1, all, 0, false);
     run_until(&mut world, "a draw", |world| world.given[0].dispatched);
     world.faults.store_out = true;
     run_until(&mut world, "an end", |world| world.given[0].end.is_some());
 
-    // The second one is given tokens; its word of it is lost.
+    // Router 1 receives a transfer, and its acknowledgement is lost.
     world.faults.delay_max_ms = 60;
-    world.admit(1, 0, 2, GIVEN_TOKENS, GIVEN_TOKENS, false);
+    world.admit(1, 0, 2, TRANSFER_TOKENS, TRANSFER_TOKENS, false);
     run_until(&mut world, "a transfer", |world| {
         world.routers[0].node.counters().transfers_sent > 0
     });
     world.faults.lose_messages_percent = 100;
     run_until(&mut world, "a dispatch", |world| world.given[1].dispatched);
 
-    // It dies, and the transfer is sent again to whoever has its address now.
+    // Router 1 is killed, and the transfer is sent again to the new router at its address.
     world.kill(1);
     world.restart(1, true);
     world.faults.lose_messages_percent = 0;
-    world.run_ms(PATIENCE_MS);
+    world.run_ms(TIMEOUT_MS);
     world.faults.store_out = false;
     run_until(&mut world, "a configuration", |world| world.routers[1].node.config_version() > 0);
-    world.run_ms(PATIENCE_MS);
-    assert_eq!(account(&world, 1).received_tokens, 0, "applied by another life");
+    world.run_ms(TIMEOUT_MS);
+    assert_eq!(
+        account(&world, 1).received_tokens,
+        0,
+        "the transfer was applied by the next router at the address"
+    );
     world.admit(0, 0, 3, account(&world, 0).free_tokens(), PAID_TOKENS, false);
-    world.admit(1, 0, 4, GIVEN_TOKENS, GIVEN_TOKENS, false);
-    world.run_ms(PATIENCE_MS);
+    world.admit(1, 0, 4, TRANSFER_TOKENS, TRANSFER_TOKENS, false);
+    world.run_ms(TIMEOUT_MS);
 }
 
 #[test]
-fn a_transfer_that_was_declined_is_not_applied_by_a_copy_that_comes_later() {
+fn a_declined_transfer_is_not_applied_when_a_copy_arrives_later() {
     let mut world = pair();
     world.faults.store_out = true;
     world.kill(1);
@@ -80,10 +84,10 @@
             open_from: 1,
             in_reply_to: 0,
             budget: budget.clone(),
-            tokens: GIVEN_TOKENS,
+            tokens: TRANSFER_TOKENS,
         },
     };
-    // It has no configuration yet, so it declines; its sender has the tokens back.
+    // Router 1 has no configuration yet and declines the transfer, so the sender keeps the tokens.
     let now_ms = world.now_ms;
     world.routers[1].node.handle_message(transfer(1), now_ms);
     world.faults.store_out = false;
@@ -92,7 +96,11 @@
     });
     let now_ms = world.now_ms;
     world.routers[1].node.handle_message(transfer(1), now_ms);
-    assert_eq!(account(&world, 1).received_tokens, 0, "its sender has them back");
+    assert_eq!(account(&world, 1).received_tokens, 0, "a declined transfer was applied");
     world.routers[1].node.handle_message(transfer(2), now_ms);
-    assert_eq!(account(&world, 1).received_tokens, GIVEN_TOKENS, "a new one is applied");
+    assert_eq!(
+        account(&world, 1).received_tokens,
+        TRANSFER_TOKENS,
+        "a new transfer was not applied"
+    );
 }
--- a/core/tests/wire_format.rs
+++ b/core/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! The bytes of messages between routers. Order and types of fields and variants are on the wire; a change of either
-//! needs another [`message::PROTOCOL`].
+//! Guards against unintended changes of the bytes of messages between routers. The order and the types of fields and
+//! variants determine these bytes; a change of either requires a new [`message::PROTOCOL`].
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -45,7 +45,7 @@
     }
 }
 
-fn seen() -> message::CopyState {
+fn copy_state() -> message::CopyState {
     message::CopyState { position: store::Position::new(1, 2), age_ms: Some(3) }
 }
 
@@ -99,9 +99,9 @@
         digest: message::Digest {
             era: 1,
             config_version: 2,
-            configuration: seen(),
+            configuration: copy_state(),
             evacuations: evacuations(),
-            servers: seen(),
+            servers: copy_state(),
             changes_after: store::Position::new(3, 4),
             changes: vec![
                 change(watch::ServerRecord::Listed(vm())),
@@ -185,12 +185,12 @@
     config_ask_keeps_its_bytes: message::Message::ConfigRequest => "0101020b";
     config_keeps_its_bytes: message::Message::Config {
         version: 1,
-        copy_state: seen(),
+        copy_state: copy_state(),
         evacuations: evacuations(),
         value: vec![2, 3],
     } => "0101020c01010201030102010161020203";
     vms_ask_keeps_its_bytes: message::Message::VmsRequest => "0101020d";
-    vms_keeps_its_bytes: message::Message::Vms { copy_state: seen(), vms: vec![vm()] } => "0101020e01020103010161016201630164016501010203";
+    vms_keeps_its_bytes: message::Message::Vms { copy_state: copy_state(), vms: vec![vm()] } => "0101020e01020103010161016201630164016501010203";
     members_ask_keeps_its_bytes: message::Message::MembersRequest => "0101020f";
     members_keeps_its_bytes: message::Message::Members(vec![member()]) => "0101021001010161016201630201";
     permit_ask_keeps_its_bytes: message::Message::PermitRequest {
