--- a/core/benches/measures/scenario.rs
+++ b/core/benches/measures/scenario.rs
@@ -197,7 +197,7 @@
     };
     let mut world = World::new(shape, 5);
     world.serve_ms = SERVE_MS;
-    world.vms_lag_ms = 30_000;
+    world.vm_removal_delay_ms = 30_000;
     for (budget, tokens) in paid(scenario, arrivals).into_iter().enumerate() {
         world.pay(budget, tokens);
     }
@@ -242,7 +242,7 @@
         }
         self.figures.reads = self.world.store_calls.0 - calls.0;
         self.figures.writes = self.world.store_calls.1 - calls.1;
-        self.figures.deaths = self.world.deaths;
+        self.figures.deaths = self.world.kills;
         self.figures.lost_tokens = self.world.written_off_tokens;
         // The world itself fails the run on any overspend.
         self.figures.overspend_tokens = 0;
@@ -254,7 +254,7 @@
         let routers = self.site.routers();
         let store_out =
             self.scenario == Scenario::Outage && !self.scenario.store_reachable(0, second);
-        self.world.faults.store_out = store_out;
+        self.world.faults.store_unavailable = store_out;
         self.world.faults.store_cut.clear();
         self.world.faults.pairs_cut.clear();
         if self.scenario.cut(second) {
@@ -281,7 +281,7 @@
         let (bound, actual) = (arrival.bound_tokens, arrival.actual_tokens);
         self.world.admit(at, arrival.budget, key, bound, actual, false);
         for budget in 0..BUDGETS {
-            if self.world.truth[budget].left_tokens() < bound
+            if self.world.totals[budget].unspent_tokens() < bound
                 && self.truly_empty_ms[budget].is_none()
             {
                 self.truly_empty_ms[budget] = Some(self.world.now_ms);
@@ -293,7 +293,7 @@
         let refusals = self.world.refusals[self.seen_refusals..].to_vec();
         self.seen_refusals += refusals.len();
         for place in refusals {
-            let given = self.world.given[place].clone();
+            let given = self.world.requests[place].clone();
             self.figures.refused += 1;
             let Some(End::Refused(reason)) = given.end else { continue };
             let budget_reason =
@@ -303,7 +303,7 @@
                 continue;
             }
             self.first_refusal_ms[given.budget].get_or_insert(self.world.now_ms);
-            if self.world.truth[given.budget].left_tokens() >= given.bound_tokens {
+            if self.world.totals[given.budget].unspent_tokens() >= given.bound_tokens {
                 self.figures.falsely_refused += 1;
                 if self.reachable_tokens(&given) < given.bound_tokens {
                     *self.figures.unavoidable.get_or_insert(0) += 1;
@@ -313,7 +313,7 @@
     }
 
     /// What the store and the routers that can be reached from the refusing one have free.
-    fn reachable_tokens(&self, given: &world::Given) -> u64 {
+    fn reachable_tokens(&self, given: &world::SubmittedRequest) -> u64 {
         let name = self.world.budget_name(given.budget);
         let reached = |at: &usize| *at == given.at || self.world.connected(given.at, *at);
         let free: u64 = (0..self.world.routers.len())
--- a/core/tests/crash_cost.rs
+++ b/core/tests/crash_cost.rs
@@ -45,7 +45,7 @@
     let end_ms = world.now_ms + time_ms;
     while world.now_ms < end_ms {
         for budget in 0..2 {
-            let number = world.given.len();
+            let number = world.requests.len();
             world.admit(number % ROUTERS, budget, number as u64, BOUND_TOKENS, BOUND_TOKENS, false);
         }
         world.run_ms(pause_ms);
@@ -95,7 +95,7 @@
         let mut world = fleet(seed);
         spend(&mut world, TOKENS_PER_S, 20_000);
         let holder = holder(&world, 0);
-        let life = world.routers[holder].life;
+        let life = world.routers[holder].incarnation;
         let before_tokens = world.ledger(0).written_off_tokens;
         crash(&mut world, &[holder]);
         assert!(!world.ledger(0).grants.contains_key(&life), "seed {seed}: it was closed");
@@ -139,7 +139,7 @@
     for seed in 1..6 {
         let mut world = fleet(seed);
         spend(&mut world, 10_000, 2_000);
-        world.faults.store_out = true;
+        world.faults.store_unavailable = true;
         let before = world.refusals.len();
         spend(&mut world, 10_000, 8_000);
         let refused = world.refusals.len() - before;
@@ -154,7 +154,7 @@
         let holder = holder(&world, 0);
         world.admit(holder, 0, 1, BOUND_TOKENS, BOUND_TOKENS, false).unwrap();
         world.run_ms(100);
-        world.faults.store_out = true;
+        world.faults.store_unavailable = true;
         for number in 2..5 {
             world.admit(holder, 0, number, BOUND_TOKENS, BOUND_TOKENS, false).unwrap();
             world.run_ms(300);
@@ -171,9 +171,9 @@
     for seed in 1..6 {
         let mut world = fleet_that_holds(50, seed);
         spend(&mut world, TOKENS_PER_S, 15_000);
-        world.faults.store_out = true;
+        world.faults.store_unavailable = true;
         spend(&mut world, TOKENS_PER_S, 17_000);
-        world.faults.store_out = false;
+        world.faults.store_unavailable = false;
         spend(&mut world, TOKENS_PER_S, 2_000);
         let most = world.routers.iter().map(|router| held(&world, router)).max().unwrap();
         assert!(most <= 5 * TOKENS_PER_S, "seed {seed}: {most} in hand two seconds after");
@@ -191,7 +191,7 @@
     for seed in 1..6 {
         let mut world = fleet_that_holds(50, seed);
         spend(&mut world, 25_000, 30_000);
-        world.faults.store_out = true;
+        world.faults.store_unavailable = true;
         let before = world.refusals.len();
         spend(&mut world, 25_000, 4_000);
         let refused = world.refusals.len() - before;
--- a/core/tests/guarantees.rs
+++ b/core/tests/guarantees.rs
@@ -148,7 +148,7 @@
                 }
             }
         }
-        Op::StoreOut => world.faults.store_out = true,
+        Op::StoreOut => world.faults.store_unavailable = true,
         Op::LoseReplies { percent } => world.faults.lose_replies_percent = u32::from(percent),
         Op::LateWrites { percent } => world.faults.late_writes_percent = u32::from(percent),
         Op::BadNetwork { percent } => {
@@ -176,11 +176,11 @@
 /// Spends the rest of every budget, so that a token that was created by a fault shows as an overspend.
 fn drain(world: &mut World) {
     const BOUND_TOKENS: u64 = 40;
-    for budget in 0..world.truth.len() {
+    for budget in 0..world.totals.len() {
         let mut serial = 50_000_000;
         let mut refused = 0;
         while refused < 3 {
-            let first = world.given.len();
+            let first = world.requests.len();
             for at in 0..world.routers.len() {
                 for _ in 0..20 {
                     serial += 1;
@@ -188,8 +188,9 @@
                 }
             }
             world.run_ms(1_500);
-            let closed = |given: &world::Given| matches!(given.end, Some(End::Closed { .. }));
-            let served = world.given[first..].iter().any(closed);
+            let closed =
+                |request: &world::SubmittedRequest| matches!(request.end, Some(End::Closed { .. }));
+            let served = world.requests[first..].iter().any(closed);
             refused = if served { 0 } else { refused + 1 };
         }
     }
@@ -203,12 +204,12 @@
         apply(&mut world, *op, &mut serial);
     }
     recover(&mut world);
-    for given in &world.given {
-        let lost = world.routers[given.at].life != given.life;
-        assert!(given.end.is_some() || lost, "a request received no answer: {given:?}");
+    for request in &world.requests {
+        let lost = world.routers[request.at].incarnation != request.incarnation;
+        assert!(request.end.is_some() || lost, "a request received no answer: {request:?}");
     }
     // Two kills may remove both the router of a settlement and its committer, and so lose it; one kill must not lose any.
-    if world.deaths <= 1 {
+    if world.kills <= 1 {
         world.check_billing();
     }
     drain(&mut world);
@@ -284,9 +285,9 @@
     }
     world.run_ms(10_000);
     assert!(
-        world.given.iter().all(|given| given.end == Some(End::Closed { safe: true })),
+        world.requests.iter().all(|request| request.end == Some(End::Closed { safe: true })),
         "{:?}",
-        world.given
+        world.requests
     );
     world.check_billing();
     assert_eq!(world.ledger(0).reported_consumed_tokens(), 40 * 80);
--- a/core/tests/holders.rs
+++ b/core/tests/holders.rs
@@ -34,7 +34,7 @@
 }
 
 fn served(world: &World, place: usize) -> bool {
-    world.given[place].end == Some(End::Closed { safe: true })
+    world.requests[place].end == Some(End::Closed { safe: true })
 }
 
 #[test]
@@ -73,7 +73,7 @@
     // One request can spend all of them.
     let place = world.admit((holder + 1) % ROUTERS, 0, 1_000, 90_000, 90_000, false).unwrap();
     world.run_ms(3_000);
-    assert!(served(&world, place), "{:?}", world.given[place].end);
+    assert!(served(&world, place), "{:?}", world.requests[place].end);
 }
 
 #[test]
@@ -84,7 +84,7 @@
     let other = (holder + 1) % ROUTERS;
     let place = world.admit(other, 0, 1, BOUND_TOKENS, BOUND_TOKENS, false).unwrap();
     world.run_ms(1_500);
-    assert!(served(&world, place), "{:?}", world.given[place].end);
+    assert!(served(&world, place), "{:?}", world.requests[place].end);
 }
 
 #[test]
@@ -97,7 +97,7 @@
     let other = (holder + 1) % ROUTERS;
     let place = world.admit(other, 0, 1, BOUND_TOKENS, BOUND_TOKENS, false).unwrap();
     world.run_ms(1_500);
-    assert!(served(&world, place), "{:?}", world.given[place].end);
+    assert!(served(&world, place), "{:?}", world.requests[place].end);
 }
 
 #[test]
@@ -119,10 +119,10 @@
     let other = (holder + 1) % ROUTERS;
     let place = world.admit(other, 0, 1, BOUND_TOKENS, 0, false).unwrap();
     world.run_ms(1_500);
-    assert!(served(&world, place), "{:?}", world.given[place].end);
+    assert!(served(&world, place), "{:?}", world.requests[place].end);
     world.faults.pairs_cut.clear();
     world.run_ms(10_000);
-    let holder_id = world.routers[holder].life;
+    let holder_id = world.routers[holder].incarnation;
     let ledger = world.ledger(0);
     let others = ledger.grants.iter().filter(|(id, _)| **id != holder_id);
     let drawn_tokens: u64 = others.map(|(_, grant)| grant.granted_tokens).sum();
@@ -139,7 +139,7 @@
     // No tokens were lost: the rest of the budget can still be spent.
     let rest = world.admit(holder, 0, 2, 95_000, 95_000, false).unwrap();
     world.run_ms(3_000);
-    assert!(served(&world, rest), "{:?}", world.given[rest].end);
+    assert!(served(&world, rest), "{:?}", world.requests[rest].end);
 }
 
 #[test]
@@ -159,21 +159,21 @@
     let refused = world.refusals.len();
     assert!(refused >= 200, "only {refused} requests were refused");
     assert!(calls < 60, "{calls} calls for {refused} refusals");
-    let reason = &world.given[*world.refusals.last().unwrap()].end;
+    let reason = &world.requests[*world.refusals.last().unwrap()].end;
     assert_eq!(*reason, Some(End::Refused(node::Reason::BudgetExhausted)));
 }
 
 #[test]
 fn a_killed_member_is_suspected_within_3_s_in_a_large_fleet() {
     let mut world = fleet();
-    let killed = world.routers[3].life;
+    let killed = world.routers[3].incarnation;
     world.kill(3);
     world.run_ms(3_000);
     let suspects = |router: &world::Router, id: ids::Incarnation| {
         let record = router.node.members().find(id);
         record.is_some_and(|record| record.health >= members::Health::Suspect)
     };
-    let running = world.routers.iter().filter(|router| router.life != killed);
+    let running = world.routers.iter().filter(|router| router.incarnation != killed);
     let suspecting = running.filter(|router| suspects(router, killed)).count();
     assert!(suspecting > 0, "no router suspects the killed member");
 }
@@ -182,7 +182,7 @@
 fn a_router_that_replaces_a_killed_holder_at_its_address_closes_the_holders_grants() {
     let mut world = fleet();
     let holder = holders(&world)[0];
-    let earlier = world.routers[holder].life;
+    let earlier = world.routers[holder].incarnation;
     // A holder keeps tokens only after requests have spent from the budget.
     world.admit(holder, 0, 0, BOUND_TOKENS, BOUND_TOKENS, false);
     world.run_ms(2_000);
--- a/core/tests/node.rs
+++ b/core/tests/node.rs
@@ -27,7 +27,7 @@
     world.run_ms(2_000);
     let place = world.admit(0, 0, 1, 10_001, 1, false).unwrap();
     world.run_ms(500);
-    assert_eq!(world.given[place].end, Some(End::Refused(node::Reason::BudgetExhausted)));
+    assert_eq!(world.requests[place].end, Some(End::Refused(node::Reason::BudgetExhausted)));
 }
 
 #[test]
@@ -37,7 +37,7 @@
     // Each of four routers holds a part; one request wants nearly all.
     let place = world.admit(2, 0, 1, 9_900, 9_900, false).unwrap();
     world.run_ms(3_000);
-    assert_eq!(world.given[place].end, Some(End::Closed { safe: true }));
+    assert_eq!(world.requests[place].end, Some(End::Closed { safe: true }));
 }
 
 #[test]
@@ -62,7 +62,7 @@
     // A request by the callers' interface is recorded in the log.
     let of = |purpose| sent(&[purpose]);
     assert!(of(CallPurpose::LogWrite) > 0 && of(CallPurpose::LedgerWrite) > 0);
-    world.faults.store_out = true;
+    world.faults.store_unavailable = true;
     world.admit(0, 0, 2, 20, 20, false).unwrap();
     world.run_ms(5_000);
     let silent = |router: &world::Router| -> u64 {
@@ -81,12 +81,12 @@
     let shape = Shape { routers: 8, ..Shape::default() };
     let mut world = World::new(shape, 1);
     world.run_ms(3_000);
-    world.faults.store_out = true;
+    world.faults.store_unavailable = true;
     for key in 0..200 {
         world.admit(key as usize % 8, 0, key, 20, 20, key % 5 == 0);
         world.run_ms(100);
     }
-    world.faults.store_out = false;
+    world.faults.store_unavailable = false;
     let mut most = 0;
     for _ in 0..50 {
         let before = world.store_calls.1;
@@ -132,7 +132,7 @@
 
 /// Fills one server and its queue with requests of a priority; returns their places.
 fn fill(world: &mut World, count: u64, priority: u8) -> Vec<usize> {
-    let first = 1_000 * (1 + world.given.len() as u64);
+    let first = 1_000 * (1 + world.requests.len() as u64);
     world.priority = priority;
     (0..count).filter_map(|it| world.admit(0, 0, first + it, 1, 1, false)).collect()
 }
@@ -151,10 +151,10 @@
     let low = fill(&mut world, 4, 1);
     let high = fill(&mut world, 3, 8);
     let refused =
-        |place: &usize| world.given[*place].end == Some(End::Refused(node::Reason::Overloaded));
+        |place: &usize| world.requests[*place].end == Some(End::Refused(node::Reason::Overloaded));
     // One place is kept for the lowest priority.
-    assert!(low[1..].iter().all(refused), "{:?}", world.given);
-    assert!(!high.iter().any(refused), "{:?}", world.given);
+    assert!(low[1..].iter().all(refused), "{:?}", world.requests);
+    assert!(!high.iter().any(refused), "{:?}", world.requests);
 }
 
 #[test]
@@ -167,7 +167,7 @@
         world.admit(0, 0, 500_000 + round, 1, 1, false);
         world.run_ms(40);
     }
-    assert_eq!(world.given[low[0]].end, Some(End::Closed { safe: true }));
+    assert_eq!(world.requests[low[0]].end, Some(End::Closed { safe: true }));
 }
 
 #[test]
@@ -178,7 +178,7 @@
     world.deadline_ms = 1_000;
     let late = fill(&mut world, 1, 5);
     world.run_ms(1_500);
-    let end = world.given[late[0]].end.clone();
+    let end = world.requests[late[0]].end.clone();
     assert_eq!(end, Some(End::Refused(node::Reason::DeadlineTooClose)));
 }
 
@@ -199,7 +199,7 @@
 
 /// The list of VMs that a router tells a peer which asks.
 fn told_vms(world: &mut World) -> Vec<String> {
-    let (from, to) = (world.routers[1].life, world.routers[0].life);
+    let (from, to) = (world.routers[1].incarnation, world.routers[0].incarnation);
     let ask = message::Envelope { from, to, message: message::Message::VmsRequest };
     let node = &mut world.routers[0].node;
     node.take_actions();
@@ -271,14 +271,14 @@
 fn the_longer_an_outage_refuses_the_later_callers_shall_come_back() {
     let mut world = World::new(Shape { routers: 1, paid_tokens: 1_000_000, ..Shape::default() }, 1);
     world.run_ms(2_000);
-    world.faults.store_out = true;
+    world.faults.store_unavailable = true;
     let mut told_ms = Vec::new();
     // More than what is held in hand, each time.
     for key in 0..12 {
         let place = world.admit(0, 0, key, 900_000, 1, false).unwrap();
         world.run_ms(1_000);
-        assert_eq!(world.given[place].end, Some(End::Refused(node::Reason::BudgetUnreachable)));
-        told_ms.push(world.given[place].retry_after_ms);
+        assert_eq!(world.requests[place].end, Some(End::Refused(node::Reason::BudgetUnreachable)));
+        told_ms.push(world.requests[place].retry_after_ms);
     }
     assert!(told_ms.is_sorted(), "{told_ms:?}");
     assert!(told_ms[0] >= 2_000 && told_ms[11] >= 2 * told_ms[0], "{told_ms:?}");
@@ -292,7 +292,7 @@
     let node = &mut world.routers[0].node;
     let chosen = node.servers().iter().find(|(_, server)| server.in_flight == 1);
     let chosen = chosen.unwrap().1.vm.clone();
-    assert!(!world.given[given].dispatched, "the claim takes a while");
+    assert!(!world.requests[given].dispatched, "the claim takes a while");
     node.report_directives(
         &chosen.vm,
         chosen.life,
@@ -308,14 +308,14 @@
         #[test]
         fn $name() {
             let (mut world, given, chosen) = said_while_claimed(3, $said);
-            while !world.given[given].dispatched {
+            while !world.requests[given].dispatched {
                 world.run_ms(world::TICK_MS);
             }
             let busy = world.routers[0].node.servers().iter().find(|(_, it)| it.in_flight == 1);
             assert_ne!(busy.unwrap().1.vm.vm, chosen);
             let (mut world, given, _) = said_while_claimed(1, $said);
             world.run_ms(2_000);
-            assert_eq!(world.given[given].end, Some(End::Refused($reason)));
+            assert_eq!(world.requests[given].end, Some(End::Refused($reason)));
             assert!(world.executions.is_empty());
         }
     )*};
--- a/core/tests/restored_ledger.rs
+++ b/core/tests/restored_ledger.rs
@@ -46,7 +46,7 @@
         let at = rng.random_range(0..routers);
         match rng.random_range(0..20) {
             0 => {
-                world.faults.store_out = true;
+                world.faults.store_unavailable = true;
                 world.run_ms(rng.random_range(0..1_500));
                 let kill_all =
                     faults.kill_all_one_in > 0 && rng.random_ratio(1, faults.kill_all_one_in);
@@ -54,7 +54,7 @@
                     (0..routers).for_each(|at| world.kill(at));
                 }
                 world.restore_ledger(&backup);
-                world.faults.store_out = false;
+                world.faults.store_unavailable = false;
                 if kill_all {
                     (0..routers).for_each(|at| world.restart(at, true));
                 }
@@ -105,7 +105,7 @@
             let mut served = 0;
             for seed in $seeds {
                 let world = run_schedule($shape, $faults, seed);
-                served += world.truth.iter().map(|truth| truth.served_tokens).sum::<u64>();
+                served += world.totals.iter().map(|totals| totals.served_tokens).sum::<u64>();
             }
             assert!(served > 0);
         }
@@ -176,7 +176,7 @@
                         let shape = shape.clone();
                         match std::panic::catch_unwind(|| run_schedule(shape, faults, seed)) {
                             Ok(world) => served.push(
-                                world.truth.iter().map(|truth| truth.served_tokens).sum::<u64>(),
+                                world.totals.iter().map(|totals| totals.served_tokens).sum::<u64>(),
                             ),
                             Err(_) => broken.push(seed),
                         }
--- a/core/tests/settlements_in_partitions.rs
+++ b/core/tests/settlements_in_partitions.rs
@@ -62,7 +62,7 @@
     }
     world.resume(paused);
     world.run_ms(BILLED_WITHIN_MS);
-    assert!(world.given.iter().all(|stream| matches!(stream.end, Some(End::Closed { .. }))));
+    assert!(world.requests.iter().all(|stream| matches!(stream.end, Some(End::Closed { .. }))));
     let billed: u64 = world.log().totals().map(|(_, _, totals)| totals.billed_requests).sum();
     let tokens: u64 = world.log().totals().map(|(_, _, totals)| totals.billed_tokens).sum();
     assert_eq!((billed, tokens), (STREAMS as u64, STREAMS as u64 * TOKENS), "seed {seed}");
--- a/core/tests/transfers.rs
+++ b/core/tests/transfers.rs
@@ -37,9 +37,9 @@
     // Router 0 draws nearly all tokens and spends none of them.
     let all = PAID_TOKENS - 1_500;
     world.admit(0, 0, 1, all, 0, false);
-    run_until(&mut world, "a draw", |world| world.given[0].dispatched);
-    world.faults.store_out = true;
-    run_until(&mut world, "an end", |world| world.given[0].end.is_some());
+    run_until(&mut world, "a draw", |world| world.requests[0].dispatched);
+    world.faults.store_unavailable = true;
+    run_until(&mut world, "an end", |world| world.requests[0].end.is_some());
 
     // Router 1 receives a transfer, and its acknowledgement is lost.
     world.faults.delay_max_ms = 60;
@@ -48,14 +48,14 @@
         world.routers[0].node.counters().transfers_sent > 0
     });
     world.faults.lose_messages_percent = 100;
-    run_until(&mut world, "a dispatch", |world| world.given[1].dispatched);
+    run_until(&mut world, "a dispatch", |world| world.requests[1].dispatched);
 
     // Router 1 is killed, and the transfer is sent again to the new router at its address.
     world.kill(1);
     world.restart(1, true);
     world.faults.lose_messages_percent = 0;
     world.run_ms(TIMEOUT_MS);
-    world.faults.store_out = false;
+    world.faults.store_unavailable = false;
     run_until(&mut world, "a configuration", |world| world.routers[1].node.config_version() > 0);
     world.run_ms(TIMEOUT_MS);
     assert_eq!(
@@ -71,10 +71,10 @@
 #[test]
 fn a_declined_transfer_is_not_applied_when_a_copy_arrives_later() {
     let mut world = pair();
-    world.faults.store_out = true;
+    world.faults.store_unavailable = true;
     world.kill(1);
     world.restart(1, true);
-    let (from, to) = (world.routers[0].life, world.routers[1].life);
+    let (from, to) = (world.routers[0].incarnation, world.routers[1].incarnation);
     let budget = world.budget_name(0);
     let transfer = |number| message::Envelope {
         from,
@@ -90,7 +90,7 @@
     // Router 1 has no configuration yet and declines the transfer, so the sender keeps the tokens.
     let now_ms = world.now_ms;
     world.routers[1].node.handle_message(transfer(1), now_ms);
-    world.faults.store_out = false;
+    world.faults.store_unavailable = false;
     run_until(&mut world, "a ready router", |world| {
         world.routers[1].node.lifecycle() == node::Lifecycle::Ready
     });
--- a/core/tests/withheld.rs
+++ b/core/tests/withheld.rs
@@ -25,7 +25,7 @@
 /// Submits requests for the first budget to all routers in turn.
 fn spend(world: &mut World, requests: usize) {
     for turn in 0..requests {
-        let number = world.given.len() as u64;
+        let number = world.requests.len() as u64;
         world.admit(turn % ROUTERS, 0, number, BOUND_TOKENS, BOUND_TOKENS, false);
         world.run_ms(40);
     }
@@ -33,17 +33,17 @@
 }
 
 fn served(world: &World) -> u64 {
-    world.truth[0].served_tokens
+    world.totals[0].served_tokens
 }
 
 /// Restores the ledger from `backup` during an outage of the store. The routers `killed` are killed before and started
 /// afterwards.
 fn restore(world: &mut World, backup: &world::Backup, killed: std::ops::Range<usize>) {
-    world.faults.store_out = true;
+    world.faults.store_unavailable = true;
     killed.clone().for_each(|at| world.kill(at));
     world.run_ms(500);
     world.restore_ledger(backup);
-    world.faults.store_out = false;
+    world.faults.store_unavailable = false;
     killed.for_each(|at| world.restart(at, true));
     world.run_ms(1_500);
 }
@@ -65,16 +65,16 @@
     let mut world = fleet(2);
     let backup = world.back_up_ledger();
     spend(&mut world, 60);
-    world.faults.store_out = true;
+    world.faults.store_unavailable = true;
     (0..ROUTERS).for_each(|at| world.kill(at));
     world.restore_ledger(&backup);
     world.store.retain(|key, _| !key.starts_with(ledger::PREFIX));
-    world.faults.store_out = false;
+    world.faults.store_unavailable = false;
     (0..ROUTERS).for_each(|at| world.restart(at, true));
     world.run_ms(3_000);
     spend(&mut world, 60);
     let refused = End::Refused(node::Reason::BudgetExhausted);
-    assert_eq!(world.given.last().unwrap().end, Some(refused));
+    assert_eq!(world.requests.last().unwrap().end, Some(refused));
     // Requests are still refused after the era is settled.
     world.run_ms(60_000);
     spend(&mut world, 60);
--- a/core/tests/world/checks.rs
+++ b/core/tests/world/checks.rs
@@ -12,9 +12,9 @@
 
     /// Checks that served and outstanding tokens never exceed the paid tokens.
     fn check_spending(&self) {
-        for (budget, truth) in self.truth.iter().enumerate() {
-            let spent = truth.served_tokens + truth.outstanding_tokens;
-            assert!(spent <= truth.paid_tokens, "overspend of budget {budget}: {truth:?}");
+        for (budget, totals) in self.totals.iter().enumerate() {
+            let spent = totals.served_tokens + totals.outstanding_tokens;
+            assert!(spent <= totals.paid_tokens, "overspend of budget {budget}: {totals:?}");
         }
     }
 
@@ -35,23 +35,23 @@
     pub fn check_billing(&self) {
         let log = self.log();
         let mut served: HashMap<ids::RequestKey, u64> = HashMap::new();
-        for given in &self.given {
-            let Some(End::Closed { safe }) = given.end else { continue };
-            *served.entry(given.key).or_default() += given.actual_tokens;
-            let state = log.find(given.key);
+        for request in &self.requests {
+            let Some(End::Closed { safe }) = request.end else { continue };
+            *served.entry(request.key).or_default() += request.actual_tokens;
+            let state = log.find(request.key);
             let settled = matches!(state, Some(log_index::IdState::Settled { .. }));
             // An end that was not durably recorded is lost only if its router was killed.
-            let lost = !safe && self.routers[given.at].life != given.life;
-            assert!(settled || lost, "request {} ended and was not billed", given.key);
+            let lost = !safe && self.routers[request.at].incarnation != request.incarnation;
+            assert!(settled || lost, "request {} ended and was not billed", request.key);
         }
         let billed_requests: u64 = log.totals().map(|(_, _, totals)| totals.billed_requests).sum();
         let consumed: u64 = log.totals().map(|(_, _, totals)| totals.consumed_tokens()).sum();
-        let served_tokens: u64 = self.truth.iter().map(|truth| truth.served_tokens).sum();
+        let served_tokens: u64 = self.totals.iter().map(|totals| totals.served_tokens).sum();
         assert!(
             consumed <= served_tokens,
             "billed {consumed} tokens, but only {served_tokens} were served"
         );
-        if self.deaths == 0 {
+        if self.kills == 0 {
             assert_eq!(billed_requests, served.len() as u64);
             assert_eq!(consumed, served_tokens);
         }
--- a/core/tests/world/faults.rs
+++ b/core/tests/world/faults.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug)]
 pub struct Faults {
     /// No call reaches the store.
-    pub store_out: bool,
+    pub store_unavailable: bool,
     /// Routers that cannot reach the store.
     pub store_cut: BTreeSet<usize>,
     /// Pairs of routers that cannot reach each other, the lower one first.
@@ -29,7 +29,7 @@
 impl Default for Faults {
     fn default() -> Self {
         Self {
-            store_out: false,
+            store_unavailable: false,
             store_cut: BTreeSet::new(),
             pairs_cut: BTreeSet::new(),
             lose_replies_percent: 0,
@@ -47,7 +47,7 @@
     }
 
     pub fn reaches_store(&self, at: usize) -> bool {
-        !self.faults.store_out && !self.faults.store_cut.contains(&at)
+        !self.faults.store_unavailable && !self.faults.store_cut.contains(&at)
     }
 
     pub(super) fn chance(&mut self, percent: u32) -> bool {
@@ -61,7 +61,7 @@
     pub(super) fn call_store(
         &mut self,
         from: usize,
-        life: ids::Incarnation,
+        incarnation: ids::Incarnation,
         call: ids::CallId,
         request: store::Request,
     ) {
@@ -72,24 +72,24 @@
             self.ledger_reads += u64::from(is_ledger_read(&request));
         }
         if !self.reaches_store(from) {
-            self.reply_unknown(from, life, call);
+            self.reply_unknown(from, incarnation, call);
             return;
         }
         if request.is_write() && self.chance(self.faults.late_writes_percent) {
-            self.reply_unknown(from, life, call);
+            self.reply_unknown(from, incarnation, call);
             let late_ms = STORE_TIMEOUT_MS + self.rng.random_range(0..3_000);
             // The node ignores the reply to this call, as it has already received `Unknown` for it.
-            self.schedule(late_ms, Event::StoreCall { from, life, call, request });
+            self.schedule(late_ms, Event::StoreCall { from, incarnation, call, request });
             return;
         }
         let delay_ms = self.delay_ms();
-        self.schedule(delay_ms, Event::StoreCall { from, life, call, request });
+        self.schedule(delay_ms, Event::StoreCall { from, incarnation, call, request });
     }
 
     pub(super) fn execute_store_call(
         &mut self,
         from: usize,
-        life: ids::Incarnation,
+        incarnation: ids::Incarnation,
         call: ids::CallId,
         request: store::Request,
     ) {
@@ -97,16 +97,16 @@
         let reply = self.apply(request);
         let lost = is_write && self.chance(self.faults.lose_replies_percent);
         if lost || !self.reaches_store(from) {
-            self.reply_unknown(from, life, call);
+            self.reply_unknown(from, incarnation, call);
             return;
         }
         let delay_ms = self.delay_ms();
-        self.schedule(delay_ms, Event::StoreReply { to: from, life, call, reply });
+        self.schedule(delay_ms, Event::StoreReply { to: from, incarnation, call, reply });
     }
 
-    fn reply_unknown(&mut self, to: usize, life: ids::Incarnation, call: ids::CallId) {
+    fn reply_unknown(&mut self, to: usize, incarnation: ids::Incarnation, call: ids::CallId) {
         let reply = store::Reply::Unknown;
-        self.schedule(STORE_TIMEOUT_MS, Event::StoreReply { to, life, call, reply });
+        self.schedule(STORE_TIMEOUT_MS, Event::StoreReply { to, incarnation, call, reply });
     }
 
     fn apply(&mut self, request: store::Request) -> store::Reply {
--- a/core/tests/world/mod.rs
+++ b/core/tests/world/mod.rs
@@ -24,18 +24,40 @@
 /// An event that is scheduled for a later time.
 #[derive(Clone, Debug)]
 enum Event {
-    StoreCall { from: usize, life: ids::Incarnation, call: ids::CallId, request: store::Request },
-    StoreReply { to: usize, life: ids::Incarnation, call: ids::CallId, reply: store::Reply },
-    Message { to: usize, envelope: message::Envelope },
-    Gossip { to: usize, gossip: message::Gossip },
-    Served { at: usize, life: ids::Incarnation, slot: ids::RequestSlot },
-    VmGone { vm: String },
+    StoreCall {
+        from: usize,
+        incarnation: ids::Incarnation,
+        call: ids::CallId,
+        request: store::Request,
+    },
+    StoreReply {
+        to: usize,
+        incarnation: ids::Incarnation,
+        call: ids::CallId,
+        reply: store::Reply,
+    },
+    Message {
+        to: usize,
+        envelope: message::Envelope,
+    },
+    Gossip {
+        to: usize,
+        gossip: message::Gossip,
+    },
+    Served {
+        at: usize,
+        incarnation: ids::Incarnation,
+        slot: ids::RequestSlot,
+    },
+    VmGone {
+        vm: String,
+    },
 }
 
 /// A simulated router process.
 pub struct Router {
     pub node: node::Node,
-    pub life: ids::Incarnation,
+    pub incarnation: ids::Incarnation,
     pub vm: String,
     pub address: String,
     pub region: usize,
@@ -48,9 +70,9 @@
 
 /// A request that was submitted to a router, and its progress.
 #[derive(Clone, Debug)]
-pub struct Given {
+pub struct SubmittedRequest {
     pub at: usize,
-    pub life: ids::Incarnation,
+    pub incarnation: ids::Incarnation,
     pub key: ids::RequestKey,
     pub budget: usize,
     pub bound_tokens: u64,
@@ -58,7 +80,7 @@
     pub unrepeatable: bool,
     pub dispatched: bool,
     pub running: bool,
-    pub given_ms: u64,
+    pub submitted_ms: u64,
     /// How long the caller should wait before a retry, if the request was refused.
     pub retry_after_ms: u64,
     pub end: Option<End>,
@@ -124,16 +146,16 @@
 
 /// Tokens of one budget that were paid and served, recorded independently of the routers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Truth {
+pub struct BudgetTotals {
     pub paid_tokens: u64,
     pub served_tokens: u64,
     /// The sum of the token bounds of the running requests.
     pub outstanding_tokens: u64,
 }
 
-impl Truth {
+impl BudgetTotals {
     /// Tokens that could still be spent if one router held all free tokens.
-    pub fn left_tokens(&self) -> u64 {
+    pub fn unspent_tokens(&self) -> u64 {
         self.paid_tokens.saturating_sub(self.served_tokens + self.outstanding_tokens)
     }
 }
@@ -152,17 +174,17 @@
     pub now_ms: u64,
     pub routers: Vec<Router>,
     pub faults: Faults,
-    pub truth: Vec<Truth>,
-    pub given: Vec<Given>,
+    pub totals: Vec<BudgetTotals>,
+    pub requests: Vec<SubmittedRequest>,
     pub executions: HashMap<ids::RequestKey, u64>,
     pub store: BTreeMap<String, (u64, Vec<u8>)>,
     pub store_calls: (u64, u64),
     /// Number of reads of ledger values.
     pub ledger_reads: u64,
     pub written_off_tokens: u64,
-    pub deaths: u64,
+    pub kills: u64,
     pub notices: Vec<node::Notice>,
-    /// Indexes in `given` of refused requests.
+    /// Indexes in `requests` of refused requests.
     pub refusals: Vec<usize>,
     /// How long a request runs at an engine, in milliseconds.
     pub serve_ms: u64,
@@ -171,7 +193,7 @@
     /// The time from submission to deadline of the next submitted requests, in milliseconds.
     pub deadline_ms: u64,
     /// How long the platform still lists the VM of a replaced router, in milliseconds.
-    pub vms_lag_ms: u64,
+    pub vm_removal_delay_ms: u64,
     /// Routers that receive no newer list of VMs from the platform.
     pub vms_stale: std::collections::BTreeSet<usize>,
     by_slot: HashMap<(ids::Incarnation, ids::RequestSlot), usize>,
@@ -197,20 +219,20 @@
             now_ms: 1_000,
             routers: Vec::new(),
             faults: Faults::default(),
-            truth: vec![Truth::default(); shape.budgets.len()],
-            given: Vec::new(),
+            totals: vec![BudgetTotals::default(); shape.budgets.len()],
+            requests: Vec::new(),
             executions: HashMap::new(),
             store: BTreeMap::new(),
             store_calls: (0, 0),
             ledger_reads: 0,
             written_off_tokens: 0,
-            deaths: 0,
+            kills: 0,
             notices: Vec::new(),
             refusals: Vec::new(),
             serve_ms: 200,
             priority: 5,
             deadline_ms: 60_000,
-            vms_lag_ms: 2_000,
+            vm_removal_delay_ms: 2_000,
             vms_stale: Default::default(),
             by_slot: HashMap::new(),
             events: BTreeMap::new(),
@@ -226,7 +248,7 @@
             ledger_copy_rng: StdRng::seed_from_u64(!seed),
             shape,
         };
-        for budget in 0..world.truth.len() {
+        for budget in 0..world.totals.len() {
             world.pay(budget, world.shape.paid_tokens);
         }
         world.publish();
@@ -282,7 +304,7 @@
         self.check();
     }
 
-    /// Submits a request to a router; returns its index in `given`, or `None` if the router is killed or paused.
+    /// Submits a request to a router; returns its index in `requests`, or `None` if the router is killed or paused.
     pub fn admit(
         &mut self,
         at: usize,
@@ -313,11 +335,11 @@
             parts: Vec::new(),
             deadline_ms: self.now_ms + self.deadline_ms,
         };
-        let life = router.life;
+        let incarnation = router.incarnation;
         let slot = self.routers[at].node.admit(request, self.now_ms);
-        let given = Given {
+        let request = SubmittedRequest {
             at,
-            life,
+            incarnation,
             key,
             budget,
             bound_tokens,
@@ -325,13 +347,13 @@
             unrepeatable,
             dispatched: false,
             running: false,
-            given_ms: self.now_ms,
+            submitted_ms: self.now_ms,
             retry_after_ms: 0,
             end: None,
         };
-        self.given.push(given);
-        let place = self.given.len() - 1;
-        self.by_slot.insert((life, slot), place);
+        self.requests.push(request);
+        let place = self.requests.len() - 1;
+        self.by_slot.insert((incarnation, slot), place);
         self.perform_actions(at);
         Some(place)
     }
@@ -349,7 +371,7 @@
         shard.pay(&name, &format!("operation-{}", self.operations), tokens).unwrap();
         self.index += 1;
         self.store.insert(key, (self.index, shard.encode()));
-        self.truth[budget].paid_tokens += tokens;
+        self.totals[budget].paid_tokens += tokens;
     }
 
     /// Publishes the next version of the configuration, as an operator's command does.
@@ -430,11 +452,11 @@
             }
         }
         match event {
-            Event::StoreCall { from, life, call, request } => {
-                self.execute_store_call(from, life, call, request);
+            Event::StoreCall { from, incarnation, call, request } => {
+                self.execute_store_call(from, incarnation, call, request);
             }
-            Event::StoreReply { to, life, call, reply } => {
-                if self.routers[to].life == life {
+            Event::StoreReply { to, incarnation, call, reply } => {
+                if self.routers[to].incarnation == incarnation {
                     self.routers[to].node.handle_store_reply(call, reply, self.now_ms);
                     self.perform_actions(to);
                 }
@@ -447,7 +469,7 @@
                 self.routers[to].node.handle_gossip(&gossip, self.now_ms);
                 self.perform_actions(to);
             }
-            Event::Served { at, life, slot } => self.finish_request(at, life, slot),
+            Event::Served { at, incarnation, slot } => self.finish_request(at, incarnation, slot),
             Event::VmGone { vm } => {
                 self.vms.retain(|listed| listed.vm != vm);
                 self.vms_index += 1;
@@ -455,35 +477,37 @@
         }
     }
 
-    fn finish_request(&mut self, at: usize, life: ids::Incarnation, slot: ids::RequestSlot) {
-        let Some(place) = self.by_slot.get(&(life, slot)).copied() else { return };
-        if self.routers[at].life != life || !self.given[place].running {
+    fn finish_request(&mut self, at: usize, incarnation: ids::Incarnation, slot: ids::RequestSlot) {
+        let Some(place) = self.by_slot.get(&(incarnation, slot)).copied() else { return };
+        if self.routers[at].incarnation != incarnation || !self.requests[place].running {
             return;
         }
-        let given = &mut self.given[place];
-        given.running = false;
-        let consumed_tokens = given.actual_tokens;
-        let outcome = given.unrepeatable.then(|| log_index::Outcome {
+        let request = &mut self.requests[place];
+        request.running = false;
+        let consumed_tokens = request.actual_tokens;
+        let outcome = request.unrepeatable.then(|| log_index::Outcome {
             status: 200,
             content_type: String::new(),
             body: None,
         });
-        let truth = &mut self.truth[given.budget];
-        truth.outstanding_tokens -= given.bound_tokens;
-        truth.served_tokens += consumed_tokens;
+        let totals = &mut self.totals[request.budget];
+        totals.outstanding_tokens -= request.bound_tokens;
+        totals.served_tokens += consumed_tokens;
         let outcome = node::RequestOutcome::Ran { consumed_tokens, outcome, healthy: true };
         self.routers[at].node.finish(slot, outcome, self.now_ms);
         self.perform_actions(at);
     }
 
     fn perform_actions(&mut self, at: usize) {
-        let life = self.routers[at].life;
+        let incarnation = self.routers[at].incarnation;
         for action in self.routers[at].node.take_actions() {
             match action {
-                node::Action::Store { call, request } => self.call_store(at, life, call, request),
+                node::Action::Store { call, request } => {
+                    self.call_store(at, incarnation, call, request)
+                }
                 node::Action::Send { address, envelope } => self.send(at, &address, envelope),
                 node::Action::Gossip { address, gossip } => self.send_gossip(at, &address, gossip),
-                node::Action::Answer { slot, answer } => self.answer(at, life, slot, answer),
+                node::Action::Answer { slot, answer } => self.answer(at, incarnation, slot, answer),
                 node::Action::Notice(notice) => {
                     if let node::Notice::TerminatedHolderClosed { written_off_tokens, .. } = &notice
                     {
@@ -503,41 +527,42 @@
     fn answer(
         &mut self,
         at: usize,
-        life: ids::Incarnation,
+        incarnation: ids::Incarnation,
         slot: ids::RequestSlot,
         answer: node::Answer,
     ) {
         // A request that is refused inside `admit` is answered before its slot is in `by_slot`.
-        let place = self.by_slot.get(&(life, slot)).copied().unwrap_or(self.given.len() - 1);
-        let given = &mut self.given[place];
+        let place =
+            self.by_slot.get(&(incarnation, slot)).copied().unwrap_or(self.requests.len() - 1);
+        let request = &mut self.requests[place];
         match answer {
             node::Answer::Dispatch { .. } => {
-                given.dispatched = true;
-                given.running = true;
-                self.truth[given.budget].outstanding_tokens += given.bound_tokens;
-                if given.unrepeatable {
-                    let times = self.executions.entry(given.key).or_default();
+                request.dispatched = true;
+                request.running = true;
+                self.totals[request.budget].outstanding_tokens += request.bound_tokens;
+                if request.unrepeatable {
+                    let times = self.executions.entry(request.key).or_default();
                     *times += 1;
                     assert_eq!(
                         *times, 1,
                         "unrepeatable request {} was dispatched a second time",
-                        given.key
+                        request.key
                     );
                 }
                 let time_ms = self.serve_ms;
-                self.schedule(time_ms, Event::Served { at, life, slot });
+                self.schedule(time_ms, Event::Served { at, incarnation, slot });
             }
             node::Answer::Refuse { reason, retry_after_ms } => {
                 assert!(
-                    !given.dispatched,
+                    !request.dispatched,
                     "request was refused as not run after it was dispatched"
                 );
-                given.retry_after_ms = retry_after_ms;
-                given.end = Some(End::Refused(reason));
+                request.retry_after_ms = retry_after_ms;
+                request.end = Some(End::Refused(reason));
                 self.refusals.push(place);
             }
-            node::Answer::Replay(_) => given.end = Some(End::Replayed),
-            node::Answer::Closed { safe } => given.end = Some(End::Closed { safe }),
+            node::Answer::Replay(_) => request.end = Some(End::Replayed),
+            node::Answer::Closed { safe } => request.end = Some(End::Closed { safe }),
         }
     }
 }
--- a/core/tests/world/router_lifecycle.rs
+++ b/core/tests/world/router_lifecycle.rs
@@ -11,20 +11,24 @@
         if !self.routers[at].alive {
             return;
         }
-        self.deaths += 1;
+        self.kills += 1;
         self.routers[at].alive = false;
         self.routers[at].deferred.clear();
-        let life = self.routers[at].life;
-        for given in self.given.iter_mut().filter(|given| given.life == life && given.running) {
-            given.running = false;
-            let truth = &mut self.truth[given.budget];
-            truth.outstanding_tokens -= given.bound_tokens;
-            truth.served_tokens += given.actual_tokens;
+        let incarnation = self.routers[at].incarnation;
+        for request in self
+            .requests
+            .iter_mut()
+            .filter(|request| request.incarnation == incarnation && request.running)
+        {
+            request.running = false;
+            let totals = &mut self.totals[request.budget];
+            totals.outstanding_tokens -= request.bound_tokens;
+            totals.served_tokens += request.actual_tokens;
         }
     }
 
     /// Starts a killed router again, either at its old address or on a new VM. In the latter case, the platform removes
-    /// the old VM from its list after `vms_lag_ms`.
+    /// the old VM from its list after `vm_removal_delay_ms`.
     pub fn restart(&mut self, at: usize, same_address: bool) {
         if self.routers[at].alive {
             return;
@@ -34,7 +38,7 @@
             true => old,
             false => {
                 let removal = Event::VmGone { vm: old.0 };
-                self.schedule(self.vms_lag_ms, removal);
+                self.schedule(self.vm_removal_delay_ms, removal);
                 let number: u64 = self.rng.random();
                 (format!("vm-{number}"), format!("10.1.{}.{}:1", number % 250, number / 250 % 250))
             }
@@ -67,10 +71,10 @@
     }
 
     pub(super) fn new_router(&mut self, place: usize, vm: String, address: String) -> Router {
-        let life = ids::Incarnation(self.rng.random());
+        let incarnation = ids::Incarnation(self.rng.random());
         let seeds = self.routers.iter().map(|router| router.address.clone()).collect();
         let settings = node::Settings {
-            incarnation: life,
+            incarnation,
             vm: vm.clone(),
             address: address.clone(),
             failure_domain: format!("domain-{place}"),
@@ -86,7 +90,7 @@
         };
         Router {
             node: node::Node::new(settings, self.rng.random(), self.now_ms),
-            life,
+            incarnation,
             vm,
             address,
             region: place % self.shape.regions,
@@ -118,7 +122,7 @@
 
     /// Delivers the configuration and the list of VMs to a router, as the platform has them now.
     pub(super) fn deliver_platform_state(&mut self, place: usize) {
-        if self.faults.store_out || self.faults.store_cut.contains(&place) {
+        if self.faults.store_unavailable || self.faults.store_cut.contains(&place) {
             return;
         }
         let router = &mut self.routers[place];
