--- a/core/tests/arbitrary_messages.rs
+++ b/core/tests/arbitrary_messages.rs
@@ -7,7 +7,7 @@
 
 use doorswitch_core::{ids, members, message, node, servers, store, watch};
 use quickcheck::{Arbitrary, Gen};
-use watch_fleet::{BOUNDS, Fleet, settled};
+use watch_fleet::{BOUNDS, Fleet, up_to_date_fleet};
 
 const CASES: usize = 4_000;
 /// The largest datagram that a router sends.
@@ -17,7 +17,7 @@
 fn datagrams(fleet: &mut Fleet) -> Vec<Vec<u8>> {
     fleet.put_server("server-1", servers::VmState::Leaving);
     fleet.restart_server("server-2", servers::VmState::Live);
-    fleet.spoil_server("server-3");
+    fleet.corrupt_server_record("server-3");
     fleet.publish();
     let names: Vec<(String, ids::ServerLife)> = fleet.routers[0]
         .node
@@ -86,7 +86,7 @@
 
 #[test]
 fn an_arbitrary_datagram_causes_no_panic() {
-    let mut fleet = settled(6, BOUNDS, 31);
+    let mut fleet = up_to_date_fleet(6, BOUNDS, 31);
     let valid = datagrams(&mut fleet);
     let mut g = Gen::from_size_and_seed(64, 31);
     let mut decoded = 0;
@@ -128,7 +128,7 @@
 
 #[test]
 fn a_list_of_servers_that_is_not_newer_removes_no_server() {
-    let mut fleet = settled(6, BOUNDS, 32);
+    let mut fleet = up_to_date_fleet(6, BOUNDS, 32);
     let mut g = Gen::from_size_and_seed(64, 32);
     let servers = |fleet: &Fleet| -> Vec<servers::Vm> {
         let mut vms: Vec<servers::Vm> =
@@ -148,7 +148,7 @@
 
 #[test]
 fn long_names_from_another_writer_do_not_make_datagrams_too_large() {
-    let mut fleet = settled(6, BOUNDS, 33);
+    let mut fleet = up_to_date_fleet(6, BOUNDS, 33);
     for number in 0..40 {
         // The texts of a record may have this length in total.
         fleet.put_server(&format!("{number:0800}"), servers::VmState::Live);
--- a/core/tests/digests.rs
+++ b/core/tests/digests.rs
@@ -5,7 +5,7 @@
 mod watch_fleet;
 
 use doorswitch_core::{ids, message, node, store, watch};
-use watch_fleet::{BOUNDS, Fleet, settled};
+use watch_fleet::{BOUNDS, Fleet, up_to_date_fleet};
 
 /// A digest as a peer, or another sender that pretends to be one, may send it.
 fn digest(config_version: u64, position: store::Position) -> message::Digest {
@@ -24,7 +24,7 @@
 
 #[test]
 fn a_digest_of_an_older_state_changes_nothing() {
-    let mut fleet = settled(20, BOUNDS, 13);
+    let mut fleet = up_to_date_fleet(20, BOUNDS, 13);
     let node = &fleet.routers[0].node;
     let known = (node.config_version(), node.vms_index(), node.servers().iter().count());
     let gone = watch::ServerChange {
@@ -41,7 +41,7 @@
 
 #[test]
 fn a_digest_with_missing_changes_is_not_applied_and_causes_one_request_of_each_kind() {
-    let mut fleet = settled(20, BOUNDS, 14);
+    let mut fleet = up_to_date_fleet(20, BOUNDS, 14);
     let node = &fleet.routers[0].node;
     let (config_version, index) = (node.config_version(), node.vms_index());
     let later = |revisions| store::Position::new(index.era, index.revision + revisions);
@@ -68,7 +68,7 @@
 
 #[test]
 fn a_peers_configuration_that_cannot_be_read_changes_nothing() {
-    let mut fleet = settled(20, BOUNDS, 15);
+    let mut fleet = up_to_date_fleet(20, BOUNDS, 15);
     let known = fleet.routers[0].node.config_version();
     let copy_state =
         message::CopyState { position: store::Position::new(0, 1_000), age_ms: Some(0) };
--- a/core/tests/evacuation.rs
+++ b/core/tests/evacuation.rs
@@ -7,7 +7,7 @@
 use doorswitch_core::{evacuation, store, watch};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use watch_fleet::{Fleet, Store, settled};
+use watch_fleet::{Fleet, StoreMode, up_to_date_fleet};
 
 const BOUNDS: watch::Bounds = watch::Bounds { configuration_ms: 2_000, servers_ms: 2_000 };
 /// The failure domain of the fleet's servers.
@@ -22,10 +22,10 @@
 }
 
 fn check_evacuation_and_end(routers: usize) {
-    let mut fleet = settled(routers, BOUNDS, 1);
+    let mut fleet = up_to_date_fleet(routers, BOUNDS, 1);
     for evacuated in [true, false, true] {
         fleet.evacuate(DOMAIN, evacuated);
-        fleet.run_until("all routers are up to date", 2_000, Fleet::all_know_latest);
+        fleet.run_until("all routers are up to date", 2_000, Fleet::all_up_to_date);
         fleet.run_ms(3_000);
     }
 }
@@ -47,10 +47,10 @@
 
 #[test]
 fn a_starting_router_is_not_ready_before_it_has_received_the_evacuations() {
-    for store in [Store::Well, Store::Refuses] {
-        let mut fleet = settled(7, BOUNDS, 2);
+    for store in [StoreMode::Available, StoreMode::Rejecting] {
+        let mut fleet = up_to_date_fleet(7, BOUNDS, 2);
         fleet.evacuate(DOMAIN, true);
-        fleet.run_until("all routers are up to date", 2_000, Fleet::all_know_latest);
+        fleet.run_until("all routers are up to date", 2_000, Fleet::all_up_to_date);
         fleet.set_store(store);
         fleet.restart(3);
         let ready = |fleet: &Fleet| fleet.routers[3].node.config_version() > 0;
@@ -62,13 +62,13 @@
 #[test]
 fn an_evacuation_is_applied_in_time_although_open_polls_stay_unanswered() {
     for at_ms in (0..10_000).step_by(900) {
-        let mut fleet = settled(7, BOUNDS, 3);
+        let mut fleet = up_to_date_fleet(7, BOUNDS, 3);
         fleet.run_ms(at_ms);
-        (0..7).for_each(|place| fleet.leave_calls_unanswered(place));
+        (0..7).for_each(|place| fleet.leave_polls_unanswered(place));
         fleet.evacuate(DOMAIN, true);
         // The fleet asserts the staleness bounds in every step.
         fleet.run_ms(6_000);
-        assert!(fleet.all_know_latest());
+        assert!(fleet.all_up_to_date());
     }
 }
 
@@ -99,7 +99,7 @@
     let mut fleet = Fleet::new(routers, 3, BOUNDS, seed);
     let mut rng = StdRng::seed_from_u64(seed ^ 0x5eed);
     fleet.loss_percent = rng.random_range(0..10);
-    fleet.answer_ms = rng.random_range(20..150);
+    fleet.answer_delay_max_ms = rng.random_range(20..150);
     fleet.run_ms(5_000);
     for _ in 0..60 {
         let place = rng.random_range(0..routers);
@@ -107,17 +107,17 @@
         match rng.random_range(0..12) {
             0..2 => fleet.evacuate(domain, true),
             2..4 => fleet.evacuate(domain, false),
-            4 => fleet.leave_calls_unanswered(place),
+            4 => fleet.leave_polls_unanswered(place),
             5 => fleet.restart(place),
             6 => {
                 let cut = fleet.routers[place].cut;
                 fleet.set_cut(place, !cut);
             }
-            7 => fleet.set_store(Store::Silent),
-            8 => fleet.set_store(Store::Refuses),
-            9 => fleet.set_store(Store::Well),
+            7 => fleet.set_store(StoreMode::Silent),
+            8 => fleet.set_store(StoreMode::Rejecting),
+            9 => fleet.set_store(StoreMode::Available),
             10 => fleet.publish(),
-            _ => fleet.forget_history(),
+            _ => fleet.discard_history(),
         }
         fleet.run_ms(rng.random_range(20..2_500));
     }
--- a/core/tests/limit_schedules.rs
+++ b/core/tests/limit_schedules.rs
@@ -9,8 +9,8 @@
 use doorswitch_core::{ids, message, node, servers, watch};
 use rand::RngExt;
 use std::collections::{BTreeMap, HashMap};
-use watch_fleet::traffic::{Handed, Traffic};
-use watch_fleet::{BOUNDS, CONTACT_MS, Fleet, TICK_MS};
+use watch_fleet::traffic::{RequestHandle, Traffic};
+use watch_fleet::{BOUNDS, Fleet, RECOVERY_MS, TICK_MS};
 
 /// Requests are counted over windows of this length.
 const WINDOW_MS: u64 = 4_000;
@@ -61,7 +61,7 @@
     servers: Vec<Server>,
     runs: Vec<Run>,
     /// When requests that wait were given, by router, its life and their slots.
-    waiting: HashMap<Handed, u64>,
+    waiting: HashMap<RequestHandle, u64>,
     counts: Counts,
     /// Whether some server never names a limit.
     some_free: bool,
@@ -117,9 +117,9 @@
     }
 
     fn step_clients(&mut self) {
-        for _ in 0..self.traffic.due() {
+        for _ in 0..self.traffic.due_requests() {
             let now_ms = self.traffic.fleet.now_ms;
-            if let Some(handed) = self.traffic.hand() {
+            if let Some(handed) = self.traffic.submit() {
                 self.waiting.insert(handed, now_ms);
                 self.counts.sent += 1;
                 self.take_answers();
@@ -153,7 +153,7 @@
     ) {
         let now_ms = self.traffic.fleet.now_ms;
         let place = self.servers.iter().position(|server| server.name == vm).unwrap();
-        let in_touch = self.traffic.fleet.in_touch(router);
+        let in_touch = self.traffic.fleet.must_meet_bounds(router);
         let server = &mut self.servers[place];
         if server.life == server_life && in_touch {
             server.sends_ms.push(now_ms);
@@ -176,7 +176,7 @@
             "refused at {} while a free server stands there",
             self.traffic.fleet.now_ms
         );
-        let calm = self.traffic.fleet.in_touch(place);
+        let calm = self.traffic.fleet.must_meet_bounds(place);
         let waited_ms = self.traffic.fleet.now_ms - given_ms;
         assert!(!calm || waited_ms <= REFUSED_WITHIN_MS, "refused after {waited_ms} ms");
     }
@@ -199,7 +199,7 @@
         let routers = &self.traffic.fleet.routers;
         let arrived = |run: &mut Run| {
             let router = &routers[run.router];
-            let reads = !router.frozen || router.life != run.life;
+            let reads = !router.frozen || router.incarnation != run.life;
             run.said.is_some_and(|(_, at_ms)| now_ms >= at_ms) && reads
         };
         let ended: Vec<Run> = self.runs.extract_if(.., arrived).collect();
@@ -211,7 +211,7 @@
     fn answered(&mut self, run: &Run) {
         let now_ms = self.traffic.fleet.now_ms;
         let router = &mut self.traffic.fleet.routers[run.router];
-        if !router.alive || router.life != run.life {
+        if !router.alive || router.incarnation != run.life {
             return;
         }
         let Some((said, _)) = run.said else { return };
@@ -221,7 +221,7 @@
         router.node.report_limit(vm, run.server_life, said, took_ms, now_ms);
         let ending = node::RequestOutcome::Ran { consumed_tokens: 0, outcome: None, healthy: true };
         router.node.finish(run.slot, ending, now_ms);
-        self.traffic.fleet.carry_out(run.router);
+        self.traffic.fleet.perform_actions(run.router);
     }
 
     /// No server got more than is allowed in any window since it named what it names now.
@@ -230,7 +230,7 @@
             let (Some(limit), Some(named_ms)) = (server.limit_milli_per_s, server.named_ms) else {
                 continue;
             };
-            let from_ms = named_ms + CONTACT_MS;
+            let from_ms = named_ms + RECOVERY_MS;
             let sends: Vec<u64> =
                 server.sends_ms.iter().copied().filter(|at_ms| *at_ms >= from_ms).collect();
             let allowed = 3 * limit * WINDOW_MS / 2_000_000 + EXTRA;
@@ -263,7 +263,7 @@
     fn trouble(&mut self) {
         let place = self.traffic.rng.random_range(0..self.traffic.fleet.routers.len());
         match self.traffic.rng.random_range(0..13) {
-            number @ 0..=10 => self.traffic.trouble(place, number),
+            number @ 0..=10 => self.traffic.inject_fault(place, number),
             11 => {
                 let server = self.traffic.rng.random_range(0..self.servers.len());
                 let name = self.servers[server].name.clone();
@@ -309,7 +309,7 @@
         scenario.run_ms(pause_ms);
     }
     scenario.check_limits(seed);
-    scenario.traffic.end_troubles();
+    scenario.traffic.end_faults();
     for place in 0..scenario.servers.len() {
         scenario.name(place, None);
     }
@@ -406,7 +406,7 @@
         let said = servers::Stated::Value(1_000);
         let node = &mut scenario.traffic.fleet.routers[0].node;
         node.report_limit("vm-0", ids::ServerLife(1), said, 10, now_ms);
-        scenario.traffic.fleet.run_until("all know", CONTACT_MS, |fleet| {
+        scenario.traffic.fleet.run_until("all know", RECOVERY_MS, |fleet| {
             fleet.routers.iter().all(|it| it.node.servers().limits().iter_limited().count() == 1)
         });
     }
@@ -487,7 +487,7 @@
         (0..3).for_each(|place| scenario.name(place, Some(20_000)));
         scenario.traffic.per_s = 300;
         scenario.run_ms(5_000);
-        (0..4).for_each(|place| scenario.traffic.set_group(place, 1));
+        (0..4).for_each(|place| scenario.traffic.set_partition(place, 1));
         let alone = |fleet: &Fleet| {
             fleet.routers.iter().all(|router| router.node.members().live_count() == 4)
         };
@@ -536,7 +536,7 @@
 /// Views of the members differ for a while: whoever is asked paces only if it is the one by its own view.
 #[test]
 fn one_router_paces_whoever_asks() {
-    let mut fleet = watch_fleet::settled(7, BOUNDS, 12);
+    let mut fleet = watch_fleet::up_to_date_fleet(7, BOUNDS, 12);
     let said = servers::Stated::Value(1_100);
     let now_ms = fleet.now_ms;
     fleet.routers[0].node.report_limit("server-0", ids::ServerLife(1), said, 10, now_ms);
@@ -560,7 +560,7 @@
 /// Answers that a server made before it was in need end no limit, in whatever order they arrive.
 #[test]
 fn an_answer_made_before_a_limit_does_not_end_it() {
-    let mut fleet = watch_fleet::settled(3, BOUNDS, 9);
+    let mut fleet = watch_fleet::up_to_date_fleet(3, BOUNDS, 9);
     let now_ms = fleet.now_ms;
     let life = ids::ServerLife(1);
     let node = &mut fleet.routers[0].node;
@@ -578,7 +578,7 @@
 /// What nobody confirms runs out, and a later life of a server is not limited.
 #[test]
 fn a_limit_runs_out_and_holds_for_no_later_life() {
-    let mut fleet = watch_fleet::settled(3, BOUNDS, 10);
+    let mut fleet = watch_fleet::up_to_date_fleet(3, BOUNDS, 10);
     let limited = |fleet: &Fleet| {
         fleet.routers.iter().any(|it| it.node.servers().limits().iter_limited().count() > 0)
     };
@@ -598,7 +598,7 @@
 /// A calm fleet spends nothing on limits.
 #[test]
 fn a_calm_fleet_tells_nothing_of_limits() {
-    let mut fleet = watch_fleet::settled(7, watch::Bounds { ..BOUNDS }, 11);
+    let mut fleet = watch_fleet::up_to_date_fleet(7, watch::Bounds { ..BOUNDS }, 11);
     fleet.run_ms(5_000);
     for router in &mut fleet.routers {
         assert!(router.node.servers().limits().is_empty());
@@ -608,7 +608,7 @@
 /// Nobody is let to a server that leaves, whoever has not heard it yet.
 #[test]
 fn no_permits_are_given_for_a_server_that_leaves() {
-    let mut fleet = watch_fleet::settled(7, BOUNDS, 12);
+    let mut fleet = watch_fleet::up_to_date_fleet(7, BOUNDS, 12);
     let granting =
         |fleet: &mut Fleet| (0..7).filter(|place| grants(fleet, *place, (place + 1) % 7)).count();
     assert_eq!(granting(&mut fleet), 1);
@@ -645,7 +645,7 @@
     node.take_actions();
     traffic.fleet.routers[1].alive = false;
     for _ in 0..40 {
-        traffic.hand().unwrap();
+        traffic.submit().unwrap();
     }
     let asked = |node: &mut node::Node| -> Vec<String> {
         let actions = node.take_actions().into_iter();
@@ -672,7 +672,7 @@
 /// Guards against a resumed router gossiping a limit that was queued while it was frozen as newer than the current one.
 #[test]
 fn a_frozen_router_does_not_restore_an_earlier_limit() {
-    let mut fleet = watch_fleet::settled(3, BOUNDS, 15);
+    let mut fleet = watch_fleet::up_to_date_fleet(3, BOUNDS, 15);
     let report_limit = |fleet: &mut Fleet, limit_milli_per_s| {
         let (node, now_ms) = (&mut fleet.routers[1].node, fleet.now_ms);
         let stated = servers::Stated::Value(limit_milli_per_s);
@@ -690,11 +690,11 @@
     });
     fleet.run_ms(100);
     // The partition keeps the second limit from the frozen router.
-    fleet.routers[0].group = 1;
+    fleet.routers[0].partition = 1;
     report_limit(&mut fleet, 0);
     fleet.run_until("the second limit is heard", 2_000, |fleet| known_limit(fleet, 2) == Some(0));
     fleet.run_ms(2_000);
-    fleet.routers[0].group = 0;
+    fleet.routers[0].partition = 0;
     fleet.set_frozen(0, false);
     for _ in 0..100 {
         fleet.run_ms(TICK_MS);
--- a/core/tests/poison_schedules.rs
+++ b/core/tests/poison_schedules.rs
@@ -10,7 +10,7 @@
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
-use watch_fleet::{BOUNDS, CONTACT_MS, Fleet, Store, TICK_MS};
+use watch_fleet::{BOUNDS, Fleet, RECOVERY_MS, StoreMode, TICK_MS};
 
 /// Sends later than the bound after the third crash that are allowed.
 const LATE_SENDS: usize = 3;
@@ -71,7 +71,7 @@
         let mut rng = StdRng::seed_from_u64(seed ^ 0x0b5e);
         let mut fleet = Fleet::new(routers, 3, bounds, seed);
         fleet.loss_percent = rng.random_range(0..20);
-        fleet.answer_ms = rng.random_range(20..300);
+        fleet.answer_delay_max_ms = rng.random_range(20..300);
         let poison = (0..poisons).map(|number| Kind {
             request: fingerprint(number),
             poison: true,
@@ -203,7 +203,7 @@
             return;
         }
         let router = &mut self.fleet.routers[run.router];
-        if router.alive && router.life == run.life {
+        if router.alive && router.incarnation == run.life {
             let now_ms = self.fleet.now_ms;
             self.good_ends_ms[run.kind].push(now_ms);
             router.node.run_succeeded(self.kinds[run.kind].request, now_ms);
@@ -216,7 +216,7 @@
         let unnoticed = std::mem::take(&mut self.unnoticed);
         for (router, life, broken) in unnoticed {
             let at = &mut self.fleet.routers[router];
-            if !at.alive || at.life != life {
+            if !at.alive || at.incarnation != life {
                 continue;
             }
             if at.frozen {
@@ -261,12 +261,12 @@
         if router.node.quarantine_refusal(Some(request), now_ms).is_some() {
             return;
         }
-        let life = router.life;
+        let life = router.incarnation;
         let up: Vec<usize> = (0..self.servers.len())
             .filter(|server| self.servers[*server].down_until_ms.is_none())
             .collect();
         let Some(server) = up.choose(&mut self.rng).copied() else { return };
-        if self.fleet.in_touch(place) {
+        if self.fleet.must_meet_bounds(place) {
             self.sends_ms[kind].push(now_ms);
         }
         let ends_ms = now_ms + runs_ms;
@@ -295,7 +295,8 @@
             let Some(third_ms) = crashes_ms.get(2).filter(|_| self.kinds[kind].poison) else {
                 continue;
             };
-            let late = self.sends_ms[kind].iter().filter(|at| **at > third_ms + CONTACT_MS).count();
+            let late =
+                self.sends_ms[kind].iter().filter(|at| **at > third_ms + RECOVERY_MS).count();
             assert!(
                 late <= LATE_SENDS,
                 "seed {seed}: {late} late sends of kind {kind}, {} crashes",
@@ -312,35 +313,35 @@
             2 => self.fleet.set_frozen(place, false),
             3 => self.fleet.set_cut(place, true),
             4 => self.fleet.set_cut(place, false),
-            5 => self.fleet.set_store(Store::Refuses),
-            6 => self.fleet.set_store(Store::Silent),
-            7 => self.fleet.set_store(Store::Well),
-            8 => self.fleet.forget_history(),
+            5 => self.fleet.set_store(StoreMode::Rejecting),
+            6 => self.fleet.set_store(StoreMode::Silent),
+            7 => self.fleet.set_store(StoreMode::Available),
+            8 => self.fleet.discard_history(),
             9 => {
-                self.fleet.routers[place].group = 1;
-                self.fleet.trouble(place);
+                self.fleet.routers[place].partition = 1;
+                self.fleet.record_fault(place);
             }
             10 => {
-                self.fleet.routers[place].group = 0;
-                self.fleet.trouble(place);
+                self.fleet.routers[place].partition = 0;
+                self.fleet.record_fault(place);
             }
             _ => self.fleet.publish(),
         }
     }
 
     fn end_troubles(&mut self) {
-        self.fleet.set_store(Store::Well);
+        self.fleet.set_store(StoreMode::Available);
         for place in 0..self.fleet.routers.len() {
             self.fleet.set_frozen(place, false);
             self.fleet.set_cut(place, false);
-            self.fleet.routers[place].group = 0;
+            self.fleet.routers[place].partition = 0;
         }
     }
 
     fn lose_all(&mut self) {
         for place in 0..self.fleet.routers.len() {
             self.fleet.restart(place);
-            self.fleet.trouble(place);
+            self.fleet.record_fault(place);
         }
     }
 }
@@ -431,10 +432,10 @@
 
 #[test]
 fn a_router_that_misses_its_peers_learns_from_the_store_after_one_crash() {
-    let mut fleet = watch_fleet::settled(7, TIGHT, 400);
+    let mut fleet = watch_fleet::up_to_date_fleet(7, TIGHT, 400);
     let alone = 3;
-    fleet.routers[alone].group = 1;
-    fleet.trouble(alone);
+    fleet.routers[alone].partition = 1;
+    fleet.record_fault(alone);
     fleet.run_until("it knows that it is alone", 60_000, |fleet| {
         fleet.routers[alone].node.members().live_count() == 1
     });
@@ -454,7 +455,7 @@
 
 #[test]
 fn a_calm_router_reads_the_record_once() {
-    let mut fleet = watch_fleet::settled(7, TIGHT, 401);
+    let mut fleet = watch_fleet::up_to_date_fleet(7, TIGHT, 401);
     fleet.run_ms(60_000);
     assert_eq!(fleet.value_calls, 7);
 }
@@ -462,16 +463,16 @@
 #[test]
 fn a_router_that_starts_while_the_store_is_away_learns_from_its_peers() {
     for seed in 410..420 {
-        let mut fleet = watch_fleet::settled(7, TIGHT, seed);
+        let mut fleet = watch_fleet::up_to_date_fleet(7, TIGHT, seed);
         fleet.loss_percent = 10;
         for crash in 0..3 {
             crash_at(&mut fleet, usize::from(crash), crash);
             fleet.run_ms(1_000);
         }
         fleet.run_ms(5_000);
-        fleet.set_store(Store::Silent);
+        fleet.set_store(StoreMode::Silent);
         fleet.restart(5);
-        fleet.run_until("it knows", CONTACT_MS, |fleet| {
+        fleet.run_until("it knows", RECOVERY_MS, |fleet| {
             let table = fleet.routers[5].node.quarantine();
             table.quarantined_ms(&fingerprint(0), fleet.now_ms).is_some()
         });
--- a/core/tests/restarting_servers.rs
+++ b/core/tests/restarting_servers.rs
@@ -7,7 +7,7 @@
 use doorswitch_core::{servers, watch};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use watch_fleet::{BOUNDS, Fleet, Store};
+use watch_fleet::{BOUNDS, Fleet, StoreMode};
 
 /// The bounds of the deployments that exist.
 const TIGHT: watch::Bounds = watch::Bounds { configuration_ms: 2_000, servers_ms: 2_000 };
@@ -18,33 +18,33 @@
     let mut fleet = Fleet::new(routers, 3, bounds, seed);
     let mut rng = StdRng::seed_from_u64(seed ^ 0x11fe);
     fleet.loss_percent = rng.random_range(0..20);
-    fleet.answer_ms = rng.random_range(20..900);
+    fleet.answer_delay_max_ms = rng.random_range(20..900);
     fleet.run_ms(5_000);
     for _ in 0..60 {
         let place = rng.random_range(0..routers);
         let name = format!("server-{}", rng.random_range(0..6));
         match rng.random_range(0..14) {
             0 => fleet.restart(place),
-            1 => fleet.set_store(Store::Refuses),
-            2 => fleet.set_store(Store::Silent),
-            3 | 4 => fleet.set_store(Store::Well),
-            5 => fleet.set_turned_away(place, true),
-            6 => fleet.set_turned_away(place, false),
+            1 => fleet.set_store(StoreMode::Rejecting),
+            2 => fleet.set_store(StoreMode::Silent),
+            3 | 4 => fleet.set_store(StoreMode::Available),
+            5 => fleet.set_rejected_by_store(place, true),
+            6 => fleet.set_rejected_by_store(place, false),
             7 => fleet.put_server(&name, servers::VmState::Leaving),
             8 => fleet.remove_server(&name),
-            9 => fleet.forget_history(),
-            10 => fleet.spoil_server(&name),
-            11 => fleet.routers[place].group = rng.random_range(0..2),
+            9 => fleet.discard_history(),
+            10 => fleet.corrupt_server_record(&name),
+            11 => fleet.routers[place].partition = rng.random_range(0..2),
             _ => fleet.restart_server(&name, servers::VmState::Live),
         }
         fleet.run_ms(rng.random_range(20..1_500));
     }
-    fleet.set_store(Store::Well);
+    fleet.set_store(StoreMode::Available);
     for place in 0..routers {
-        fleet.set_turned_away(place, false);
-        fleet.routers[place].group = 0;
+        fleet.set_rejected_by_store(place, false);
+        fleet.routers[place].partition = 0;
     }
-    fleet.run_until("all agree", 20_000, Fleet::all_know_latest);
+    fleet.run_until("all agree", 20_000, Fleet::all_up_to_date);
 }
 
 macro_rules! restarts {
--- a/core/tests/restores.rs
+++ b/core/tests/restores.rs
@@ -7,7 +7,7 @@
 use doorswitch_core::{message, servers, store, watch};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use watch_fleet::{BOUNDS, Fleet, Store, settled};
+use watch_fleet::{BOUNDS, Fleet, StoreMode, up_to_date_fleet};
 
 /// How long a server gets no requests if a restore brought back its removed record.
 const HELD_BACK_MS: u64 = 5_000;
@@ -28,8 +28,8 @@
 
 /// Restores the store from a backup that lacks the latest changes. Before it answers calls again, server 0 starts to
 /// leave and `other_writes` writes are made that no router watches.
-fn check_restore(routers: usize, store: Store, other_writes: usize, seed: u64) {
-    let mut fleet = settled(routers, BOUNDS, seed);
+fn check_restore(routers: usize, store: StoreMode, other_writes: usize, seed: u64) {
+    let mut fleet = up_to_date_fleet(routers, BOUNDS, seed);
     let backup = fleet.back_up();
     for _ in 0..20 {
         fleet.publish();
@@ -39,14 +39,14 @@
     fleet.remove_server("server-2");
     fleet.evacuate("b", true);
     fleet.put_server("server-new", servers::VmState::Live);
-    fleet.run_until("all routers are up to date", 4_000, Fleet::all_know_latest);
+    fleet.run_until("all routers are up to date", 4_000, Fleet::all_up_to_date);
     let before_restore = fleet.back_up();
     fleet.set_store(store);
     fleet.run_ms(500);
     fleet.restore(&backup);
     start_leaving(&mut fleet, 0);
-    (0..other_writes).for_each(|_| fleet.write_elsewhere());
-    fleet.set_store(Store::Well);
+    (0..other_writes).for_each(|_| fleet.write_unwatched_key());
+    fleet.set_store(StoreMode::Available);
     let calls = fleet.calls;
     let elapsed_ms = fleet.run_until("server 0 is unused", 4_000, |fleet| is_unused(fleet, 0));
     let calls = fleet.calls - calls;
@@ -60,7 +60,7 @@
     assert!(is_unused(&fleet, 2), "server 2 was removed in the lost history");
     fleet.run_ms(1_000);
     fleet.repeat_lost_writes(&before_restore, &backup);
-    fleet.run_until("all routers are up to date", HELD_BACK_MS + 4_000, Fleet::all_know_latest);
+    fleet.run_until("all routers are up to date", HELD_BACK_MS + 4_000, Fleet::all_up_to_date);
 }
 
 macro_rules! restores {
@@ -68,8 +68,8 @@
         #[test]
         fn $name() {
             for (seed, other_writes) in [(1, 0), (2, 100)] {
-                check_restore($routers, Store::Refuses, other_writes, seed);
-                check_restore($routers, Store::Silent, other_writes, seed);
+                check_restore($routers, StoreMode::Rejecting, other_writes, seed);
+                check_restore($routers, StoreMode::Silent, other_writes, seed);
             }
         }
     )*};
@@ -90,7 +90,7 @@
     let mut fleet = Fleet::new(routers, 3, BOUNDS, seed);
     let mut rng = StdRng::seed_from_u64(seed ^ 0x7e57);
     fleet.loss_percent = rng.random_range(0..15);
-    fleet.answer_ms = rng.random_range(20..400);
+    fleet.answer_delay_max_ms = rng.random_range(20..400);
     fleet.run_ms(5_000);
     let mut backup = fleet.back_up();
     let mut pending_rewrite: Option<(watch_fleet::Backup, watch_fleet::Backup)> = None;
@@ -112,20 +112,20 @@
                 let frozen = rng.random_bool(0.5);
                 fleet.set_frozen(place, frozen);
             }
-            8 => fleet.leave_calls_unanswered(place),
+            8 => fleet.leave_polls_unanswered(place),
             9 => {
                 let evacuated = rng.random_bool(0.5);
                 fleet.evacuate("a", evacuated);
             }
-            10 => (0..rng.random_range(1..80)).for_each(|_| fleet.write_elsewhere()),
+            10 => (0..rng.random_range(1..80)).for_each(|_| fleet.write_unwatched_key()),
             11 => backup = fleet.back_up(),
             _ if pending_rewrite.is_none() => {
                 let silent = rng.random_bool(0.5);
-                fleet.set_store(if silent { Store::Silent } else { Store::Refuses });
+                fleet.set_store(if silent { StoreMode::Silent } else { StoreMode::Rejecting });
                 fleet.run_ms(rng.random_range(0..1_500));
                 let before_restore = fleet.back_up();
                 fleet.restore(&backup);
-                fleet.set_store(Store::Well);
+                fleet.set_store(StoreMode::Available);
                 pending_rewrite = Some((before_restore, backup.clone()));
             }
             _ => {
@@ -143,7 +143,7 @@
         fleet.set_cut(place, false);
         fleet.set_frozen(place, false);
     }
-    fleet.run_until("all routers are up to date", HELD_BACK_MS + 10_000, Fleet::all_know_latest);
+    fleet.run_until("all routers are up to date", HELD_BACK_MS + 10_000, Fleet::all_up_to_date);
 }
 
 macro_rules! schedules {
@@ -167,7 +167,7 @@
 /// Guards against a false era from a peer that replaces the copies of routers, or stops them from following the store.
 #[test]
 fn an_era_reported_only_by_a_peer_is_not_applied() {
-    let mut fleet = settled(7, BOUNDS, 3);
+    let mut fleet = up_to_date_fleet(7, BOUNDS, 3);
     let known: Vec<_> = fleet.routers.iter().map(|router| router.node.vms_index()).collect();
     for _ in 0..20 {
         let era = 1 << 40;
@@ -180,7 +180,7 @@
             ..Default::default()
         };
         fleet.gossip_from_unknown_peer(0, digest);
-        fleet.carry_out(0);
+        fleet.perform_actions(0);
         fleet.run_ms(100);
     }
     let after: Vec<_> = fleet.routers.iter().map(|router| router.node.vms_index()).collect();
--- a/core/tests/said_schedules.rs
+++ b/core/tests/said_schedules.rs
@@ -9,8 +9,8 @@
 use doorswitch_core::{ids, leavings, node, servers};
 use rand::RngExt;
 use std::collections::HashMap;
-use watch_fleet::traffic::{Handed, Traffic};
-use watch_fleet::{BOUNDS, CONTACT_MS, Fleet};
+use watch_fleet::traffic::{RequestHandle, Traffic};
+use watch_fleet::{BOUNDS, Fleet, RECOVERY_MS};
 
 /// Routers that served for so long are back in touch.
 const CALM_MS: u64 = 12_000;
@@ -77,7 +77,7 @@
     servers: Vec<Server>,
     runs: Vec<Run>,
     told: HashMap<(usize, u64), Told>,
-    waiting: HashMap<Handed, u64>,
+    waiting: HashMap<RequestHandle, u64>,
     work_ms: std::ops::Range<u64>,
     counts: Counts,
     /// Whether the first server always serves.
@@ -123,9 +123,9 @@
     }
 
     fn step_clients(&mut self) {
-        for _ in 0..self.traffic.due() {
+        for _ in 0..self.traffic.due_requests() {
             let now_ms = self.traffic.fleet.now_ms;
-            if let Some(handed) = self.traffic.hand() {
+            if let Some(handed) = self.traffic.submit() {
                 self.waiting.insert(handed, now_ms);
                 self.counts.given += 1;
                 self.take_answers();
@@ -213,7 +213,7 @@
         self.counts.refused += 1;
         self.counts.refused_late += u64::from(waited_ms > 100);
         assert!(retry_after_ms > 0);
-        let calm = self.traffic.fleet.in_touch(place);
+        let calm = self.traffic.fleet.must_meet_bounds(place);
         let lacks = matches!(reason, node::Reason::Backoff | node::Reason::NoServer);
         assert!(
             !(lacks && calm && self.some_free),
@@ -226,7 +226,7 @@
         let routers = &self.traffic.fleet.routers;
         let arrives = |run: &mut Run| {
             let router = &routers[run.router.0];
-            now_ms >= run.answers_ms && (!router.frozen || router.life != run.router.1)
+            now_ms >= run.answers_ms && (!router.frozen || router.incarnation != run.router.1)
         };
         let ended: Vec<Run> = self.runs.extract_if(.., arrives).collect();
         for run in ended {
@@ -238,7 +238,7 @@
         let now_ms = self.traffic.fleet.now_ms;
         let (place, life) = run.router;
         let router = &mut self.traffic.fleet.routers[place];
-        if !router.alive || router.life != life {
+        if !router.alive || router.incarnation != life {
             return;
         }
         let server = &self.servers[run.server];
@@ -274,7 +274,7 @@
                 self.counts.waited_ms += run.sent_ms - given_ms;
             }
         }
-        self.traffic.fleet.carry_out(place);
+        self.traffic.fleet.perform_actions(place);
         self.take_answers();
     }
 
@@ -322,14 +322,14 @@
         let place = self.traffic.rng.random_range(0..self.traffic.fleet.routers.len());
         let server = self.traffic.rng.random_range(usize::from(self.some_free)..self.servers.len());
         match self.traffic.rng.random_range(0..14) {
-            number @ 0..=10 => self.traffic.trouble(place, number),
+            number @ 0..=10 => self.traffic.inject_fault(place, number),
             11 => self.restart_server(server),
             _ => self.lapse(server),
         }
     }
 
     fn end_troubles(&mut self) {
-        self.traffic.end_troubles();
+        self.traffic.end_faults();
         for place in 0..self.servers.len() {
             if !self.servers[place].listed {
                 self.lapse(place);
@@ -397,7 +397,7 @@
     let told = |(vm, life): &&Life| {
         let mut told = scenario.told.iter();
         told.any(|(router, told)| {
-            let present = scenario.traffic.fleet.routers[router.0].life == router.1;
+            let present = scenario.traffic.fleet.routers[router.0].incarnation == router.1;
             present && told.leaving.contains_key(&(vm.clone(), *life))
         })
     };
@@ -563,11 +563,11 @@
             let node = &mut scenario.traffic.fleet.routers[0].node;
             node.report_directives(&vm, ids::ServerLife(1), &said, age, now_ms);
         }
-        scenario.traffic.fleet.run_until("all know", CONTACT_MS, |fleet| {
+        scenario.traffic.fleet.run_until("all know", RECOVERY_MS, |fleet| {
             fleet.routers.iter().all(|it| it.node.leaving_servers().iter().count() == leaving)
         });
         scenario.traffic.fleet.restart(routers - 1);
-        scenario.traffic.fleet.run_until("the new one knows", 2 * CONTACT_MS + 4_000, |fleet| {
+        scenario.traffic.fleet.run_until("the new one knows", 2 * RECOVERY_MS + 4_000, |fleet| {
             fleet.routers[routers - 1].node.leaving_servers().iter().count() == leaving
         });
     }
@@ -576,7 +576,7 @@
 /// A calm fleet spends nothing on what servers say.
 #[test]
 fn a_calm_fleet_tells_nothing_of_leavings() {
-    let mut fleet = watch_fleet::settled(7, BOUNDS, 11);
+    let mut fleet = watch_fleet::up_to_date_fleet(7, BOUNDS, 11);
     let sent = |fleet: &Fleet| -> u64 {
         fleet.routers.iter().map(|it| it.node.counters().gossip_sent).sum()
     };
--- a/core/tests/shared_retries.rs
+++ b/core/tests/shared_retries.rs
@@ -50,7 +50,7 @@
             let place = ready[rng.random_range(0..ready.len())];
             let now_ms = fleet.now_ms;
             fleet.routers[place].node.admit(wanted(requests as u64, now_ms), now_ms);
-            fleet.carry_out(place);
+            fleet.perform_actions(place);
         }
         for (place, life, slot, answer) in std::mem::take(&mut fleet.answers) {
             let again = !sent.insert((place, life, slot));
@@ -67,7 +67,7 @@
                 }
                 _ => {}
             }
-            fleet.carry_out(place);
+            fleet.perform_actions(place);
         }
     }
     (requests, retries)
--- a/core/tests/unanswered_polls.rs
+++ b/core/tests/unanswered_polls.rs
@@ -13,7 +13,7 @@
 use doorswitch_core::{servers, watch};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use watch_fleet::{Fleet, Store, settled};
+use watch_fleet::{Fleet, StoreMode, up_to_date_fleet};
 
 const BOUNDS: watch::Bounds = watch::Bounds { configuration_ms: 2_000, servers_ms: 2_000 };
 
@@ -25,11 +25,11 @@
 /// Makes the store silent for `outage_ms`, starting at each of many moments within the longest poll.
 fn silent_at_each_moment(routers: usize, outage_ms: u64) {
     for at_ms in (0..11_000).step_by(700) {
-        let mut fleet = settled(routers, BOUNDS, 1);
+        let mut fleet = up_to_date_fleet(routers, BOUNDS, 1);
         fleet.run_ms(at_ms);
-        fleet.set_store(Store::Silent);
+        fleet.set_store(StoreMode::Silent);
         fleet.run_ms(outage_ms);
-        fleet.set_store(Store::Well);
+        fleet.set_store(StoreMode::Available);
         fleet.run_ms(300);
         // The fleet asserts the staleness bounds in every step.
         change(&mut fleet);
@@ -42,10 +42,10 @@
 /// Leaves the open polls of all routers unanswered, at each of many moments within the longest poll.
 fn unanswered_at_each_moment(routers: usize) {
     for at_ms in (0..11_000).step_by(700) {
-        let mut fleet = settled(routers, BOUNDS, 2);
+        let mut fleet = up_to_date_fleet(routers, BOUNDS, 2);
         fleet.run_ms(at_ms);
         for place in 0..routers {
-            fleet.leave_calls_unanswered(place);
+            fleet.leave_polls_unanswered(place);
         }
         for _ in 0..4 {
             fleet.run_ms(800);
@@ -80,21 +80,21 @@
 /// peers are reachable again, and then the peers become unreachable a second time.
 #[test]
 fn an_unanswered_long_poll_of_an_isolated_router_does_not_delay_its_next_polls() {
-    let mut fleet = settled(24, BOUNDS, 3);
+    let mut fleet = up_to_date_fleet(24, BOUNDS, 3);
     let place = 13;
-    fleet.routers[place].group = 1;
-    fleet.trouble(place);
+    fleet.routers[place].partition = 1;
+    fleet.record_fault(place);
     fleet.run_until("the isolated router has sent a long poll", 120_000, |fleet| {
         let polls = fleet.routers[place].node.open_polls(watch::Topic::Servers, fleet.now_ms);
         polls.iter().any(|poll| poll.wait_ms > 20_000)
     });
-    fleet.leave_calls_unanswered(place);
-    fleet.routers[place].group = 0;
+    fleet.leave_polls_unanswered(place);
+    fleet.routers[place].partition = 0;
     fleet.run_until("the router is a listener again", 10_000, |fleet| {
         fleet.routers[place].node.watch_role() == Some(watch::Role::Listener)
     });
-    fleet.routers[place].group = 1;
-    fleet.trouble(place);
+    fleet.routers[place].partition = 1;
+    fleet.record_fault(place);
     change(&mut fleet);
     // The fleet asserts the router's staleness bounds in every step.
     fleet.run_ms(8_000);
@@ -105,20 +105,20 @@
     let mut fleet = Fleet::new(routers, 3, BOUNDS, seed);
     let mut rng = StdRng::seed_from_u64(seed ^ 0x5eed);
     fleet.loss_percent = rng.random_range(0..10);
-    fleet.answer_ms = rng.random_range(20..150);
+    fleet.answer_delay_max_ms = rng.random_range(20..150);
     fleet.run_ms(5_000);
     for _ in 0..60 {
         let place = rng.random_range(0..routers);
         match rng.random_range(0..12) {
-            0..3 => fleet.leave_calls_unanswered(place),
-            3 => (0..routers).for_each(|place| fleet.leave_calls_unanswered(place)),
+            0..3 => fleet.leave_polls_unanswered(place),
+            3 => (0..routers).for_each(|place| fleet.leave_polls_unanswered(place)),
             4 => fleet.restart(place),
             5 => {
                 let cut = fleet.routers[place].cut;
                 fleet.set_cut(place, !cut);
             }
-            6 => fleet.set_store(Store::Silent),
-            7 => fleet.set_store(Store::Well),
+            6 => fleet.set_store(StoreMode::Silent),
+            7 => fleet.set_store(StoreMode::Available),
             8 => fleet.publish(),
             9 => fleet.put_server("server-1", servers::VmState::Leaving),
             10 => fleet.put_server("server-1", servers::VmState::Live),
--- a/core/tests/watch_fleet/checks.rs
+++ b/core/tests/watch_fleet/checks.rs
@@ -1,6 +1,6 @@
 //! The checks of each router against the store's history, after every step.
 
-use super::{CONTACT_MS, Change, Fleet};
+use super::{Change, Fleet, RECOVERY_MS};
 use doorswitch_core::{node, servers, watch};
 
 impl Fleet {
@@ -107,7 +107,7 @@
     fn check_staleness(&mut self, place: usize) {
         let router = &self.routers[place];
         let undisturbed_ms = self.now_ms - router.last_fault_ms.max(self.store_last_fault_ms);
-        if undisturbed_ms < CONTACT_MS || !self.reaches_store(place) {
+        if undisturbed_ms < RECOVERY_MS || !self.reaches_store(place) {
             return;
         }
         self.check_content(place);
@@ -133,7 +133,7 @@
             "entry-{place} has missed a change of {topic:?} for {stale_ms} ms at {}",
             self.now_ms,
         );
-        let stalest = self.stalest_ms.entry(topic).or_default();
+        let stalest = self.staleness_max_ms.entry(topic).or_default();
         *stalest = (*stalest).max(stale_ms);
     }
 }
--- a/core/tests/watch_fleet/mod.rs
+++ b/core/tests/watch_fleet/mod.rs
@@ -23,13 +23,13 @@
 /// How long a router waits for an answer of the store beyond the wait that its poll asks for.
 const CALL_TIMEOUT_MS: u64 = 1_000;
 /// The staleness of a router is checked again this long after its last fault.
-pub const CONTACT_MS: u64 = 3_000;
+pub const RECOVERY_MS: u64 = 3_000;
 
 /// How the store reacts to calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Store {
-    Well,
-    Refuses,
+pub enum StoreMode {
+    Available,
+    Rejecting,
     Silent,
 }
 
@@ -37,7 +37,7 @@
 enum Event {
     Message { to: String, envelope: message::Envelope },
     Gossip { to: String, gossip: message::Gossip },
-    StoreReply { place: usize, life: u64, call: ids::CallId, reply: store::Reply },
+    StoreReply { place: usize, incarnation: u64, call: ids::CallId, reply: store::Reply },
 }
 
 /// A poll that a router has sent and that has no outcome yet.
@@ -60,16 +60,16 @@
 /// A simulated router process.
 pub struct Router {
     pub node: node::Node,
-    pub life: u64,
+    pub incarnation: u64,
     pub address: String,
     pub alive: bool,
     pub frozen: bool,
     /// Whether the router cannot reach the store.
     pub cut: bool,
     /// Whether the store rejects the calls of this router only.
-    pub turned_away: bool,
+    pub rejected_by_store: bool,
     /// The network partition of the router; routers in different partitions cannot reach each other.
-    pub group: u64,
+    pub partition: u64,
     /// When a fault of this router last began or ended.
     last_fault_ms: u64,
     open_polls: Vec<OpenPoll>,
@@ -94,16 +94,16 @@
 pub struct Fleet {
     pub now_ms: u64,
     pub routers: Vec<Router>,
-    pub store: Store,
+    pub store: StoreMode,
     /// Percentage of gossip datagrams that are lost.
     pub loss_percent: u32,
     /// The maximum time that an answer of the store is in transit, in milliseconds.
-    pub answer_ms: u64,
+    pub answer_delay_max_ms: u64,
     /// Number of calls of routers that reached the store: polls and announcements.
     pub calls: u64,
     pub bounds: watch::Bounds,
     /// The largest staleness of a checked router, by topic, in milliseconds.
-    pub stalest_ms: BTreeMap<watch::Topic, u64>,
+    pub staleness_max_ms: BTreeMap<watch::Topic, u64>,
     /// Addresses of routers that announced themselves to the store.
     pub announced: BTreeSet<String>,
     seeds: usize,
@@ -131,7 +131,7 @@
     store_last_fault_ms: u64,
     events: BTreeMap<(u64, u64), Event>,
     next_event: u64,
-    lives: u64,
+    incarnations: u64,
     /// Answers of routers to requests: the router's index, its incarnation, the request's slot and the answer.
     pub answers: Vec<(usize, u64, ids::RequestSlot, node::Answer)>,
     rng: StdRng,
@@ -143,10 +143,10 @@
 pub const BOUNDS: watch::Bounds = watch::Bounds { configuration_ms: 4_000, servers_ms: 4_000 };
 
 /// Returns a fleet that has run long enough for all routers to be up to date.
-pub fn settled(routers: usize, bounds: watch::Bounds, seed: u64) -> Fleet {
+pub fn up_to_date_fleet(routers: usize, bounds: watch::Bounds, seed: u64) -> Fleet {
     let mut fleet = Fleet::new(routers, 3, bounds, seed);
     fleet.run_ms(15_000);
-    assert!(fleet.all_know_latest());
+    assert!(fleet.all_up_to_date());
     fleet
 }
 
@@ -156,12 +156,12 @@
         let mut fleet = Self {
             now_ms: 1_000,
             routers: Vec::new(),
-            store: Store::Well,
+            store: StoreMode::Available,
             loss_percent: 0,
-            answer_ms: TICK_MS,
+            answer_delay_max_ms: TICK_MS,
             calls: 0,
             bounds,
-            stalest_ms: BTreeMap::new(),
+            staleness_max_ms: BTreeMap::new(),
             announced: BTreeSet::new(),
             seeds,
             era: 0,
@@ -180,7 +180,7 @@
             store_last_fault_ms: 0,
             events: BTreeMap::new(),
             next_event: 0,
-            lives: 0,
+            incarnations: 0,
             answers: Vec::new(),
             rng: StdRng::seed_from_u64(seed),
             value_rng: StdRng::seed_from_u64(!seed),
@@ -214,16 +214,16 @@
     }
 
     /// Writes a key that no router watches.
-    pub fn write_elsewhere(&mut self) {
+    pub fn write_unwatched_key(&mut self) {
         self.revision += 1;
     }
 
     /// Discards the store's history of changes up to now.
-    pub fn forget_history(&mut self) {
+    pub fn discard_history(&mut self) {
         self.history_start = self.revision;
     }
 
-    pub fn set_store(&mut self, store: Store) {
+    pub fn set_store(&mut self, store: StoreMode) {
         self.store = store;
         self.store_last_fault_ms = self.now_ms;
     }
@@ -237,18 +237,18 @@
     pub fn restart(&mut self, place: usize) {
         self.kill(place);
         let router = self.new_router(place);
-        let group = self.routers[place].group;
+        let partition = self.routers[place].partition;
         self.routers[place] = router;
-        self.routers[place].group = group;
+        self.routers[place].partition = partition;
     }
 
     /// Records that a fault of a router begins or ends now.
-    pub fn trouble(&mut self, place: usize) {
+    pub fn record_fault(&mut self, place: usize) {
         self.routers[place].last_fault_ms = self.now_ms;
     }
 
     pub fn set_frozen(&mut self, place: usize, frozen: bool) {
-        self.trouble(place);
+        self.record_fault(place);
         self.routers[place].frozen = frozen;
         if !frozen {
             for event in std::mem::take(&mut self.routers[place].deferred) {
@@ -258,13 +258,13 @@
     }
 
     pub fn set_cut(&mut self, place: usize, cut: bool) {
-        self.trouble(place);
+        self.record_fault(place);
         self.routers[place].cut = cut;
     }
 
-    pub fn set_turned_away(&mut self, place: usize, turned_away: bool) {
-        self.trouble(place);
-        self.routers[place].turned_away = turned_away;
+    pub fn set_rejected_by_store(&mut self, place: usize, rejected_by_store: bool) {
+        self.record_fault(place);
+        self.routers[place].rejected_by_store = rejected_by_store;
     }
 
     /// Delivers gossip with `digest` from a peer outside the fleet. The caller handles the node's resulting actions.
@@ -315,13 +315,13 @@
     }
 
     /// Whether all running routers are up to date.
-    pub fn all_know_latest(&self) -> bool {
+    pub fn all_up_to_date(&self) -> bool {
         let running = self.routers.iter().filter(|router| router.alive);
-        running.map(|router| &router.node).all(|node| self.knows_latest(node))
+        running.map(|router| &router.node).all(|node| self.is_up_to_date(node))
     }
 
     /// Whether a router has the current configuration, servers and evacuations.
-    pub fn knows_latest(&self, node: &node::Node) -> bool {
+    pub fn is_up_to_date(&self, node: &node::Node) -> bool {
         let identity =
             |vm: &servers::Vm| (vm.vm.clone(), vm.life, vm.state == servers::VmState::Live);
         let listed: BTreeSet<_> =
@@ -344,14 +344,14 @@
             if self.routers[place].alive && !self.routers[place].frozen {
                 self.deliver_outcomes(place);
                 self.routers[place].node.tick(self.now_ms);
-                self.carry_out(place);
+                self.perform_actions(place);
             }
         }
         self.check();
     }
 
     fn new_router(&mut self, place: usize) -> Router {
-        self.lives += 1;
+        self.incarnations += 1;
         let address = format!("10.0.0.{place}:1");
         let settings = node::Settings {
             incarnation: ids::Incarnation(self.rng.random()),
@@ -370,13 +370,13 @@
         };
         Router {
             node: node::Node::new(settings, self.rng.random(), self.now_ms),
-            life: self.lives,
+            incarnation: self.incarnations,
             address,
             alive: true,
             frozen: false,
             cut: false,
-            turned_away: false,
-            group: 0,
+            rejected_by_store: false,
+            partition: 0,
             last_fault_ms: self.now_ms,
             open_polls: Vec::new(),
             pending_outcomes: Vec::new(),
@@ -394,12 +394,12 @@
         self.history.push(Change { at_ms, revision, topic, server });
     }
 
-    pub fn carry_out(&mut self, place: usize) {
+    pub fn perform_actions(&mut self, place: usize) {
         for action in self.routers[place].node.take_actions() {
             match action {
                 node::Action::Poll(poll) => {
                     let router = &mut self.routers[place];
-                    let unanswered = self.store == Store::Silent;
+                    let unanswered = self.store == StoreMode::Silent;
                     router.open_polls.push(OpenPoll { poll, sent_ms: self.now_ms, unanswered });
                     self.calls += u64::from(!router.cut);
                 }
@@ -418,8 +418,8 @@
                 node::Action::Store { call, request } => self.call_store(place, call, &request),
                 node::Action::Answer { slot, answer } => {
                     self.check_answer(place, &answer);
-                    let life = self.routers[place].life;
-                    self.answers.push((place, life, slot, answer));
+                    let incarnation = self.routers[place].incarnation;
+                    self.answers.push((place, incarnation, slot, answer));
                 }
                 _ => {}
             }
@@ -453,13 +453,13 @@
             (true, store::Request::DeletePrefix { .. }) => store::Reply::Written { era: self.era },
         };
         let delay_ms = if answered {
-            self.value_rng.random_range(0..=self.answer_ms)
+            self.value_rng.random_range(0..=self.answer_delay_max_ms)
         } else {
             CALL_TIMEOUT_MS
         };
-        let life = self.routers[place].life;
+        let incarnation = self.routers[place].incarnation;
         self.next_event += 1;
-        let event = Event::StoreReply { place, life, call, reply };
+        let event = Event::StoreReply { place, incarnation, call, reply };
         self.events.insert((self.now_ms + delay_ms, self.next_event), event);
     }
 
@@ -473,17 +473,17 @@
         self.routers[place].node.offer_seeds(addresses);
     }
 
-    /// Whether a router has been running without a fault, unpartitioned and connected to the store for `CONTACT_MS`.
-    pub fn in_touch(&self, place: usize) -> bool {
+    /// Whether a router has been running without a fault, unpartitioned and connected to the store for `RECOVERY_MS`.
+    pub fn must_meet_bounds(&self, place: usize) -> bool {
         let router = &self.routers[place];
         let undisturbed_ms = self.now_ms - router.last_fault_ms;
-        let running = router.alive && !router.frozen && router.group == 0;
-        running && undisturbed_ms >= CONTACT_MS && self.reaches_store(place)
+        let running = router.alive && !router.frozen && router.partition == 0;
+        running && undisturbed_ms >= RECOVERY_MS && self.reaches_store(place)
     }
 
     fn send(&mut self, from: usize, to: String, event: Event) {
         let reached = self.routers.iter().any(|router| {
-            router.address == to && router.alive && router.group == self.routers[from].group
+            router.address == to && router.alive && router.partition == self.routers[from].partition
         });
         if reached {
             self.next_event += 1;
@@ -497,8 +497,8 @@
             Event::Message { to, .. } | Event::Gossip { to, .. } => {
                 self.routers.iter().position(|router| router.address == *to)
             }
-            Event::StoreReply { place, life, .. } => {
-                Some(*place).filter(|place| self.routers[*place].life == *life)
+            Event::StoreReply { place, incarnation, .. } => {
+                Some(*place).filter(|place| self.routers[*place].incarnation == *incarnation)
             }
         };
         let Some(place) = place else { return };
@@ -517,7 +517,7 @@
                 router.node.handle_store_reply(call, reply, self.now_ms);
             }
         }
-        self.carry_out(place);
+        self.perform_actions(place);
     }
 }
 
--- a/core/tests/watch_fleet/store.rs
+++ b/core/tests/watch_fleet/store.rs
@@ -1,6 +1,6 @@
 //! The records of the fake store, and its answers to polls of the routers.
 
-use super::{CALL_TIMEOUT_MS, Fleet, OpenPoll, PendingOutcome, Store};
+use super::{CALL_TIMEOUT_MS, Fleet, OpenPoll, PendingOutcome, StoreMode};
 use doorswitch_core::{evacuation, ids, servers, store, watch};
 use rand::RngExt;
 
@@ -53,7 +53,7 @@
     }
 
     /// Overwrites a server's record with an unreadable value, as a faulty writer would.
-    pub fn spoil_server(&mut self, name: &str) {
+    pub fn corrupt_server_record(&mut self, name: &str) {
         self.revision += 1;
         self.servers.remove(name);
         self.unreadable.insert(name.to_owned());
@@ -86,8 +86,8 @@
     }
 
     /// Leaves the open polls of a router unanswered forever.
-    pub fn leave_calls_unanswered(&mut self, place: usize) {
-        self.trouble(place);
+    pub fn leave_polls_unanswered(&mut self, place: usize) {
+        self.record_fault(place);
         for open in &mut self.routers[place].open_polls {
             open.unanswered = true;
         }
@@ -95,7 +95,7 @@
 
     pub(super) fn reaches_store(&self, place: usize) -> bool {
         let router = &self.routers[place];
-        self.store == Store::Well && !router.cut && !router.turned_away
+        self.store == StoreMode::Available && !router.cut && !router.rejected_by_store
     }
 
     /// Answers the open polls of a router and delivers the outcomes whose transit time is over.
@@ -103,9 +103,9 @@
         for open in std::mem::take(&mut self.routers[place].open_polls) {
             let answer = self.answer(place, &open);
             let router = &self.routers[place];
-            let answered = !open.unanswered && !router.cut && self.store != Store::Silent;
+            let answered = !open.unanswered && !router.cut && self.store != StoreMode::Silent;
             let era = self.era;
-            let arrives_ms = self.now_ms + self.rng.random_range(0..=self.answer_ms);
+            let arrives_ms = self.now_ms + self.rng.random_range(0..=self.answer_delay_max_ms);
             let router = &mut self.routers[place];
             match answer {
                 Some(outcome) => router.pending_outcomes.push(PendingOutcome {
@@ -128,7 +128,7 @@
                 node.handle_store_era(era, now_ms);
             }
             node.poll_ended(poll, outcome, now_ms);
-            self.carry_out(place);
+            self.perform_actions(place);
         }
     }
 
@@ -137,11 +137,11 @@
         let OpenPoll { poll, sent_ms, unanswered } = open;
         let waited_ms = self.now_ms - sent_ms;
         let router = &self.routers[place];
-        if *unanswered || router.cut || self.store == Store::Silent {
+        if *unanswered || router.cut || self.store == StoreMode::Silent {
             let over = waited_ms >= poll.wait_ms + CALL_TIMEOUT_MS;
             return over.then_some(watch::Outcome::NoAnswer);
         }
-        if router.turned_away || self.store == Store::Refuses {
+        if router.rejected_by_store || self.store == StoreMode::Rejecting {
             return Some(watch::Outcome::Rejected);
         }
         let unknown = |after: store::Position| {
--- a/core/tests/watch_fleet/traffic.rs
+++ b/core/tests/watch_fleet/traffic.rs
@@ -1,13 +1,13 @@
 //! Requests of clients to a simulated fleet, and faults of its routers.
 
-use super::{BOUNDS, Fleet, Store, TICK_MS};
+use super::{BOUNDS, Fleet, StoreMode, TICK_MS};
 use doorswitch_core::{ids, node, servers};
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
 
 /// Identifies a submitted request: the router's index, its incarnation and the request's slot in it.
-pub type Handed = (usize, u64, ids::RequestSlot);
+pub type RequestHandle = (usize, u64, ids::RequestSlot);
 
 /// A fleet and the clients that send requests to it.
 pub struct Traffic {
@@ -33,7 +33,7 @@
     }
 
     /// The number of requests that are to be submitted in this step.
-    pub fn due(&mut self) -> u64 {
+    pub fn due_requests(&mut self) -> u64 {
         self.due_milli += self.per_s * TICK_MS;
         let due = self.due_milli / 1_000;
         self.due_milli %= 1_000;
@@ -41,7 +41,7 @@
     }
 
     /// Submits a request to a random running router, if there is one. The fleet records its answer in `answers`.
-    pub fn hand(&mut self) -> Option<Handed> {
+    pub fn submit(&mut self) -> Option<RequestHandle> {
         let running = |place: &usize| {
             let router = &self.fleet.routers[*place];
             router.alive && !router.frozen
@@ -52,8 +52,8 @@
         let now_ms = self.fleet.now_ms;
         let router = &mut self.fleet.routers[place];
         let slot = router.node.admit(request, now_ms);
-        let handle = (place, router.life, slot);
-        self.fleet.carry_out(place);
+        let handle = (place, router.incarnation, slot);
+        self.fleet.perform_actions(place);
         Some(handle)
     }
 
@@ -84,32 +84,32 @@
     }
 
     /// Begins or ends a fault of a router or the store; `number` chooses it, from 0 to 10.
-    pub fn trouble(&mut self, place: usize, number: u32) {
+    pub fn inject_fault(&mut self, place: usize, number: u32) {
         match number {
             0 | 1 => self.fleet.restart(place),
             2 => self.fleet.set_frozen(place, true),
             3 | 4 => self.fleet.set_frozen(place, false),
             5 => self.fleet.set_cut(place, true),
             6 => self.fleet.set_cut(place, false),
-            7 => self.fleet.set_store(Store::Refuses),
-            8 => self.fleet.set_store(Store::Well),
-            9 => self.set_group(place, 1),
-            _ => self.set_group(place, 0),
+            7 => self.fleet.set_store(StoreMode::Rejecting),
+            8 => self.fleet.set_store(StoreMode::Available),
+            9 => self.set_partition(place, 1),
+            _ => self.set_partition(place, 0),
         }
     }
 
-    pub fn set_group(&mut self, place: usize, group: u64) {
-        self.fleet.routers[place].group = group;
-        self.fleet.trouble(place);
+    pub fn set_partition(&mut self, place: usize, partition: u64) {
+        self.fleet.routers[place].partition = partition;
+        self.fleet.record_fault(place);
     }
 
     /// Ends all faults.
-    pub fn end_troubles(&mut self) {
-        self.fleet.set_store(Store::Well);
+    pub fn end_faults(&mut self) {
+        self.fleet.set_store(StoreMode::Available);
         for place in 0..self.fleet.routers.len() {
             self.fleet.set_frozen(place, false);
             self.fleet.set_cut(place, false);
-            self.set_group(place, 0);
+            self.set_partition(place, 0);
         }
     }
 }
--- a/core/tests/watching.rs
+++ b/core/tests/watching.rs
@@ -7,7 +7,7 @@
 use doorswitch_core::{servers, store, watch};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use watch_fleet::{BOUNDS, Fleet, Store, settled};
+use watch_fleet::{BOUNDS, Fleet, StoreMode, up_to_date_fleet};
 
 /// Bounds that are shorter than those of most tests.
 const TIGHT: watch::Bounds = watch::Bounds { configuration_ms: 2_000, servers_ms: 2_000 };
@@ -26,7 +26,7 @@
 
 #[test]
 fn in_a_small_fleet_every_router_polls_the_store() {
-    let fleet = settled(8, TIGHT, 1);
+    let fleet = up_to_date_fleet(8, TIGHT, 1);
     let roles = fleet.routers.iter().map(|router| router.node.watch_role());
     assert!(roles.into_iter().all(|role| role == Some(watch::Role::EveryRouter)));
 }
@@ -34,7 +34,7 @@
 #[test]
 fn in_a_larger_fleet_two_routers_of_different_failure_domains_poll_the_store() {
     for seed in 0..5 {
-        let fleet = settled(40, BOUNDS, seed);
+        let fleet = up_to_date_fleet(40, BOUNDS, seed);
         let watchers = fleet.watchers();
         assert_eq!(watchers.len(), 2, "{watchers:?}");
         // The failure domain of a router is its index modulo 4.
@@ -46,7 +46,7 @@
     ($($name:ident: $routers:expr;)*) => {$(
         #[test]
         fn $name() {
-            let mut fleet = settled($routers, BOUNDS, 3);
+            let mut fleet = up_to_date_fleet($routers, BOUNDS, 3);
             let calls = calls_in(&mut fleet, 20_000);
             // Two watchers poll two topics once a second, with a few additional polls.
             assert!((60..=110).contains(&calls), "{calls} calls in 20 s");
@@ -62,16 +62,16 @@
 
 #[test]
 fn updates_reach_all_routers_in_time_although_datagrams_are_lost() {
-    let mut fleet = settled(86, BOUNDS, 4);
+    let mut fleet = up_to_date_fleet(86, BOUNDS, 4);
     fleet.loss_percent = 30;
     for _ in 0..10 {
         change(&mut fleet);
         fleet.run_ms(500);
         let current =
-            fleet.routers.iter().filter(|router| fleet.knows_latest(&router.node)).count();
+            fleet.routers.iter().filter(|router| fleet.is_up_to_date(&router.node)).count();
         assert!(current * 100 >= 86 * 90, "{current} of 86 routers are up to date after 500 ms");
         // This is before their copies count as stale, so that they don't poll the store.
-        fleet.run_until("all routers are up to date", 1_500, Fleet::all_know_latest);
+        fleet.run_until("all routers are up to date", 1_500, Fleet::all_up_to_date);
         fleet.run_ms(500);
     }
 }
@@ -81,7 +81,7 @@
         #[test]
         fn $name() {
             for seed in 0..4 {
-                let mut fleet = settled($routers, $bounds, seed);
+                let mut fleet = up_to_date_fleet($routers, $bounds, seed);
                 let watchers = fleet.watchers();
                 assert!(!watchers.is_empty());
                 for place in watchers {
@@ -103,14 +103,14 @@
     both_watchers_are_killed: 40, BOUNDS, |fleet, place| fleet.kill(place);
     both_watchers_freeze: 40, BOUNDS, |fleet, place| fleet.set_frozen(place, true);
     both_watchers_are_cut_from_the_store: 40, BOUNDS, |fleet, place| fleet.set_cut(place, true);
-    both_watchers_are_rejected_by_the_store: 40, BOUNDS, |fleet, place| fleet.set_turned_away(place, true);
+    both_watchers_are_rejected_by_the_store: 40, BOUNDS, |fleet, place| fleet.set_rejected_by_store(place, true);
     both_watchers_are_cut_with_a_tight_bound: 40, TIGHT, |fleet, place| fleet.set_cut(place, true);
     both_watchers_are_killed_in_a_fleet_of_295: 295, BOUNDS, |fleet, place| fleet.kill(place);
 }
 
 #[test]
 fn polls_decrease_again_after_the_watchers_reach_the_store() {
-    let mut fleet = settled(40, BOUNDS, 5);
+    let mut fleet = up_to_date_fleet(40, BOUNDS, 5);
     for place in fleet.watchers() {
         fleet.set_cut(place, true);
     }
@@ -125,18 +125,18 @@
 
 #[test]
 fn an_outage_of_the_store_causes_a_bounded_number_of_polls() {
-    for store in [Store::Refuses, Store::Silent] {
-        let mut fleet = settled(86, BOUNDS, 6);
+    for store in [StoreMode::Rejecting, StoreMode::Silent] {
+        let mut fleet = up_to_date_fleet(86, BOUNDS, 6);
         fleet.set_store(store);
         let calls = calls_in(&mut fleet, 10_000);
         // Each topic may be polled 12 times a second, in addition to the polls of the watchers.
         assert!(calls <= 10 * (2 * 12 + 10), "{calls} calls in 10 s of {store:?}");
         change(&mut fleet);
-        fleet.set_store(Store::Well);
+        fleet.set_store(StoreMode::Available);
         let took_ms = fleet.run_until(
             "all routers are up to date after the outage",
             4_000,
-            Fleet::all_know_latest,
+            Fleet::all_up_to_date,
         );
         assert!(took_ms <= 2_500, "{took_ms} ms after {store:?}");
     }
@@ -146,7 +146,7 @@
 fn a_fleet_whose_routers_all_start_at_once_makes_few_calls_of_the_store() {
     for seed in 0..4 {
         let mut fleet = Fleet::new(86, 3, BOUNDS, seed);
-        let took_ms = fleet.run_until("all routers are up to date", 10_000, Fleet::all_know_latest);
+        let took_ms = fleet.run_until("all routers are up to date", 10_000, Fleet::all_up_to_date);
         assert!(took_ms <= 3_000, "{took_ms} ms");
         assert!(fleet.calls <= 40, "{} calls", fleet.calls);
     }
@@ -156,7 +156,7 @@
 fn routers_without_seeds_discover_each_other_through_the_store() {
     let mut fleet = Fleet::new(30, 0, BOUNDS, 7);
     fleet.run_ms(20_000);
-    assert!(fleet.all_know_latest());
+    assert!(fleet.all_up_to_date());
     let live = fleet.routers.iter().map(|router| router.node.members().live_count());
     assert!(live.into_iter().all(|live| live == 30));
     assert_eq!(fleet.watchers().len(), 2);
@@ -164,27 +164,27 @@
 
 #[test]
 fn a_router_starts_with_the_state_of_its_peers_while_the_store_is_unavailable() {
-    let mut fleet = settled(20, BOUNDS, 8);
-    fleet.set_store(Store::Refuses);
+    let mut fleet = up_to_date_fleet(20, BOUNDS, 8);
+    fleet.set_store(StoreMode::Rejecting);
     fleet.run_ms(3_000);
     fleet.restart(17);
     fleet.run_until("the router is up to date", 1_000, |fleet| {
-        fleet.knows_latest(&fleet.routers[17].node)
+        fleet.is_up_to_date(&fleet.routers[17].node)
     });
 }
 
 #[test]
 fn both_sides_of_a_network_partition_follow_the_store_and_merge_afterwards() {
-    let mut fleet = settled(40, BOUNDS, 9);
+    let mut fleet = up_to_date_fleet(40, BOUNDS, 9);
     for place in 0..40 {
-        fleet.routers[place].group = (place % 2) as u64;
+        fleet.routers[place].partition = (place % 2) as u64;
     }
     for _ in 0..8 {
         change(&mut fleet);
         fleet.run_ms(2_500);
     }
     for router in &mut fleet.routers {
-        router.group = 0;
+        router.partition = 0;
     }
     fleet.run_ms(60_000);
     assert_eq!(fleet.watchers().len(), 2);
@@ -192,14 +192,14 @@
 
 #[test]
 fn a_router_that_is_isolated_from_its_peers_polls_the_store() {
-    let mut fleet = settled(40, BOUNDS, 10);
+    let mut fleet = up_to_date_fleet(40, BOUNDS, 10);
     let isolated = (0..40).find(|place| !fleet.watchers().contains(place)).unwrap();
-    fleet.routers[isolated].group = 1;
+    fleet.routers[isolated].partition = 1;
     for _ in 0..6 {
         change(&mut fleet);
         fleet.run_ms(3_000);
     }
-    assert!(fleet.knows_latest(&fleet.routers[isolated].node));
+    assert!(fleet.is_up_to_date(&fleet.routers[isolated].node));
 }
 
 /// Bounds of a deployment in whose simulation a router that started among others without a connection to the store
@@ -209,9 +209,9 @@
 #[test]
 fn a_router_that_starts_among_peers_without_the_store_is_up_to_date_in_time() {
     for seed in 0..20 {
-        let mut fleet = settled(17, SHORT, seed);
+        let mut fleet = up_to_date_fleet(17, SHORT, seed);
         for place in 0..3 {
-            fleet.routers[place].group = 1;
+            fleet.routers[place].partition = 1;
             fleet.set_cut(place, place > 0);
         }
         fleet.kill(0);
@@ -231,7 +231,7 @@
         #[test]
         fn $name() {
             for seed in 0..3 {
-                let mut fleet = settled($routers, SHORT, seed);
+                let mut fleet = up_to_date_fleet($routers, SHORT, seed);
                 for place in 1..$routers {
                     fleet.set_cut(place, true);
                 }
@@ -273,15 +273,15 @@
 
 #[test]
 fn few_routers_read_the_store_again_after_its_history_was_discarded() {
-    let mut fleet = settled(60, BOUNDS, 11);
+    let mut fleet = up_to_date_fleet(60, BOUNDS, 11);
     let before = fleet.calls;
     for _ in 0..5 {
-        fleet.write_elsewhere();
+        fleet.write_unwatched_key();
         fleet.put_server("server-9", servers::VmState::Live);
         fleet.remove_server("server-1");
-        fleet.forget_history();
+        fleet.discard_history();
         fleet.run_ms(2_000);
-        assert!(fleet.all_know_latest());
+        assert!(fleet.all_up_to_date());
         fleet.put_server("server-1", servers::VmState::Live);
         fleet.run_ms(1_000);
     }
@@ -291,8 +291,8 @@
 
 #[test]
 fn an_older_answer_of_the_store_does_not_undo_updates_from_peers() {
-    let mut fleet = settled(40, BOUNDS, 12);
-    fleet.answer_ms = 900;
+    let mut fleet = up_to_date_fleet(40, BOUNDS, 12);
+    fleet.answer_delay_max_ms = 900;
     fleet.run_ms(2_000);
     // Records change faster than answers arrive, and answers arrive in any order.
     for change in 0..40 {
@@ -301,13 +301,13 @@
         match change % 3 {
             0 => fleet.remove_server("server-2"),
             1 => fleet.put_server("server-2", servers::VmState::Leaving),
-            _ => fleet.forget_history(),
+            _ => fleet.discard_history(),
         }
         fleet.publish();
         fleet.run_ms(400);
     }
     fleet.run_ms(5_000);
-    assert!(fleet.all_know_latest());
+    assert!(fleet.all_up_to_date());
 }
 
 /// Runs a random schedule of overlapping faults and changes.
@@ -315,7 +315,7 @@
     let mut fleet = Fleet::new(routers, 3, bounds, seed);
     let mut rng = StdRng::seed_from_u64(seed ^ 0x5eed);
     fleet.loss_percent = rng.random_range(0..20);
-    fleet.answer_ms = rng.random_range(20..300);
+    fleet.answer_delay_max_ms = rng.random_range(20..300);
     fleet.run_ms(5_000);
     for _ in 0..60 {
         let place = rng.random_range(0..routers);
@@ -332,19 +332,19 @@
                 fleet.set_cut(place, !cut);
             }
             4 => {
-                let turned_away = fleet.routers[place].turned_away;
-                fleet.set_turned_away(place, !turned_away);
+                let rejected_by_store = fleet.routers[place].rejected_by_store;
+                fleet.set_rejected_by_store(place, !rejected_by_store);
             }
-            5 => fleet.routers[place].group = rng.random_range(0..3),
-            6 => fleet.set_store(Store::Refuses),
-            7 => fleet.set_store(Store::Silent),
-            8 | 9 => fleet.set_store(Store::Well),
+            5 => fleet.routers[place].partition = rng.random_range(0..3),
+            6 => fleet.set_store(StoreMode::Rejecting),
+            7 => fleet.set_store(StoreMode::Silent),
+            8 | 9 => fleet.set_store(StoreMode::Available),
             10 => fleet.publish(),
             11 => fleet.put_server(&name, servers::VmState::Leaving),
             12 => fleet.put_server(&name, servers::VmState::Live),
             13 => fleet.remove_server(&name),
-            14 => fleet.forget_history(),
-            _ => fleet.write_elsewhere(),
+            14 => fleet.discard_history(),
+            _ => fleet.write_unwatched_key(),
         }
         // Some killed routers stay down for several steps, as restarts at once would hide the effects of a lost router.
         if !fleet.routers[place].alive && rng.random_range(0..2) == 0 {
