--- a/core/tests/ledger.rs
+++ b/core/tests/ledger.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn tokens_of_a_return_that_conflicted_are_not_lost() {
+fn a_return_that_conflicted_creates_no_tokens() {
     let mut harness = Harness::with_surplus();
     let before = harness.account().free_tokens();
     let (sent, _) = harness.read();
--- a/core/tests/server_shares.rs
+++ b/core/tests/server_shares.rs
@@ -14,6 +14,7 @@
 const RECOVERY_MS: u64 = 4_000;
 const SERVICE: &str = "service";
 
+/// A fault of the first server, or a pause of all requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     None,
@@ -172,7 +173,7 @@
     }
 
     /// Injects a fault and ends it after 4 s, or 60 s for a pause of requests.
-    fn fault(&mut self, fault: Fault) {
+    fn inject_fault(&mut self, fault: Fault) {
         let (work_ms, per_s) = (self.servers[0].work_ms, self.per_s);
         match fault {
             Fault::None => {}
@@ -213,7 +214,7 @@
     let healthy: Vec<usize> = (0..servers).collect();
     sim.run_ms(8_000);
     let before = sim.least_percent(1_000, &healthy);
-    sim.fault(fault);
+    sim.inject_fault(fault);
     let others = sim.least_percent(9_000, &healthy[1..]);
     let others = if fault == Fault::Pause { 100 } else { others };
     sim.run_ms(RECOVERY_MS);
--- a/core/tests/watch_fleet/checks.rs
+++ b/core/tests/watch_fleet/checks.rs
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Checks that a router uses no server whose leaving its copy of the list includes.
+    /// Checks that a router uses no server that is leaving according to its copy of the list.
     fn check_leaving(&self, place: usize) {
         let node = &self.routers[place].node;
         let position = node.vms_index();
--- a/core/tests/watching.rs
+++ b/core/tests/watching.rs
@@ -295,10 +295,10 @@
     fleet.answer_delay_max_ms = 900;
     fleet.run_ms(2_000);
     // Records change faster than answers arrive, and answers arrive in any order.
-    for change in 0..40 {
+    for step in 0..40 {
         fleet.put_server("server-1", servers::VmState::Live);
         fleet.run_ms(100);
-        match change % 3 {
+        match step % 3 {
             0 => fleet.remove_server("server-2"),
             1 => fleet.put_server("server-2", servers::VmState::Leaving),
             _ => fleet.discard_history(),
--- a/core/tests/world/mod.rs
+++ b/core/tests/world/mod.rs
@@ -319,7 +319,7 @@
             return None;
         }
         let key = ids::RequestKey { high: key, low: budget as u64 };
-        let request = node::AdmissionRequest {
+        let admission = node::AdmissionRequest {
             attempts_max: u32::MAX,
             fingerprint: None,
             key,
@@ -336,7 +336,7 @@
             deadline_ms: self.now_ms + self.deadline_ms,
         };
         let incarnation = router.incarnation;
-        let slot = self.routers[at].node.admit(request, self.now_ms);
+        let slot = self.routers[at].node.admit(admission, self.now_ms);
         let request = SubmittedRequest {
             at,
             incarnation,
@@ -493,8 +493,8 @@
         let totals = &mut self.totals[request.budget];
         totals.outstanding_tokens -= request.bound_tokens;
         totals.served_tokens += consumed_tokens;
-        let outcome = node::RequestOutcome::Ran { consumed_tokens, outcome, healthy: true };
-        self.routers[at].node.finish(slot, outcome, self.now_ms);
+        let request_outcome = node::RequestOutcome::Ran { consumed_tokens, outcome, healthy: true };
+        self.routers[at].node.finish(slot, request_outcome, self.now_ms);
         self.perform_actions(at);
     }
 
