--- a/core/tests/withheld.rs
+++ b/core/tests/withheld.rs
@@ -36,8 +36,8 @@
     world.totals[0].served_tokens
 }
 
-/// Restores the ledger from `backup` during an outage of the store. The routers `killed` are killed before and started
-/// afterwards.
+/// Restores the ledger from `backup` during an outage of the store. The routers `killed` are killed at the start of the
+/// outage and started again at its end.
 fn restore(world: &mut World, backup: &world::Backup, killed: std::ops::Range<usize>) {
     world.faults.store_unavailable = true;
     killed.clone().for_each(|at| world.kill(at));
