--- a/core/tests/guarantees.rs
+++ b/core/tests/guarantees.rs
@@ -31,7 +31,7 @@
     Race {
         unrepeatable: bool,
     },
-    Pass {
+    Wait {
         ticks: u8,
     },
     Kill {
@@ -54,17 +54,17 @@
         at: u8,
     },
     CutRegion,
-    StoreOut,
+    StoreUnavailable,
     LoseReplies {
         percent: u8,
     },
     LateWrites {
         percent: u8,
     },
-    BadNetwork {
+    UnreliableNetwork {
         percent: u8,
     },
-    Heal,
+    EndFaults,
     Pay {
         budget: u8,
         tokens: u8,
@@ -86,7 +86,7 @@
             },
             13 | 14 => Op::Race { unrepeatable: bool::arbitrary(g) },
             15..=17 => Op::Burst { at, budget: u8::arbitrary(g), bound: u8::arbitrary(g) },
-            18..=23 => Op::Pass { ticks: u8::arbitrary(g) },
+            18..=23 => Op::Wait { ticks: u8::arbitrary(g) },
             24 | 25 => Op::Kill { at },
             26 | 27 => Op::Restart { at, same_address: bool::arbitrary(g) },
             28 => Op::Pause { at },
@@ -94,11 +94,11 @@
             30 => Op::Stop { at },
             31 => Op::CutStore { at },
             32 => Op::CutRegion,
-            33 => Op::StoreOut,
+            33 => Op::StoreUnavailable,
             34 => Op::LoseReplies { percent: u8::arbitrary(g) % 60 },
             35 => Op::LateWrites { percent: u8::arbitrary(g) % 60 },
-            36 => Op::BadNetwork { percent: u8::arbitrary(g) % 40 },
-            37 => Op::Heal,
+            36 => Op::UnreliableNetwork { percent: u8::arbitrary(g) % 40 },
+            37 => Op::EndFaults,
             38 => Op::Pay { budget: u8::arbitrary(g), tokens: u8::arbitrary(g) },
             _ => Op::Publish,
         }
@@ -130,7 +130,7 @@
                 world.admit(at, 0, 1_000_000 + *serial, 20, 10, unrepeatable);
             }
         }
-        Op::Pass { ticks } => world.run_ms(u64::from(ticks) * 2 * world::TICK_MS),
+        Op::Wait { ticks } => world.run_ms(u64::from(ticks) * 2 * world::TICK_MS),
         Op::Kill { at } => world.kill(place(at)),
         Op::Restart { at, same_address } => world.restart(place(at), same_address),
         Op::Pause { at } => world.pause(place(at)),
@@ -148,15 +148,15 @@
                 }
             }
         }
-        Op::StoreOut => world.faults.store_unavailable = true,
+        Op::StoreUnavailable => world.faults.store_unavailable = true,
         Op::LoseReplies { percent } => world.faults.lose_replies_percent = u32::from(percent),
         Op::LateWrites { percent } => world.faults.late_writes_percent = u32::from(percent),
-        Op::BadNetwork { percent } => {
+        Op::UnreliableNetwork { percent } => {
             world.faults.lose_messages_percent = u32::from(percent);
             world.faults.repeat_messages_percent = u32::from(percent);
             world.faults.delay_max_ms = 5 + u64::from(percent) * 20;
         }
-        Op::Heal => world.faults = world::Faults::default(),
+        Op::EndFaults => world.faults = world::Faults::default(),
         Op::Pay { budget, tokens } => world.pay(account(budget), u64::from(tokens) * 20),
         Op::Publish => world.publish(),
     }
@@ -244,22 +244,22 @@
     no_kills: Shape::default(), 100, from seed 10_000, |op| !matches!(op, Op::Kill { .. });
     only_the_store_fails: Shape::default(), 80, from seed 20_000, |op| !matches!(
         op,
-        Op::Kill { .. } | Op::Pause { .. } | Op::CutRegion | Op::BadNetwork { .. } | Op::Stop { .. }
+        Op::Kill { .. } | Op::Pause { .. } | Op::CutRegion | Op::UnreliableNetwork { .. } | Op::Stop { .. }
     );
     only_the_network_fails: Shape::default(), 80, from seed 30_000, |op| !matches!(
         op,
-        Op::Kill { .. } | Op::StoreOut | Op::CutStore { .. } | Op::LateWrites { .. }
+        Op::Kill { .. } | Op::StoreUnavailable | Op::CutStore { .. } | Op::LateWrites { .. }
             | Op::LoseReplies { .. }
     );
     few_holders_and_all_faults_together: Shape::few_holders(), 150, from seed 40_000, |_| true;
     few_holders_and_a_failing_network: Shape::few_holders(), 80, from seed 50_000, |op| !matches!(
         op,
-        Op::Kill { .. } | Op::StoreOut | Op::CutStore { .. } | Op::LateWrites { .. }
+        Op::Kill { .. } | Op::StoreUnavailable | Op::CutStore { .. } | Op::LateWrites { .. }
             | Op::LoseReplies { .. }
     );
     few_holders_and_a_failing_store: Shape::few_holders(), 80, from seed 60_000, |op| !matches!(
         op,
-        Op::Kill { .. } | Op::Pause { .. } | Op::CutRegion | Op::BadNetwork { .. } | Op::Stop { .. }
+        Op::Kill { .. } | Op::Pause { .. } | Op::CutRegion | Op::UnreliableNetwork { .. } | Op::Stop { .. }
     );
 }
 
@@ -309,8 +309,8 @@
         admit(122, 224, 10, 163, 255),
         Op::CutRegion,
         admit(161, 226, 14, 158, 122),
-        Op::BadNetwork { percent: 27 },
-        Op::Pass { ticks: 160 },
+        Op::UnreliableNetwork { percent: 27 },
+        Op::Wait { ticks: 160 },
         Op::Kill { at: 77 },
     ];
     check_schedule(Shape::default(), 0, &ops);
