--- a/core/tests/arbitrary_messages.rs
+++ b/core/tests/arbitrary_messages.rs
@@ -1,5 +1,5 @@
-//! Guards against panics on arbitrary datagrams, against outdated lists of servers that are applied, and against datagrams
-//! that are too large.
+//! Guards against panics on arbitrary datagrams, against outdated lists of servers that are applied, and against
+//! datagrams that are too large.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
--- a/core/tests/guarantees.rs
+++ b/core/tests/guarantees.rs
@@ -1,5 +1,5 @@
-//! Guards against violated guarantees (overspending, wrong billing, repeated unrepeatable requests, missing answers) under
-//! random schedules of faults, checked after every step.
+//! Guards against violated guarantees (overspending, wrong billing, repeated unrepeatable requests, missing answers)
+//! under random schedules of faults, checked after every step.
 //!
 //! The seeds are fixed, so that every run has the same result. A longer run with new seeds:
 //! `DOORSWITCH_FRESH_CASES=5000 cargo test -p doorswitch-core --release --test guarantees fresh`.
@@ -208,7 +208,8 @@
         let lost = world.routers[request.at].incarnation != request.incarnation;
         assert!(request.end.is_some() || lost, "a request received no answer: {request:?}");
     }
-    // Two kills may remove both the router of a settlement and its committer, and so lose it; one kill must not lose any.
+    // Two kills may remove both the router of a settlement and its committer, and so lose it; one kill must not lose
+    // any.
     if world.kills <= 1 {
         world.check_billing();
     }
--- a/core/tests/holders.rs
+++ b/core/tests/holders.rs
@@ -1,5 +1,5 @@
-//! Guards against refused requests, lost tokens and many store calls if only a few routers of a large fleet hold the tokens
-//! of a budget.
+//! Guards against refused requests, lost tokens and many store calls if only a few routers of a large fleet hold the
+//! tokens of a budget.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
--- a/core/tests/ledger_bad_values.rs
+++ b/core/tests/ledger_bad_values.rs
@@ -1,5 +1,5 @@
-//! Guards against an unusable value of a ledger shard that is overwritten, reported more than once, or leads to spending
-//! beyond the granted tokens.
+//! Guards against an unusable value of a ledger shard that is overwritten, reported more than once, or leads to
+//! spending beyond the granted tokens.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
--- a/core/tests/ledger_sync.rs
+++ b/core/tests/ledger_sync.rs
@@ -96,8 +96,8 @@
     assert!(harness.table.reserve(slot, 500).is_some() || harness.account().free_tokens() < 500);
 }
 
-/// Returns the accounts of a holder of a budget that has spent 10,000 tokens in a second, while `undrawn_tokens` are left
-/// in the ledger.
+/// Returns the accounts of a holder of a budget that has spent 10,000 tokens in a second, while `undrawn_tokens` are
+/// left in the ledger.
 fn holder_of(undrawn_tokens: u64) -> (grants::Table, ids::BudgetSlot) {
     let mut table = grants::Table::new(1);
     let cover =
--- a/core/tests/server_shares.rs
+++ b/core/tests/server_shares.rs
@@ -1,5 +1,5 @@
-//! Guards against healthy servers that receive no requests because a few old answers rate them too low. Without requests
-//! there are no new answers: one of four equal servers received no requests for 12 to 16 s.
+//! Guards against healthy servers that receive no requests because a few old answers rate them too low. Without
+//! requests there are no new answers: one of four equal servers received no requests for 12 to 16 s.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
--- a/core/tests/settlements_in_partitions.rs
+++ b/core/tests/settlements_in_partitions.rs
@@ -24,8 +24,8 @@
 
 const NONE: Faults = Faults { replies: false, messages: false, pauses: false };
 
-/// Runs streams at all routers while the regions are partitioned and some routers can't reach the platform. The partitions
-/// end in random order.
+/// Runs streams at all routers while the regions are partitioned and some routers can't reach the platform. The
+/// partitions end in random order.
 fn run(faults: Faults, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed ^ 0x5e77);
     let mut world = World::new(Shape { routers: ROUTERS, ..Shape::default() }, seed);
--- a/core/tests/unanswered_polls.rs
+++ b/core/tests/unanswered_polls.rs
@@ -1,10 +1,10 @@
 //! Guards against stale routers while single polls stay unanswered, although the store answers all other calls.
 //!
-//! Routers refused new keys and used old routes for up to 11 s after an outage in which the store was silent (from 11.9 s
-//! to 15.4 s; the change was acknowledged at 16.1 s). A poll of the configuration that was sent in the last second of the
-//! outage was never answered (`event=watch_failed prefix=op/ wait_ms=10000 after_ms=11001` at 14.5 s and at 25.5 s). Its
-//! connection stayed open and acknowledged packets, and membership was unaffected, so that only the timeout of the poll
-//! could reveal the fault.
+//! Routers refused new keys and used old routes for up to 11 s after an outage in which the store was silent (from 11.9
+//! s to 15.4 s; the change was acknowledged at 16.1 s). A poll of the configuration that was sent in the last second of
+//! the outage was never answered (`event=watch_failed prefix=op/ wait_ms=10000 after_ms=11001` at 14.5 s and at 25.5
+//! s). Its connection stayed open and acknowledged packets, and membership was unaffected, so that only the timeout of
+//! the poll could reveal the fault.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
--- a/core/tests/watch_fleet/backup.rs
+++ b/core/tests/watch_fleet/backup.rs
@@ -53,8 +53,8 @@
         self.store_last_fault_ms = self.now_ms;
     }
 
-    /// Repeats the writes of the operator and the servers that were lost when the state `before_restore` was replaced by
-    /// the backup `restored`, except for keys that were written again since.
+    /// Repeats the writes of the operator and the servers that were lost when the state `before_restore` was replaced
+    /// by the backup `restored`, except for keys that were written again since.
     pub fn repeat_lost_writes(&mut self, before_restore: &Backup, restored: &Backup) {
         if before_restore.published.version > self.published.version {
             self.published = before_restore.published.clone();
--- a/core/tests/watch_fleet/checks.rs
+++ b/core/tests/watch_fleet/checks.rs
@@ -73,8 +73,8 @@
         assert!(!later, "entry-{place} dispatches a request to an earlier incarnation of {vm}");
     }
 
-    /// Checks that a router uses only servers that are listed at the revision of its copy. Its table also contains removed
-    /// servers that back off, or that have open requests or had some until the last list.
+    /// Checks that a router uses only servers that are listed at the revision of its copy. Its table also contains
+    /// removed servers that back off, or that have open requests or had some until the last list.
     fn check_content(&self, place: usize) {
         let node = &self.routers[place].node;
         let position = node.vms_index();
--- a/core/tests/watch_fleet/mod.rs
+++ b/core/tests/watch_fleet/mod.rs
@@ -151,7 +151,8 @@
 }
 
 impl Fleet {
-    /// Starts all routers at once, with the addresses of the first `seeds` routers as seeds and six servers in the store.
+    /// Starts all routers at once, with the addresses of the first `seeds` routers as seeds and six servers in the
+    /// store.
     pub fn new(routers: usize, seeds: usize, bounds: watch::Bounds, seed: u64) -> Self {
         let mut fleet = Self {
             now_ms: 1_000,
