--- a/core/tests/crash_cost.rs
+++ b/core/tests/crash_cost.rs
@@ -43,7 +43,7 @@
     let end_ms = world.now_ms + time_ms;
     while world.now_ms < end_ms {
         for budget in 0..2 {
-            let number = world.given.len();
+            let number = world.requests.len();
             world.admit(number % ROUTERS, budget, number as u64, BOUND_TOKENS, BOUND_TOKENS, false);
         }
         world.run_ms(pause_ms);
@@ -94,7 +94,7 @@
         let mut world = fleet(seed);
         spend(&mut world, TOKENS_PER_S, 20_000);
         let holder = holder(&world, 0);
-        let life = world.routers[holder].life;
+        let life = world.routers[holder].incarnation;
         let before_tokens = world.ledger(0).written_off_tokens;
         crash(&mut world, &[holder]);
         assert!(
@@ -141,7 +141,7 @@
     for seed in 1..6 {
         let mut world = fleet(seed);
         spend(&mut world, 10_000, 2_000);
-        world.faults.store_out = true;
+        world.faults.store_unavailable = true;
         let before = world.refusals.len();
         spend(&mut world, 10_000, 8_000);
         let refused = world.refusals.len() - before;
@@ -156,7 +156,7 @@
         let holder = holder(&world, 0);
         world.admit(holder, 0, 1, BOUND_TOKENS, BOUND_TOKENS, false).unwrap();
         world.run_ms(100);
-        world.faults.store_out = true;
+        world.faults.store_unavailable = true;
         for number in 2..5 {
             world.admit(holder, 0, number, BOUND_TOKENS, BOUND_TOKENS, false).unwrap();
             world.run_ms(300);
@@ -174,9 +174,9 @@
     for seed in 1..6 {
         let mut world = fleet_with_held_percent(50, seed);
         spend(&mut world, TOKENS_PER_S, 15_000);
-        world.faults.store_out = true;
+        world.faults.store_unavailable = true;
         spend(&mut world, TOKENS_PER_S, 17_000);
-        world.faults.store_out = false;
+        world.faults.store_unavailable = false;
         spend(&mut world, TOKENS_PER_S, 2_000);
         let most = world.routers.iter().map(|router| granted_tokens(&world, router)).max().unwrap();
         assert!(
@@ -201,7 +201,7 @@
     for seed in 1..6 {
         let mut world = fleet_with_held_percent(50, seed);
         spend(&mut world, 25_000, 30_000);
-        world.faults.store_out = true;
+        world.faults.store_unavailable = true;
         let before = world.refusals.len();
         spend(&mut world, 25_000, 4_000);
         let refused = world.refusals.len() - before;
--- a/core/tests/crashing_request_schedules.rs
+++ b/core/tests/crashing_request_schedules.rs
@@ -11,7 +11,7 @@
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
-use watch_fleet::{BOUNDS, CONTACT_MS, Fleet, Store, TICK_MS};
+use watch_fleet::{BOUNDS, Fleet, RECOVERY_MS, StoreMode, TICK_MS};
 
 /// Sends that are allowed later than the bound after the third crash.
 const LATE_SENDS_MAX: usize = 3;
@@ -72,7 +72,7 @@
         let mut rng = StdRng::seed_from_u64(seed ^ 0x0b5e);
         let mut fleet = Fleet::new(routers, 3, bounds, seed);
         fleet.loss_percent = rng.random_range(0..20);
-        fleet.answer_ms = rng.random_range(20..300);
+        fleet.answer_delay_max_ms = rng.random_range(20..300);
         let crashing = (0..crashing_kinds).map(|number| Kind {
             request: fingerprint(number),
             crashing: true,
@@ -211,7 +211,7 @@
             return;
         }
         let router = &mut self.fleet.routers[run.router];
-        if router.alive && router.life == run.life {
+        if router.alive && router.incarnation == run.life {
             let now_ms = self.fleet.now_ms;
             self.successes_ms[run.kind].push(now_ms);
             router.node.run_succeeded(self.kinds[run.kind].request, now_ms);
@@ -224,7 +224,7 @@
         let unprocessed = std::mem::take(&mut self.unprocessed);
         for (router, life, broken) in unprocessed {
             let target = &mut self.fleet.routers[router];
-            if !target.alive || target.life != life {
+            if !target.alive || target.incarnation != life {
                 continue;
             }
             if target.frozen {
@@ -269,12 +269,12 @@
         if router.node.quarantine_refusal(Some(request), now_ms).is_some() {
             return;
         }
-        let life = router.life;
+        let life = router.incarnation;
         let up: Vec<usize> = (0..self.servers.len())
             .filter(|server| self.servers[*server].down_until_ms.is_none())
             .collect();
         let Some(server) = up.choose(&mut self.rng).copied() else { return };
-        if self.fleet.in_touch(index) {
+        if self.fleet.must_meet_bounds(index) {
             self.sends_ms[kind].push(now_ms);
         }
         let ends_ms = now_ms + runs_ms;
@@ -307,7 +307,7 @@
             };
             let late = self.sends_ms[kind]
                 .iter()
-                .filter(|sent_ms| **sent_ms > third_ms + CONTACT_MS)
+                .filter(|sent_ms| **sent_ms > third_ms + RECOVERY_MS)
                 .count();
             assert!(
                 late <= LATE_SENDS_MAX,
@@ -325,35 +325,35 @@
             2 => self.fleet.set_frozen(index, false),
             3 => self.fleet.set_cut(index, true),
             4 => self.fleet.set_cut(index, false),
-            5 => self.fleet.set_store(Store::Refuses),
-            6 => self.fleet.set_store(Store::Silent),
-            7 => self.fleet.set_store(Store::Well),
-            8 => self.fleet.forget_history(),
+            5 => self.fleet.set_store(StoreMode::Rejecting),
+            6 => self.fleet.set_store(StoreMode::Silent),
+            7 => self.fleet.set_store(StoreMode::Available),
+            8 => self.fleet.discard_history(),
             9 => {
-                self.fleet.routers[index].group = 1;
-                self.fleet.trouble(index);
+                self.fleet.routers[index].partition = 1;
+                self.fleet.record_fault(index);
             }
             10 => {
-                self.fleet.routers[index].group = 0;
-                self.fleet.trouble(index);
+                self.fleet.routers[index].partition = 0;
+                self.fleet.record_fault(index);
             }
             _ => self.fleet.publish(),
         }
     }
 
     fn end_faults(&mut self) {
-        self.fleet.set_store(Store::Well);
+        self.fleet.set_store(StoreMode::Available);
         for index in 0..self.fleet.routers.len() {
             self.fleet.set_frozen(index, false);
             self.fleet.set_cut(index, false);
-            self.fleet.routers[index].group = 0;
+            self.fleet.routers[index].partition = 0;
         }
     }
 
     fn restart_all(&mut self) {
         for index in 0..self.fleet.routers.len() {
             self.fleet.restart(index);
-            self.fleet.trouble(index);
+            self.fleet.record_fault(index);
         }
     }
 }
@@ -452,10 +452,10 @@
 
 #[test]
 fn a_router_cut_from_its_peers_receives_a_quarantine_from_the_store_after_one_crash() {
-    let mut fleet = watch_fleet::settled(7, DEPLOYED_BOUNDS, 400);
+    let mut fleet = watch_fleet::up_to_date_fleet(7, DEPLOYED_BOUNDS, 400);
     let alone = 3;
-    fleet.routers[alone].group = 1;
-    fleet.trouble(alone);
+    fleet.routers[alone].partition = 1;
+    fleet.record_fault(alone);
     fleet.run_until("the router counts itself as the only live member", 60_000, |fleet| {
         fleet.routers[alone].node.members().live_count() == 1
     });
@@ -475,7 +475,7 @@
 
 #[test]
 fn a_router_without_crashes_reads_the_quarantine_record_once() {
-    let mut fleet = watch_fleet::settled(7, DEPLOYED_BOUNDS, 401);
+    let mut fleet = watch_fleet::up_to_date_fleet(7, DEPLOYED_BOUNDS, 401);
     fleet.run_ms(60_000);
     assert_eq!(fleet.value_calls, 7);
 }
@@ -483,16 +483,16 @@
 #[test]
 fn a_router_that_starts_while_the_store_is_unavailable_receives_a_quarantine_from_its_peers() {
     for seed in 410..420 {
-        let mut fleet = watch_fleet::settled(7, DEPLOYED_BOUNDS, seed);
+        let mut fleet = watch_fleet::up_to_date_fleet(7, DEPLOYED_BOUNDS, seed);
         fleet.loss_percent = 10;
         for crash in 0..3 {
             report_crash(&mut fleet, usize::from(crash), crash);
             fleet.run_ms(1_000);
         }
         fleet.run_ms(5_000);
-        fleet.set_store(Store::Silent);
+        fleet.set_store(StoreMode::Silent);
         fleet.restart(5);
-        fleet.run_until("the restarted router quarantines the request", CONTACT_MS, |fleet| {
+        fleet.run_until("the restarted router quarantines the request", RECOVERY_MS, |fleet| {
             let table = fleet.routers[5].node.quarantine();
             table.quarantined_ms(&fingerprint(0), fleet.now_ms).is_some()
         });
--- a/core/tests/directive_schedules.rs
+++ b/core/tests/directive_schedules.rs
@@ -11,8 +11,8 @@
 use doorswitch_core::{ids, leaving_servers, node, servers};
 use rand::RngExt;
 use std::collections::HashMap;
-use watch_fleet::traffic::{Handed, Traffic};
-use watch_fleet::{BOUNDS, CONTACT_MS, Fleet};
+use watch_fleet::traffic::{RequestHandle, Traffic};
+use watch_fleet::{BOUNDS, Fleet, RECOVERY_MS};
 
 /// Time after which all routers are back in contact.
 const SETTLE_MS: u64 = 12_000;
@@ -79,7 +79,7 @@
     servers: Vec<Server>,
     runs: Vec<Run>,
     received: HashMap<(usize, u64), Received>,
-    waiting: HashMap<Handed, u64>,
+    waiting: HashMap<RequestHandle, u64>,
     work_ms: std::ops::Range<u64>,
     counts: Counts,
     /// Whether the first server serves throughout the run.
@@ -125,9 +125,9 @@
     }
 
     fn step_clients(&mut self) {
-        for _ in 0..self.traffic.due() {
+        for _ in 0..self.traffic.due_requests() {
             let now_ms = self.traffic.fleet.now_ms;
-            if let Some(handed) = self.traffic.hand() {
+            if let Some(handed) = self.traffic.submit() {
                 self.waiting.insert(handed, now_ms);
                 self.counts.submitted += 1;
                 self.handle_answers();
@@ -216,7 +216,7 @@
         self.counts.refused += 1;
         self.counts.refused_late += u64::from(waited_ms > 100);
         assert!(retry_after_ms > 0);
-        let in_touch = self.traffic.fleet.in_touch(index);
+        let in_touch = self.traffic.fleet.must_meet_bounds(index);
         let no_server = matches!(reason, node::Reason::Backoff | node::Reason::NoServer);
         assert!(
             !(no_server && in_touch && self.first_available),
@@ -230,7 +230,7 @@
         let routers = &self.traffic.fleet.routers;
         let arrives = |run: &mut Run| {
             let router = &routers[run.router.0];
-            now_ms >= run.answer_ms && (!router.frozen || router.life != run.router.1)
+            now_ms >= run.answer_ms && (!router.frozen || router.incarnation != run.router.1)
         };
         let ended: Vec<Run> = self.runs.extract_if(.., arrives).collect();
         for run in ended {
@@ -242,7 +242,7 @@
         let now_ms = self.traffic.fleet.now_ms;
         let (index, life) = run.router;
         let router = &mut self.traffic.fleet.routers[index];
-        if !router.alive || router.life != life {
+        if !router.alive || router.incarnation != life {
             return;
         }
         let server = &self.servers[run.server];
@@ -278,7 +278,7 @@
                 self.counts.waited_ms += run.sent_ms - submitted_ms;
             }
         }
-        self.traffic.fleet.carry_out(index);
+        self.traffic.fleet.perform_actions(index);
         self.handle_answers();
     }
 
@@ -329,14 +329,14 @@
         let server =
             self.traffic.rng.random_range(usize::from(self.first_available)..self.servers.len());
         match self.traffic.rng.random_range(0..14) {
-            number @ 0..=10 => self.traffic.trouble(index, number),
+            number @ 0..=10 => self.traffic.inject_fault(index, number),
             11 => self.restart_server(server),
             _ => self.toggle_record(server),
         }
     }
 
     fn end_faults(&mut self) {
-        self.traffic.end_troubles();
+        self.traffic.end_faults();
         for index in 0..self.servers.len() {
             if !self.servers[index].listed {
                 self.toggle_record(index);
@@ -407,7 +407,7 @@
     let received = |(vm, life): &&ServerInstance| {
         let mut received = scenario.received.iter();
         received.any(|(router, directives)| {
-            let present = scenario.traffic.fleet.routers[router.0].life == router.1;
+            let present = scenario.traffic.fleet.routers[router.0].incarnation == router.1;
             present && directives.leaving.contains_key(&(vm.clone(), *life))
         })
     };
@@ -576,7 +576,7 @@
             let node = &mut scenario.traffic.fleet.routers[0].node;
             node.report_directives(&vm, ids::ServerLife(1), &directives, age, now_ms);
         }
-        scenario.traffic.fleet.run_until("all routers received it", CONTACT_MS, |fleet| {
+        scenario.traffic.fleet.run_until("all routers received it", RECOVERY_MS, |fleet| {
             fleet
                 .routers
                 .iter()
@@ -585,7 +585,7 @@
         scenario.traffic.fleet.restart(routers - 1);
         scenario.traffic.fleet.run_until(
             "the restarted router received it",
-            2 * CONTACT_MS + 4_000,
+            2 * RECOVERY_MS + 4_000,
             |fleet| fleet.routers[routers - 1].node.leaving_servers().iter().count() == leaving,
         );
     }
@@ -594,7 +594,7 @@
 /// Guards against gossip about leaving servers in a fleet that has none.
 #[test]
 fn a_fleet_without_leaving_servers_gossips_nothing_about_them() {
-    let mut fleet = watch_fleet::settled(7, BOUNDS, 11);
+    let mut fleet = watch_fleet::up_to_date_fleet(7, BOUNDS, 11);
     let sent = |fleet: &Fleet| -> u64 {
         fleet.routers.iter().map(|router| router.node.counters().gossip_sent).sum()
     };
--- a/core/tests/promises.rs
+++ b/core/tests/guarantees.rs
@@ -1,7 +1,8 @@
-//! Random schedules of faults over several core routers: the promises hold after every step.
+//! Guards against violated guarantees (overspending, wrong billing, repeated unrepeatable requests, missing answers)
+//! under random schedules of faults, checked after every step.
 //!
-//! The seeds are fixed, so that a run gives the same verdict each time. A longer run with fresh seeds:
-//! `DOORSWITCH_FRESH_CASES=5000 cargo test -p doorswitch-core --release --test promises fresh`.
+//! The seeds are fixed, so that every run has the same result. A longer run with new seeds:
+//! `DOORSWITCH_FRESH_CASES=5000 cargo test -p doorswitch-core --release --test guarantees fresh`.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -10,7 +11,7 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use world::{End, Shape, World};
 
-/// One thing that happens.
+/// A step of a schedule.
 #[derive(Clone, Copy, Debug)]
 enum Op {
     Admit {
@@ -26,11 +27,11 @@
         budget: u8,
         bound: u8,
     },
-    /// The same new id through every router at once.
+    /// Submits the same new id to every router at once.
     Race {
         unrepeatable: bool,
     },
-    Pass {
+    Wait {
         ticks: u8,
     },
     Kill {
@@ -53,17 +54,17 @@
         at: u8,
     },
     CutRegion,
-    StoreOut,
+    StoreUnavailable,
     LoseReplies {
         percent: u8,
     },
     LateWrites {
         percent: u8,
     },
-    BadNetwork {
+    UnreliableNetwork {
         percent: u8,
     },
-    Heal,
+    EndFaults,
     Pay {
         budget: u8,
         tokens: u8,
@@ -85,7 +86,7 @@
             },
             13 | 14 => Op::Race { unrepeatable: bool::arbitrary(g) },
             15..=17 => Op::Burst { at, budget: u8::arbitrary(g), bound: u8::arbitrary(g) },
-            18..=23 => Op::Pass { ticks: u8::arbitrary(g) },
+            18..=23 => Op::Wait { ticks: u8::arbitrary(g) },
             24 | 25 => Op::Kill { at },
             26 | 27 => Op::Restart { at, same_address: bool::arbitrary(g) },
             28 => Op::Pause { at },
@@ -93,11 +94,11 @@
             30 => Op::Stop { at },
             31 => Op::CutStore { at },
             32 => Op::CutRegion,
-            33 => Op::StoreOut,
+            33 => Op::StoreUnavailable,
             34 => Op::LoseReplies { percent: u8::arbitrary(g) % 60 },
             35 => Op::LateWrites { percent: u8::arbitrary(g) % 60 },
-            36 => Op::BadNetwork { percent: u8::arbitrary(g) % 40 },
-            37 => Op::Heal,
+            36 => Op::UnreliableNetwork { percent: u8::arbitrary(g) % 40 },
+            37 => Op::EndFaults,
             38 => Op::Pay { budget: u8::arbitrary(g), tokens: u8::arbitrary(g) },
             _ => Op::Publish,
         }
@@ -110,7 +111,7 @@
     let account = |budget: u8| usize::from(budget) % 2;
     match op {
         Op::Admit { at, budget, key, bound, actual, unrepeatable } => {
-            // Ids of repeatable and unrepeatable requests do not mix.
+            // Repeatable and unrepeatable requests use different ids.
             let key = u64::from(key) + if unrepeatable { 1_000 } else { 2_000 };
             let (bound, actual) = (u64::from(bound) + 1, u64::from(actual));
             world.admit(place(at), account(budget), key, bound, actual, unrepeatable);
@@ -129,7 +130,7 @@
                 world.admit(at, 0, 1_000_000 + *serial, 20, 10, unrepeatable);
             }
         }
-        Op::Pass { ticks } => world.run_ms(u64::from(ticks) * 2 * world::TICK_MS),
+        Op::Wait { ticks } => world.run_ms(u64::from(ticks) * 2 * world::TICK_MS),
         Op::Kill { at } => world.kill(place(at)),
         Op::Restart { at, same_address } => world.restart(place(at), same_address),
         Op::Pause { at } => world.pause(place(at)),
@@ -147,23 +148,23 @@
                 }
             }
         }
-        Op::StoreOut => world.faults.store_out = true,
+        Op::StoreUnavailable => world.faults.store_unavailable = true,
         Op::LoseReplies { percent } => world.faults.lose_replies_percent = u32::from(percent),
         Op::LateWrites { percent } => world.faults.late_writes_percent = u32::from(percent),
-        Op::BadNetwork { percent } => {
+        Op::UnreliableNetwork { percent } => {
             world.faults.lose_messages_percent = u32::from(percent);
             world.faults.repeat_messages_percent = u32::from(percent);
             world.faults.delay_max_ms = 5 + u64::from(percent) * 20;
         }
-        Op::Heal => world.faults = world::Faults::default(),
+        Op::EndFaults => world.faults = world::Faults::default(),
         Op::Pay { budget, tokens } => world.pay(account(budget), u64::from(tokens) * 20),
         Op::Publish => world.publish(),
     }
     world.step();
 }
 
-/// Ends all faults and lets everything settle.
-fn quiet(world: &mut World) {
+/// Ends all faults and runs until pending work is done.
+fn recover(world: &mut World) {
     world.faults = world::Faults::default();
     for at in 0..world.routers.len() {
         world.resume(at);
@@ -172,14 +173,14 @@
     world.run_ms(40_000);
 }
 
-/// Spends what is left of every budget, so that a token made by mistake shows as an overspend.
+/// Spends the rest of every budget, so that a token that was created by a fault shows as an overspend.
 fn drain(world: &mut World) {
     const BOUND_TOKENS: u64 = 40;
-    for budget in 0..world.truth.len() {
+    for budget in 0..world.totals.len() {
         let mut serial = 50_000_000;
         let mut refused = 0;
         while refused < 3 {
-            let first = world.given.len();
+            let first = world.requests.len();
             for at in 0..world.routers.len() {
                 for _ in 0..20 {
                     serial += 1;
@@ -187,38 +188,40 @@
                 }
             }
             world.run_ms(1_500);
-            let closed = |it: &world::Given| matches!(it.end, Some(End::Closed { .. }));
-            let served = world.given[first..].iter().any(closed);
+            let closed =
+                |request: &world::SubmittedRequest| matches!(request.end, Some(End::Closed { .. }));
+            let served = world.requests[first..].iter().any(closed);
             refused = if served { 0 } else { refused + 1 };
         }
     }
 }
 
-fn promises_hold(shape: Shape, seed: u64, ops: &[Op]) {
+fn check_schedule(shape: Shape, seed: u64, ops: &[Op]) {
     let mut world = World::new(shape, seed);
     world.run_ms(1_000);
     let mut serial = 0;
     for op in ops {
         apply(&mut world, *op, &mut serial);
     }
-    quiet(&mut world);
-    for given in &world.given {
-        let lost = world.routers[given.at].life != given.life;
-        assert!(given.end.is_some() || lost, "a request got no answer: {given:?}");
+    recover(&mut world);
+    for request in &world.requests {
+        let lost = world.routers[request.at].incarnation != request.incarnation;
+        assert!(request.end.is_some() || lost, "a request received no answer: {request:?}");
     }
-    // Two deaths may take a settlement's router and its committer; one may not.
-    if world.deaths <= 1 {
+    // Two kills may remove both the router of a settlement and its committer, and so lose it; one kill must not lose
+    // any.
+    if world.kills <= 1 {
         world.check_billing();
     }
     drain(&mut world);
 }
 
-fn fixed(shape: &Shape, cases: u64, first_seed: u64, keep: impl Fn(&Op) -> bool) {
+fn check_seeds(shape: &Shape, cases: u64, first_seed: u64, includes: impl Fn(&Op) -> bool) {
     for seed in first_seed..first_seed + cases {
         let mut generator = Gen::from_size_and_seed(60, seed);
         let ops: Vec<Op> = Vec::<Op>::arbitrary(&mut generator);
-        let ops: Vec<Op> = ops.into_iter().filter(&keep).collect();
-        let run = std::panic::catch_unwind(|| promises_hold(shape.clone(), seed, &ops));
+        let ops: Vec<Op> = ops.into_iter().filter(&includes).collect();
+        let run = std::panic::catch_unwind(|| check_schedule(shape.clone(), seed, &ops));
         if let Err(cause) = run {
             eprintln!("seed {seed}, schedule {ops:?}");
             std::panic::resume_unwind(cause);
@@ -227,11 +230,11 @@
 }
 
 macro_rules! schedules {
-    ($($name:ident: $shape:expr, $cases:expr, from seed $seed:expr, $keep:expr;)+) => {
+    ($($name:ident: $shape:expr, $cases:expr, from seed $seed:expr, $includes:expr;)+) => {
         $(
             #[test]
             fn $name() {
-                fixed(&$shape, $cases, $seed, $keep);
+                check_seeds(&$shape, $cases, $seed, $includes);
             }
         )+
     };
@@ -239,25 +242,25 @@
 
 schedules! {
     all_faults_together: Shape::default(), 150, from seed 1, |_| true;
-    no_deaths: Shape::default(), 100, from seed 10_000, |op| !matches!(op, Op::Kill { .. });
+    no_kills: Shape::default(), 100, from seed 10_000, |op| !matches!(op, Op::Kill { .. });
     only_the_store_fails: Shape::default(), 80, from seed 20_000, |op| !matches!(
         op,
-        Op::Kill { .. } | Op::Pause { .. } | Op::CutRegion | Op::BadNetwork { .. } | Op::Stop { .. }
+        Op::Kill { .. } | Op::Pause { .. } | Op::CutRegion | Op::UnreliableNetwork { .. } | Op::Stop { .. }
     );
     only_the_network_fails: Shape::default(), 80, from seed 30_000, |op| !matches!(
         op,
-        Op::Kill { .. } | Op::StoreOut | Op::CutStore { .. } | Op::LateWrites { .. }
+        Op::Kill { .. } | Op::StoreUnavailable | Op::CutStore { .. } | Op::LateWrites { .. }
             | Op::LoseReplies { .. }
     );
     few_holders_and_all_faults_together: Shape::few_holders(), 150, from seed 40_000, |_| true;
     few_holders_and_a_failing_network: Shape::few_holders(), 80, from seed 50_000, |op| !matches!(
         op,
-        Op::Kill { .. } | Op::StoreOut | Op::CutStore { .. } | Op::LateWrites { .. }
+        Op::Kill { .. } | Op::StoreUnavailable | Op::CutStore { .. } | Op::LateWrites { .. }
             | Op::LoseReplies { .. }
     );
     few_holders_and_a_failing_store: Shape::few_holders(), 80, from seed 60_000, |op| !matches!(
         op,
-        Op::Kill { .. } | Op::Pause { .. } | Op::CutRegion | Op::BadNetwork { .. } | Op::Stop { .. }
+        Op::Kill { .. } | Op::Pause { .. } | Op::CutRegion | Op::UnreliableNetwork { .. } | Op::Stop { .. }
     );
 }
 
@@ -266,15 +269,15 @@
     let cases = std::env::var("DOORSWITCH_FRESH_CASES").ok().and_then(|text| text.parse().ok());
     let Some(cases) = cases else { return };
     fn holds(seed: u64, ops: Vec<Op>) -> bool {
-        promises_hold(Shape::default(), seed, &ops);
-        promises_hold(Shape::few_holders(), seed, &ops);
+        check_schedule(Shape::default(), seed, &ops);
+        check_schedule(Shape::few_holders(), seed, &ops);
         true
     }
     QuickCheck::new().tests(cases).quickcheck(holds as fn(u64, Vec<Op>) -> bool);
 }
 
 #[test]
-fn calm_serves_everything_and_bills_it() {
+fn all_requests_are_served_and_billed_without_faults() {
     let mut world = World::new(Shape::default(), 7);
     world.run_ms(1_000);
     for key in 0..40 {
@@ -283,17 +286,18 @@
     }
     world.run_ms(10_000);
     assert!(
-        world.given.iter().all(|given| given.end == Some(End::Closed { safe: true })),
+        world.requests.iter().all(|request| request.end == Some(End::Closed { safe: true })),
         "{:?}",
-        world.given
+        world.requests
     );
     world.check_billing();
     assert_eq!(world.ledger(0).reported_consumed_tokens(), 40 * 80);
 }
 
 #[test]
-fn a_settlement_outlives_its_router_when_its_committer_is_cut_off() {
-    // Found by a fresh seed: the answer ended while its committer, beyond a cut, had not heard.
+fn a_settlement_is_not_lost_with_its_router_while_its_committer_is_unreachable() {
+    // Found with a new seed: the answer ended before the settlement reached its committer, which was unreachable in
+    // another region.
     let admit = |at, budget, key, bound, actual| Op::Admit {
         at,
         budget,
@@ -306,9 +310,9 @@
         admit(122, 224, 10, 163, 255),
         Op::CutRegion,
         admit(161, 226, 14, 158, 122),
-        Op::BadNetwork { percent: 27 },
-        Op::Pass { ticks: 160 },
+        Op::UnreliableNetwork { percent: 27 },
+        Op::Wait { ticks: 160 },
         Op::Kill { at: 77 },
     ];
-    promises_hold(Shape::default(), 0, &ops);
+    check_schedule(Shape::default(), 0, &ops);
 }
--- a/core/tests/limit_schedules.rs
+++ b/core/tests/limit_schedules.rs
@@ -10,8 +10,8 @@
 use doorswitch_core::{ids, message, node, servers, watch};
 use rand::RngExt;
 use std::collections::{BTreeMap, HashMap};
-use watch_fleet::traffic::{Handed, Traffic};
-use watch_fleet::{BOUNDS, CONTACT_MS, Fleet, TICK_MS};
+use watch_fleet::traffic::{RequestHandle, Traffic};
+use watch_fleet::{BOUNDS, Fleet, RECOVERY_MS, TICK_MS};
 
 /// Length of the sliding window over which requests are counted.
 const WINDOW_MS: u64 = 4_000;
@@ -61,8 +61,9 @@
     traffic: Traffic,
     servers: Vec<Server>,
     runs: Vec<Run>,
+
     /// When waiting requests were submitted, by router, its incarnation and their slots.
-    waiting: HashMap<Handed, u64>,
+    waiting: HashMap<RequestHandle, u64>,
     counts: Counts,
     /// Whether the first server never states a limit.
     first_unlimited: bool,
@@ -118,9 +119,9 @@
     }
 
     fn step_clients(&mut self) {
-        for _ in 0..self.traffic.due() {
+        for _ in 0..self.traffic.due_requests() {
             let now_ms = self.traffic.fleet.now_ms;
-            if let Some(handed) = self.traffic.hand() {
+            if let Some(handed) = self.traffic.submit() {
                 self.waiting.insert(handed, now_ms);
                 self.counts.sent += 1;
                 self.handle_answers();
@@ -154,7 +155,7 @@
     ) {
         let now_ms = self.traffic.fleet.now_ms;
         let index = self.servers.iter().position(|server| server.name == vm).unwrap();
-        let in_touch = self.traffic.fleet.in_touch(router);
+        let in_touch = self.traffic.fleet.must_meet_bounds(router);
         let server = &mut self.servers[index];
         if server.life == server_life && in_touch {
             server.sends_ms.push(now_ms);
@@ -183,7 +184,7 @@
             "refused at {} although an unlimited server is available",
             self.traffic.fleet.now_ms
         );
-        let in_touch = self.traffic.fleet.in_touch(index);
+        let in_touch = self.traffic.fleet.must_meet_bounds(index);
         let waited_ms = self.traffic.fleet.now_ms - submitted_ms;
         assert!(!in_touch || waited_ms <= REFUSAL_WAIT_MAX_MS, "refused after {waited_ms} ms");
     }
@@ -206,7 +207,7 @@
         let routers = &self.traffic.fleet.routers;
         let arrived = |run: &mut Run| {
             let router = &routers[run.router];
-            let reads = !router.frozen || router.life != run.life;
+            let reads = !router.frozen || router.incarnation != run.life;
             run.stated.is_some_and(|(_, at_ms)| now_ms >= at_ms) && reads
         };
         let ended: Vec<Run> = self.runs.extract_if(.., arrived).collect();
@@ -218,7 +219,7 @@
     fn finish_run(&mut self, run: &Run) {
         let now_ms = self.traffic.fleet.now_ms;
         let router = &mut self.traffic.fleet.routers[run.router];
-        if !router.alive || router.life != run.life {
+        if !router.alive || router.incarnation != run.life {
             return;
         }
         let Some((stated, _)) = run.stated else { return };
@@ -229,7 +230,7 @@
         let outcome =
             node::RequestOutcome::Ran { consumed_tokens: 0, outcome: None, healthy: true };
         router.node.finish(run.slot, outcome, now_ms);
-        self.traffic.fleet.carry_out(run.router);
+        self.traffic.fleet.perform_actions(run.router);
     }
 
     /// Checks that no server received more than allowed in any window since it stated its current limit.
@@ -240,7 +241,7 @@
             else {
                 continue;
             };
-            let from_ms = limit_stated_ms + CONTACT_MS;
+            let from_ms = limit_stated_ms + RECOVERY_MS;
             let sends: Vec<u64> =
                 server.sends_ms.iter().copied().filter(|at_ms| *at_ms >= from_ms).collect();
             let allowed = 3 * limit * WINDOW_MS / 2_000_000 + EXTRA_REQUESTS;
@@ -273,7 +274,7 @@
     fn inject_fault(&mut self) {
         let index = self.traffic.rng.random_range(0..self.traffic.fleet.routers.len());
         match self.traffic.rng.random_range(0..13) {
-            number @ 0..=10 => self.traffic.trouble(index, number),
+            number @ 0..=10 => self.traffic.inject_fault(index, number),
             11 => {
                 let server = self.traffic.rng.random_range(0..self.servers.len());
                 let name = self.servers[server].name.clone();
@@ -319,7 +320,7 @@
         scenario.run_ms(pause_ms);
     }
     scenario.check_limits(seed);
-    scenario.traffic.end_troubles();
+    scenario.traffic.end_faults();
     for index in 0..scenario.servers.len() {
         scenario.set_limit(index, None);
     }
@@ -417,7 +418,7 @@
         let stated = servers::Directive::Value(1_000);
         let node = &mut scenario.traffic.fleet.routers[0].node;
         node.report_limit("vm-0", ids::ServerLife(1), stated, 10, now_ms);
-        scenario.traffic.fleet.run_until("all routers received the limit", CONTACT_MS, |fleet| {
+        scenario.traffic.fleet.run_until("all routers received the limit", RECOVERY_MS, |fleet| {
             fleet
                 .routers
                 .iter()
@@ -504,7 +505,7 @@
         (0..3).for_each(|index| scenario.set_limit(index, Some(20_000)));
         scenario.traffic.per_s = 300;
         scenario.run_ms(5_000);
-        (0..4).for_each(|index| scenario.traffic.set_group(index, 1));
+        (0..4).for_each(|index| scenario.traffic.set_partition(index, 1));
         let alone = |fleet: &Fleet| {
             fleet.routers.iter().all(|router| router.node.members().live_count() == 4)
         };
@@ -560,7 +561,7 @@
 /// grants permits only if it is the pacer by its own view, whichever router requests them.
 #[test]
 fn only_one_router_grants_permits_for_a_server() {
-    let mut fleet = watch_fleet::settled(7, BOUNDS, 12);
+    let mut fleet = watch_fleet::up_to_date_fleet(7, BOUNDS, 12);
     let stated = servers::Directive::Value(1_100);
     let now_ms = fleet.now_ms;
     fleet.routers[0].node.report_limit("server-0", ids::ServerLife(1), stated, 10, now_ms);
@@ -585,7 +586,7 @@
 /// Guards against answers from before a limit that arrive late and end it.
 #[test]
 fn an_answer_made_before_a_limit_does_not_end_it() {
-    let mut fleet = watch_fleet::settled(3, BOUNDS, 9);
+    let mut fleet = watch_fleet::up_to_date_fleet(3, BOUNDS, 9);
     let now_ms = fleet.now_ms;
     let life = ids::ServerLife(1);
     let node = &mut fleet.routers[0].node;
@@ -603,7 +604,7 @@
 /// Guards against a limit that outlives its last confirmation or applies to a later incarnation of the server.
 #[test]
 fn a_limit_expires_and_does_not_apply_to_a_later_incarnation() {
-    let mut fleet = watch_fleet::settled(3, BOUNDS, 10);
+    let mut fleet = watch_fleet::up_to_date_fleet(3, BOUNDS, 10);
     let limited = |fleet: &Fleet| {
         fleet.routers.iter().any(|router| router.node.servers().limits().iter_limited().count() > 0)
     };
@@ -628,7 +629,7 @@
 /// Guards against gossip and state for limits in a fleet whose servers state none.
 #[test]
 fn a_fleet_without_limits_keeps_no_limit_state() {
-    let mut fleet = watch_fleet::settled(7, watch::Bounds { ..BOUNDS }, 11);
+    let mut fleet = watch_fleet::up_to_date_fleet(7, watch::Bounds { ..BOUNDS }, 11);
     fleet.run_ms(5_000);
     for router in &mut fleet.routers {
         assert!(router.node.servers().limits().is_empty());
@@ -638,7 +639,7 @@
 /// Guards against permits for a leaving server, requested by a router that has not received that it leaves.
 #[test]
 fn no_permits_are_granted_for_a_leaving_server() {
-    let mut fleet = watch_fleet::settled(7, BOUNDS, 12);
+    let mut fleet = watch_fleet::up_to_date_fleet(7, BOUNDS, 12);
     let granting = |fleet: &mut Fleet| {
         (0..7).filter(|index| grants_permit(fleet, *index, (index + 1) % 7)).count()
     };
@@ -685,7 +686,7 @@
     node.take_actions();
     traffic.fleet.routers[1].alive = false;
     for _ in 0..40 {
-        traffic.hand().unwrap();
+        traffic.submit().unwrap();
     }
     let requested = |node: &mut node::Node| -> Vec<String> {
         let actions = node.take_actions().into_iter();
@@ -712,7 +713,7 @@
 /// Guards against a resumed router gossiping a limit that was queued while it was frozen as newer than the current one.
 #[test]
 fn a_frozen_router_does_not_restore_an_earlier_limit() {
-    let mut fleet = watch_fleet::settled(3, BOUNDS, 15);
+    let mut fleet = watch_fleet::up_to_date_fleet(3, BOUNDS, 15);
     let report_limit = |fleet: &mut Fleet, limit_milli_per_s| {
         let (node, now_ms) = (&mut fleet.routers[1].node, fleet.now_ms);
         let stated = servers::Directive::Value(limit_milli_per_s);
@@ -730,12 +731,12 @@
     });
     fleet.run_ms(100);
     // The partition keeps the second limit from the frozen router.
-    fleet.routers[0].group = 1;
+    fleet.routers[0].partition = 1;
     report_limit(&mut fleet, 0);
     fleet
         .run_until("the second limit is received", 2_000, |fleet| known_limit(fleet, 2) == Some(0));
     fleet.run_ms(2_000);
-    fleet.routers[0].group = 0;
+    fleet.routers[0].partition = 0;
     fleet.set_frozen(0, false);
     for _ in 0..100 {
         fleet.run_ms(TICK_MS);
--- a/core/tests/node.rs
+++ b/core/tests/node.rs
@@ -27,7 +27,7 @@
     world.run_ms(2_000);
     let index = world.admit(0, 0, 1, 10_001, 1, false).unwrap();
     world.run_ms(500);
-    assert_eq!(world.given[index].end, Some(End::Refused(node::Reason::BudgetExhausted)));
+    assert_eq!(world.requests[index].end, Some(End::Refused(node::Reason::BudgetExhausted)));
 }
 
 #[test]
@@ -37,7 +37,7 @@
     // Each of four routers holds a grant; one request needs nearly all tokens of the budget.
     let index = world.admit(2, 0, 1, 9_900, 9_900, false).unwrap();
     world.run_ms(3_000);
-    assert_eq!(world.given[index].end, Some(End::Closed { safe: true }));
+    assert_eq!(world.requests[index].end, Some(End::Closed { safe: true }));
 }
 
 #[test]
@@ -62,7 +62,7 @@
     // A request through the interface for callers is recorded in the log.
     let of = |purpose| sent(&[purpose]);
     assert!(of(CallPurpose::LogWrite) > 0 && of(CallPurpose::LedgerWrite) > 0);
-    world.faults.store_out = true;
+    world.faults.store_unavailable = true;
     world.admit(0, 0, 2, 20, 20, false).unwrap();
     world.run_ms(5_000);
     let silent = |router: &world::Router| -> u64 {
@@ -82,12 +82,12 @@
     let shape = Shape { routers: 8, ..Shape::default() };
     let mut world = World::new(shape, 1);
     world.run_ms(3_000);
-    world.faults.store_out = true;
+    world.faults.store_unavailable = true;
     for key in 0..200 {
         world.admit(key as usize % 8, 0, key, 20, 20, key % 5 == 0);
         world.run_ms(100);
     }
-    world.faults.store_out = false;
+    world.faults.store_unavailable = false;
     let mut most = 0;
     for _ in 0..50 {
         let before = world.store_calls.1;
@@ -133,7 +133,7 @@
 
 /// Fills one server and its queue with requests of one priority; returns their indexes in `World::given`.
 fn fill(world: &mut World, count: u64, priority: u8) -> Vec<usize> {
-    let first = 1_000 * (1 + world.given.len() as u64);
+    let first = 1_000 * (1 + world.requests.len() as u64);
     world.priority = priority;
     (0..count).filter_map(|number| world.admit(0, 0, first + number, 1, 1, false)).collect()
 }
@@ -152,10 +152,10 @@
     let low = fill(&mut world, 4, 1);
     let high = fill(&mut world, 3, 8);
     let refused =
-        |index: &usize| world.given[*index].end == Some(End::Refused(node::Reason::Overloaded));
+        |index: &usize| world.requests[*index].end == Some(End::Refused(node::Reason::Overloaded));
     // One place in the queue is reserved for the lowest priority.
-    assert!(low[1..].iter().all(refused), "{:?}", world.given);
-    assert!(!high.iter().any(refused), "{:?}", world.given);
+    assert!(low[1..].iter().all(refused), "{:?}", world.requests);
+    assert!(!high.iter().any(refused), "{:?}", world.requests);
 }
 
 #[test]
@@ -168,7 +168,7 @@
         world.admit(0, 0, 500_000 + round, 1, 1, false);
         world.run_ms(40);
     }
-    assert_eq!(world.given[low[0]].end, Some(End::Closed { safe: true }));
+    assert_eq!(world.requests[low[0]].end, Some(End::Closed { safe: true }));
 }
 
 #[test]
@@ -179,7 +179,7 @@
     world.deadline_ms = 1_000;
     let late = fill(&mut world, 1, 5);
     world.run_ms(1_500);
-    let end = world.given[late[0]].end.clone();
+    let end = world.requests[late[0]].end.clone();
     assert_eq!(end, Some(End::Refused(node::Reason::DeadlineTooClose)));
 }
 
@@ -200,7 +200,7 @@
 
 /// The VMs that a router sends to a peer that requests the list.
 fn vms_sent_to_peer(world: &mut World) -> Vec<String> {
-    let (from, to) = (world.routers[1].life, world.routers[0].life);
+    let (from, to) = (world.routers[1].incarnation, world.routers[0].incarnation);
     let request = message::Envelope { from, to, message: message::Message::VmsRequest };
     let node = &mut world.routers[0].node;
     node.take_actions();
@@ -273,14 +273,14 @@
 fn the_retry_delay_of_refused_callers_grows_during_an_outage() {
     let mut world = World::new(Shape { routers: 1, paid_tokens: 1_000_000, ..Shape::default() }, 1);
     world.run_ms(2_000);
-    world.faults.store_out = true;
+    world.faults.store_unavailable = true;
     let mut retry_after_ms = Vec::new();
     // Each request needs more than the granted tokens.
     for key in 0..12 {
         let index = world.admit(0, 0, key, 900_000, 1, false).unwrap();
         world.run_ms(1_000);
-        assert_eq!(world.given[index].end, Some(End::Refused(node::Reason::BudgetUnreachable)));
-        retry_after_ms.push(world.given[index].retry_after_ms);
+        assert_eq!(world.requests[index].end, Some(End::Refused(node::Reason::BudgetUnreachable)));
+        retry_after_ms.push(world.requests[index].retry_after_ms);
     }
     assert!(retry_after_ms.is_sorted(), "{retry_after_ms:?}");
     assert!(
@@ -300,7 +300,7 @@
     let node = &mut world.routers[0].node;
     let chosen = node.servers().iter().find(|(_, server)| server.in_flight == 1);
     let chosen = chosen.unwrap().1.vm.clone();
-    assert!(!world.given[given].dispatched, "the claim is still being recorded");
+    assert!(!world.requests[given].dispatched, "the claim is still being recorded");
     node.report_directives(
         &chosen.vm,
         chosen.life,
@@ -315,15 +315,14 @@
     ($($name:ident: $directives:expr, $reason:expr;)*) => {$(
         #[test]
         fn $name() {
-            let (mut world, given, chosen) = directives_while_claimed(3, $directives);
-            while !world.given[given].dispatched {
+let ( mut world , given , chosen ) = directives_while_claimed ( 3 , $ directives ) ; while ! world . requests [ given ] . dispatched {
                 world.run_ms(world::TICK_MS);
             }
             let busy = world.routers[0].node.servers().iter().find(|(_, server)| server.in_flight == 1);
             assert_ne!(busy.unwrap().1.vm.vm, chosen);
             let (mut world, given, _) = directives_while_claimed(1, $directives);
             world.run_ms(2_000);
-            assert_eq!(world.given[given].end, Some(End::Refused($reason)));
+            assert_eq!(world.requests[given].end, Some(End::Refused($reason)));
             assert!(world.executions.is_empty());
         }
     )*};
--- a/core/tests/shared_retries.rs
+++ b/core/tests/shared_retries.rs
@@ -50,7 +50,7 @@
             let index = ready[rng.random_range(0..ready.len())];
             let now_ms = fleet.now_ms;
             fleet.routers[index].node.admit(admission_request(requests as u64, now_ms), now_ms);
-            fleet.carry_out(index);
+            fleet.perform_actions(index);
         }
         for (index, life, slot, answer) in std::mem::take(&mut fleet.answers) {
             let is_retry = !sent.insert((index, life, slot));
@@ -67,7 +67,7 @@
                 }
                 _ => {}
             }
-            fleet.carry_out(index);
+            fleet.perform_actions(index);
         }
     }
     (requests, retries)
--- a/core/tests/watch_fleet/traffic.rs
+++ b/core/tests/watch_fleet/traffic.rs
@@ -1,24 +1,27 @@
-//! Clients of a fleet, and the troubles that its routers get into.
+//! Requests of clients to a simulated fleet, and faults of its routers.
 
-use super::{BOUNDS, Fleet, Store, TICK_MS};
+use super::{BOUNDS, Fleet, StoreMode, TICK_MS};
 use doorswitch_core::{ids, node, servers};
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
 
-/// A request that was handed to a router, by its place, its life and the request's slot there.
-pub type Handed = (usize, u64, ids::RequestSlot);
+/// Identifies a submitted request: the router's index, its incarnation and the request's slot in it.
+pub type RequestHandle = (usize, u64, ids::RequestSlot);
 
+/// A fleet and the clients that send requests to it.
 pub struct Traffic {
     pub fleet: Fleet,
     pub rng: StdRng,
+    /// Requests per second.
     pub per_s: u64,
-    owed_milli: u64,
+    /// Thousandths of a request that are due and not submitted yet.
+    due_milli: u64,
     keys: u64,
 }
 
 impl Traffic {
-    /// A fleet that serves a service without servers yet, and loses some datagrams.
+    /// Creates a fleet with one service, without servers and with some loss of datagrams.
     pub fn new(routers: usize, seed: u64, salt: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed ^ salt);
         let mut fleet = Fleet::with_service(routers, 3, BOUNDS, seed);
@@ -26,35 +29,35 @@
         for place in 0..6 {
             fleet.remove_server(&format!("server-{place}"));
         }
-        Self { fleet, rng, per_s: 0, owed_milli: 0, keys: 0 }
+        Self { fleet, rng, per_s: 0, due_milli: 0, keys: 0 }
     }
 
-    /// The requests that are due in this step; each is to be handed to a router that is up.
-    pub fn due(&mut self) -> u64 {
-        self.owed_milli += self.per_s * TICK_MS;
-        let due = self.owed_milli / 1_000;
-        self.owed_milli %= 1_000;
+    /// The number of requests that are to be submitted in this step.
+    pub fn due_requests(&mut self) -> u64 {
+        self.due_milli += self.per_s * TICK_MS;
+        let due = self.due_milli / 1_000;
+        self.due_milli %= 1_000;
         due
     }
 
-    /// Hands a request to a router that is up, if there is one. Its answer is in the fleet's.
-    pub fn hand(&mut self) -> Option<Handed> {
-        let up = |place: &usize| {
+    /// Submits a request to a random running router, if there is one. The fleet records its answer in `answers`.
+    pub fn submit(&mut self) -> Option<RequestHandle> {
+        let running = |place: &usize| {
             let router = &self.fleet.routers[*place];
             router.alive && !router.frozen
         };
-        let places: Vec<usize> = (0..self.fleet.routers.len()).filter(up).collect();
+        let places: Vec<usize> = (0..self.fleet.routers.len()).filter(running).collect();
         let place = *places.choose(&mut self.rng)?;
-        let wanted = self.wanted();
+        let request = self.next_request();
         let now_ms = self.fleet.now_ms;
         let router = &mut self.fleet.routers[place];
-        let slot = router.node.admit(wanted, now_ms);
-        let handed = (place, router.life, slot);
-        self.fleet.carry_out(place);
-        Some(handed)
+        let slot = router.node.admit(request, now_ms);
+        let handle = (place, router.incarnation, slot);
+        self.fleet.perform_actions(place);
+        Some(handle)
     }
 
-    fn wanted(&mut self) -> node::AdmissionRequest {
+    fn next_request(&mut self) -> node::AdmissionRequest {
         self.keys += 1;
         let parts = match self.rng.random_bool(0.5) {
             true => {
@@ -80,32 +83,33 @@
         }
     }
 
-    /// One of the troubles of a router or the store, or the end of one: numbers 0 to 10.
-    pub fn trouble(&mut self, place: usize, number: u32) {
+    /// Begins or ends a fault of a router or the store; `number` chooses it, from 0 to 10.
+    pub fn inject_fault(&mut self, place: usize, number: u32) {
         match number {
             0 | 1 => self.fleet.restart(place),
             2 => self.fleet.set_frozen(place, true),
             3 | 4 => self.fleet.set_frozen(place, false),
             5 => self.fleet.set_cut(place, true),
             6 => self.fleet.set_cut(place, false),
-            7 => self.fleet.set_store(Store::Refuses),
-            8 => self.fleet.set_store(Store::Well),
-            9 => self.set_group(place, 1),
-            _ => self.set_group(place, 0),
+            7 => self.fleet.set_store(StoreMode::Rejecting),
+            8 => self.fleet.set_store(StoreMode::Available),
+            9 => self.set_partition(place, 1),
+            _ => self.set_partition(place, 0),
         }
     }
 
-    pub fn set_group(&mut self, place: usize, group: u64) {
-        self.fleet.routers[place].group = group;
-        self.fleet.trouble(place);
+    pub fn set_partition(&mut self, place: usize, partition: u64) {
+        self.fleet.routers[place].partition = partition;
+        self.fleet.record_fault(place);
     }
 
-    pub fn end_troubles(&mut self) {
-        self.fleet.set_store(Store::Well);
+    /// Ends all faults.
+    pub fn end_faults(&mut self) {
+        self.fleet.set_store(StoreMode::Available);
         for place in 0..self.fleet.routers.len() {
             self.fleet.set_frozen(place, false);
             self.fleet.set_cut(place, false);
-            self.set_group(place, 0);
+            self.set_partition(place, 0);
         }
     }
 }
