--- a/core/tests/crashing_request_schedules.rs
+++ b/core/tests/crashing_request_schedules.rs
@@ -11,7 +11,7 @@
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
-use watch_fleet::{BOUNDS, Fleet, RECOVERY_MS, StoreMode, TICK_MS};
+use watch_fleet::{BOUNDS, FAULT_RECOVERY_MS, Fleet, StoreMode, TICK_MS};
 
 /// Sends that are allowed later than the bound after the third crash.
 const LATE_SENDS_MAX: usize = 3;
@@ -307,7 +307,7 @@
             };
             let late = self.sends_ms[kind]
                 .iter()
-                .filter(|sent_ms| **sent_ms > third_ms + RECOVERY_MS)
+                .filter(|sent_ms| **sent_ms > third_ms + FAULT_RECOVERY_MS)
                 .count();
             assert!(
                 late <= LATE_SENDS_MAX,
@@ -492,9 +492,13 @@
         fleet.run_ms(5_000);
         fleet.set_store(StoreMode::Silent);
         fleet.restart(5);
-        fleet.run_until("the restarted router quarantines the request", RECOVERY_MS, |fleet| {
-            let table = fleet.routers[5].node.quarantine();
-            table.quarantined_ms(&fingerprint(0), fleet.now_ms).is_some()
-        });
+        fleet.run_until(
+            "the restarted router quarantines the request",
+            FAULT_RECOVERY_MS,
+            |fleet| {
+                let table = fleet.routers[5].node.quarantine();
+                table.quarantined_ms(&fingerprint(0), fleet.now_ms).is_some()
+            },
+        );
     }
 }
--- a/core/tests/directive_schedules.rs
+++ b/core/tests/directive_schedules.rs
@@ -12,7 +12,7 @@
 use rand::RngExt;
 use std::collections::HashMap;
 use watch_fleet::traffic::{RequestHandle, Traffic};
-use watch_fleet::{BOUNDS, Fleet, RECOVERY_MS};
+use watch_fleet::{BOUNDS, FAULT_RECOVERY_MS, Fleet};
 
 /// Time after which all routers are back in contact.
 const SETTLE_MS: u64 = 12_000;
@@ -576,7 +576,7 @@
             let node = &mut scenario.traffic.fleet.routers[0].node;
             node.report_directives(&vm, ids::ServerLife(1), &directives, age, now_ms);
         }
-        scenario.traffic.fleet.run_until("all routers received it", RECOVERY_MS, |fleet| {
+        scenario.traffic.fleet.run_until("all routers received it", FAULT_RECOVERY_MS, |fleet| {
             fleet
                 .routers
                 .iter()
@@ -585,7 +585,7 @@
         scenario.traffic.fleet.restart(routers - 1);
         scenario.traffic.fleet.run_until(
             "the restarted router received it",
-            2 * RECOVERY_MS + 4_000,
+            2 * FAULT_RECOVERY_MS + 4_000,
             |fleet| fleet.routers[routers - 1].node.leaving_servers().iter().count() == leaving,
         );
     }
--- a/core/tests/limit_schedules.rs
+++ b/core/tests/limit_schedules.rs
@@ -11,7 +11,7 @@
 use rand::RngExt;
 use std::collections::{BTreeMap, HashMap};
 use watch_fleet::traffic::{RequestHandle, Traffic};
-use watch_fleet::{BOUNDS, Fleet, RECOVERY_MS, TICK_MS};
+use watch_fleet::{BOUNDS, FAULT_RECOVERY_MS, Fleet, TICK_MS};
 
 /// Length of the sliding window over which requests are counted.
 const WINDOW_MS: u64 = 4_000;
@@ -241,7 +241,7 @@
             else {
                 continue;
             };
-            let from_ms = limit_stated_ms + RECOVERY_MS;
+            let from_ms = limit_stated_ms + FAULT_RECOVERY_MS;
             let sends: Vec<u64> =
                 server.sends_ms.iter().copied().filter(|at_ms| *at_ms >= from_ms).collect();
             let allowed = 3 * limit * WINDOW_MS / 2_000_000 + EXTRA_REQUESTS;
@@ -418,12 +418,16 @@
         let stated = servers::Directive::Value(1_000);
         let node = &mut scenario.traffic.fleet.routers[0].node;
         node.report_limit("vm-0", ids::ServerLife(1), stated, 10, now_ms);
-        scenario.traffic.fleet.run_until("all routers received the limit", RECOVERY_MS, |fleet| {
-            fleet
-                .routers
-                .iter()
-                .all(|router| router.node.servers().limits().iter_limited().count() == 1)
-        });
+        scenario.traffic.fleet.run_until(
+            "all routers received the limit",
+            FAULT_RECOVERY_MS,
+            |fleet| {
+                fleet
+                    .routers
+                    .iter()
+                    .all(|router| router.node.servers().limits().iter_limited().count() == 1)
+            },
+        );
     }
 }
 
--- a/core/tests/watch_fleet/checks.rs
+++ b/core/tests/watch_fleet/checks.rs
@@ -1,6 +1,6 @@
 //! The checks of each router against the store's history, after every step.
 
-use super::{Change, Fleet, RECOVERY_MS};
+use super::{Change, FAULT_RECOVERY_MS, Fleet};
 use doorswitch_core::{node, servers, watch};
 
 impl Fleet {
@@ -107,7 +107,7 @@
     fn check_staleness(&mut self, place: usize) {
         let router = &self.routers[place];
         let undisturbed_ms = self.now_ms - router.last_fault_ms.max(self.store_last_fault_ms);
-        if undisturbed_ms < RECOVERY_MS || !self.reaches_store(place) {
+        if undisturbed_ms < FAULT_RECOVERY_MS || !self.reaches_store(place) {
             return;
         }
         self.check_content(place);
--- a/core/tests/watch_fleet/mod.rs
+++ b/core/tests/watch_fleet/mod.rs
@@ -23,7 +23,7 @@
 /// How long a router waits for an answer of the store beyond the wait that its poll asks for.
 const CALL_TIMEOUT_MS: u64 = 1_000;
 /// The staleness of a router is checked again this long after its last fault.
-pub const RECOVERY_MS: u64 = 3_000;
+pub const FAULT_RECOVERY_MS: u64 = 3_000;
 
 /// How the store reacts to calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -474,12 +474,12 @@
         self.routers[place].node.offer_seeds(addresses);
     }
 
-    /// Whether a router has been running without a fault, unpartitioned and connected to the store for `RECOVERY_MS`.
+    /// Whether a router has been running without a fault, unpartitioned and connected to the store for `FAULT_RECOVERY_MS`.
     pub fn must_meet_bounds(&self, place: usize) -> bool {
         let router = &self.routers[place];
         let undisturbed_ms = self.now_ms - router.last_fault_ms;
         let running = router.alive && !router.frozen && router.partition == 0;
-        running && undisturbed_ms >= RECOVERY_MS && self.reaches_store(place)
+        running && undisturbed_ms >= FAULT_RECOVERY_MS && self.reaches_store(place)
     }
 
     fn send(&mut self, from: usize, to: String, event: Event) {
