--- a/tests/crashing_calls.rs
+++ b/tests/crashing_calls.rs
@@ -1,5 +1,6 @@
-//! The callers' interface keeps from servers what crashes them, as the interface by routes does; an operator sees it and
-//! ends it.
+//! Calls that crash the server which runs them are quarantined on the callers' interface, as they are on the interface by
+//! routes; an operator can list and release them. Guards against such a call reaching one server after the other. A body
+//! that contains `poison` crashes the server.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -14,19 +15,21 @@
 
 const ROUTERS: usize = 3;
 const SERVERS: usize = 4;
-const DOWN: Duration = Duration::from_millis(1_500);
-/// What one router knows is known to the others after this time.
-const CONTACT: Duration = Duration::from_millis(3_000);
-const LATE_SENDS: usize = 3;
-/// Servers that a request may reach in all if its client repeats it each 0.1 s.
-const REACHED: usize = 5;
+/// The time after which a crashed server starts again.
+const RESTART_DELAY: Duration = Duration::from_millis(1_500);
+/// The maximum time until a quarantine that one router decides is in force at the others.
+const QUARANTINE_BOUND: Duration = Duration::from_millis(3_000);
+/// Sends that are allowed later than [`QUARANTINE_BOUND`] after the third crash.
+const LATE_SENDS_MAX: usize = 3;
+/// Maximum number of sends to servers in total, if the client repeats its request every 0.1 s.
+const SENDS_MAX: usize = 5;
 const REPEAT_FOR: Duration = Duration::from_secs(10);
 
 const STREAM_HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\
     Transfer-Encoding: chunked\r\n\r\n";
 
-/// An engine or plain service that crashes under each body that contains `poison`, while it is `deadly`.
-fn crashing(deadly: Arc<AtomicBool>, crash: backend::Step) -> backend::Script {
+/// An engine or plain service that crashes on each body that contains `poison`, while `crashes` is true.
+fn crashing(crashes: Arc<AtomicBool>, crash: backend::Step) -> backend::Script {
     Box::new(move |_, seen| {
         let poison = String::from_utf8_lossy(&seen.body).contains("poison");
         let streams = seen.line.contains("/v1/");
@@ -34,7 +37,7 @@
         if streams {
             steps.push(backend::Step::Write(STREAM_HEAD.to_owned()));
         }
-        if poison && deadly.load(Ordering::Relaxed) {
+        if poison && crashes.load(Ordering::Relaxed) {
             steps.push(backend::Step::Pause(Duration::from_millis(30)));
             steps.push(crash.clone());
         } else if streams {
@@ -52,27 +55,28 @@
     })
 }
 
-struct Crashing {
+struct CrashingFleet {
     fleet: Fleet,
     servers: Vec<backend::Backend>,
-    deadly: Arc<AtomicBool>,
+    crashes: Arc<AtomicBool>,
 }
 
-impl Crashing {
+impl CrashingFleet {
     fn start(name: &str) -> Self {
-        Self::start_with(name, &backend::Step::Crash(DOWN))
+        Self::start_with(name, &backend::Step::Crash(RESTART_DELAY))
     }
 
     fn start_with(name: &str, crash: &backend::Step) -> Self {
         let options = Options { routers: ROUTERS, engines: 0, services: 0, ..Options::default() };
         let fleet = Fleet::start(name, options);
-        let deadly = Arc::new(AtomicBool::new(true));
-        let start = |_| backend::Backend::start(crashing(deadly.clone(), crash.clone())).unwrap();
+        let crashes = Arc::new(AtomicBool::new(true));
+        let start = |_| backend::Backend::start(crashing(crashes.clone(), crash.clone())).unwrap();
         let servers: Vec<backend::Backend> = (0..2 * SERVERS).map(start).collect();
         fleet.put_servers(&servers, |place| if place < SERVERS { "roast" } else { "payments" });
-        Self { fleet, servers, deadly }
+        Self { fleet, servers, crashes }
     }
 
+    /// When requests that crash servers arrived at a server, in no order.
     fn arrivals(&self) -> Vec<Instant> {
         let seen = self.servers.iter().flat_map(|server| {
             server.requests().into_iter().zip(server.arrivals()).collect::<Vec<_>>()
@@ -82,14 +86,15 @@
         poison.map(|(_, at)| at).collect()
     }
 
+    /// When the third of all crashes happened.
     fn third_crash(&self) -> Instant {
-        let mut crashes: Vec<Instant> =
+        let mut times: Vec<Instant> =
             self.servers.iter().flat_map(backend::Backend::crashes).collect();
-        crashes.sort_unstable();
-        crashes[2]
+        times.sort_unstable();
+        times[2]
     }
 
-    /// Sends a request again and again through the routers in turn; the last status and code.
+    /// Sends a request repeatedly through the routers in turn for [`REPEAT_FOR`]; returns the last status and code.
     fn repeat(&self, send: impl Fn(usize) -> Option<fleet::Answer>) -> (u16, String) {
         let began = Instant::now();
         let mut number = 0;
@@ -104,18 +109,19 @@
         last
     }
 
-    fn check_spared(&self, last: &(u16, String)) {
-        let known = self.third_crash() + CONTACT;
-        let late = self.arrivals().iter().filter(|at| **at > known).count();
+    /// Checks that few sends reach servers once the quarantine is in force at all routers.
+    fn check_quarantined(&self, last: &(u16, String)) {
+        let in_force = self.third_crash() + QUARANTINE_BOUND;
+        let late = self.arrivals().iter().filter(|at| **at > in_force).count();
         assert!(
-            late <= LATE_SENDS,
+            late <= LATE_SENDS_MAX,
             "{late} late sends of {}, last {last:?}",
             self.arrivals().len()
         );
         assert_eq!(*last, (503, "quarantined".to_owned()));
     }
 
-    /// Runs an operator's command against a router; its output.
+    /// Runs an operator's `quarantine` command against a router; returns its output.
     fn operate(&self, place: usize, arguments: &[&str]) -> String {
         let url = format!("http://{}", self.fleet.routers[place].operators);
         let output = Command::new(env!("CARGO_BIN_EXE_doorswitch"))
@@ -135,12 +141,12 @@
 }
 
 #[test]
-fn poison_completions_reach_few_engines() {
-    let crashing = Crashing::start("poison-completions");
+fn completions_that_crash_engines_reach_few() {
+    let crashing = CrashingFleet::start("poison-completions");
     let last = crashing.repeat(|place| crashing.fleet.complete(place, "poison", 4, false));
-    crashing.check_spared(&last);
-    let innocent = crashing.fleet.complete(0, "innocent", 4, false).unwrap();
-    assert_eq!(innocent.status, 200, "{}", innocent.body);
+    crashing.check_quarantined(&last);
+    let harmless = crashing.fleet.complete(0, "innocent", 4, false).unwrap();
+    assert_eq!(harmless.status, 200, "{}", harmless.body);
 }
 
 macro_rules! listeners_close_last {
@@ -148,59 +154,60 @@
         #[test]
         fn $name() {
             let listens_for = Duration::from_millis($listens_ms);
-            let crash = backend::Step::CrashListenerLast { listens_for, down: DOWN };
-            let crashing = Crashing::start_with(stringify!($name), &crash);
+            let crash = backend::Step::CrashListenerLast { listens_for, down: RESTART_DELAY };
+            let crashing = CrashingFleet::start_with(stringify!($name), &crash);
             let send: fn(&Fleet, usize) -> Option<fleet::Answer> = $send;
             let last = crashing.repeat(|place| send(&crashing.fleet, place));
-            crashing.check_spared(&last);
+            crashing.check_quarantined(&last);
             let reached = crashing.arrivals().len();
-            assert!(reached <= REACHED, "{reached} sends");
+            assert!(reached <= SENDS_MAX, "{reached} sends");
         }
     )*};
 }
 
 listeners_close_last! {
-    poison_completions_at_listeners_that_close_after_2_ms: 2,
+    completions_that_crash_engines_whose_listeners_close_after_2_ms: 2,
         |fleet, place| fleet.complete(place, "poison", 4, false);
-    poison_completions_at_listeners_that_close_after_100_ms: 100,
+    completions_that_crash_engines_whose_listeners_close_after_100_ms: 100,
         |fleet, place| fleet.complete(place, "poison", 4, false);
-    poison_calls_at_listeners_that_close_after_2_ms: 2,
+    calls_that_crash_servers_whose_listeners_close_after_2_ms: 2,
         |fleet, place| call_service(fleet, place, "poison");
-    poison_calls_at_listeners_that_close_after_100_ms: 100,
+    calls_that_crash_servers_whose_listeners_close_after_100_ms: 100,
         |fleet, place| call_service(fleet, place, "poison");
 }
 
 #[test]
-fn poison_calls_reach_few_servers_until_an_operator_releases_them() {
-    let crashing = Crashing::start("poison-calls");
+fn calls_that_crash_servers_reach_few_until_an_operator_releases_them() {
+    let crashing = CrashingFleet::start("poison-calls");
     let last = crashing.repeat(|place| call_service(&crashing.fleet, place, "poison"));
-    crashing.check_spared(&last);
+    crashing.check_quarantined(&last);
     let other = call_service(&crashing.fleet, 0, "innocent").unwrap();
     assert_eq!(other.status, 200, "the same path with another body: {}", other.body);
 
     let shown = crashing.operate(0, &["show", "--format", "json"]);
     let shown: serde_json::Value = serde_json::from_str(&shown).unwrap();
     let fingerprint = shown[0]["fingerprint"].as_str().unwrap().to_owned();
-    crashing.deadly.store(false, Ordering::Relaxed);
-    let tried = crashing.operate(1, &["release", &fingerprint, "--dry-run"]);
-    assert!(tried.contains("would be released"), "{tried}");
+    crashing.crashes.store(false, Ordering::Relaxed);
+    let dry_run = crashing.operate(1, &["release", &fingerprint, "--dry-run"]);
+    assert!(dry_run.contains("would be released"), "{dry_run}");
     assert_eq!(call_service(&crashing.fleet, 1, "poison").unwrap().code(), "quarantined");
     let released = crashing.operate(1, &["release", &fingerprint]);
     assert!(released.contains(": released"), "{released}");
     for place in 0..ROUTERS {
-        fleet::eventually("it is served again", || {
-            call_service(&crashing.fleet, place, "poison").is_some_and(|it| it.status == 200)
+        fleet::eventually("the released call is served again", || {
+            call_service(&crashing.fleet, place, "poison")
+                .is_some_and(|answer| answer.status == 200)
         });
     }
     assert!(crashing.operate(2, &["release", &fingerprint]).contains("nothing to release"));
 }
 
 #[test]
-fn poison_calls_of_one_workspace_keep_none_of_another_from_servers() {
-    let crashing = Crashing::start("poison-workspaces");
+fn calls_quarantined_in_one_workspace_are_served_in_another() {
+    let crashing = CrashingFleet::start("poison-workspaces");
     let last = crashing.repeat(|place| call_service(&crashing.fleet, place, "poison"));
-    crashing.check_spared(&last);
-    crashing.deadly.store(false, Ordering::Relaxed);
+    crashing.check_quarantined(&last);
+    crashing.crashes.store(false, Ordering::Relaxed);
     let gate = crashing.fleet.routers[0].callers;
     fleet::eventually("the same request of another workspace is served", || {
         let path = "/services/payments/lookup?card=7";
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -1,11 +1,13 @@
-//! A request crashed each server that began to run it, and its caller sent it again for as long as it liked, each time under
-//! another id and through any router. Nothing tied one send to the next: a router knew a request by its id alone, so each
-//! repeat was a new request, no limit counted it, and the blame fell on the server, which was passed over while the request
-//! went on to the next one. The log had fourteen placements of one budget and size at five routers within ten seconds, each
-//! under another id (`placed id=190ba782121ae37c budget=dahu610/prepaid bound_tokens=13311 vm=i-c30a8d5d73`), each followed
-//! by the end of that server: all its streams break in one millisecond (`stream_broken`), then its address refuses
-//! connections (`attempt_ended vm=i-c30a8d5d73 outcome=not_run`) until a server with another id starts there 3.3 s later.
-//! Thirteen servers ended under that request, and a tenth of the others' requests with them.
+//! A request that crashes the servers which run it must be quarantined, also if its client repeats it under other ids and
+//! through other routers. Guards against routers that identify a request by its id alone: each repeat counted as a new
+//! request, no limit counted it, and the server was blamed and avoided while the request went to the next one.
+//! Measured: fourteen placements of one budget and size at five routers within ten seconds, each under another id
+//! (`placed id=190ba782121ae37c budget=dahu610/prepaid bound_tokens=13311 vm=i-c30a8d5d73`). After each, all streams of
+//! the server broke within one millisecond (`stream_broken`), and its address refused connections
+//! (`attempt_ended vm=i-c30a8d5d73 outcome=not_run`) until a server with another id started there 3.3 s later. Thirteen
+//! servers crashed, and a tenth of the other requests failed with them.
+//!
+//! In these tests a body that contains `poison` crashes the server.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -20,29 +22,29 @@
 
 const ROUTERS: usize = 3;
 const SERVERS: usize = 6;
-/// A crashed server starts again after this time.
-const DOWN: Duration = Duration::from_millis(2_500);
-/// The record of a crashed server lapses after this time.
-const LAPSE: Duration = Duration::from_millis(2_000);
-/// What the routers in touch know is in force at all of them after this time.
-const CONTACT: Duration = Duration::from_millis(3_000);
-/// Crashes after which a request must be kept from servers.
-const CRASHES: usize = 3;
-/// Sends later than [`CONTACT`] after the last of these crashes that are allowed.
-const LATE_SENDS: usize = 3;
-/// Servers that a request may reach in all if its client repeats it each 0.1 s.
-const REACHED: usize = 5;
-/// How often and how long a client repeats its request.
+/// The time after which a crashed server starts again.
+const RESTART_DELAY: Duration = Duration::from_millis(2_500);
+/// The time after which the record of a crashed server is removed.
+const RECORD_EXPIRY: Duration = Duration::from_millis(2_000);
+/// The maximum time until a quarantine is in force at all routers that can reach each other.
+const QUARANTINE_BOUND: Duration = Duration::from_millis(3_000);
+/// The number of crashes after which a request must be quarantined.
+const QUARANTINE_CRASHES: usize = 3;
+/// Sends that are allowed later than [`QUARANTINE_BOUND`] after the last of these crashes.
+const LATE_SENDS_MAX: usize = 3;
+/// Maximum number of sends to servers in total, if the client repeats its request every 0.1 s.
+const SENDS_MAX: usize = 5;
+/// The interval at which a client repeats its request, and for how long it does.
 const REPEAT_EVERY: Duration = Duration::from_millis(100);
 const REPEAT_FOR: Duration = Duration::from_secs(14);
 
-/// How a server that starts again is known.
+/// How the record identifies a server that starts again.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Identity {
-    /// By another id.
-    Another,
-    /// By its id, and a later start.
-    LaterStart,
+    /// A record under another id.
+    NewId,
+    /// A record under the same id, with a later start.
+    SameId,
 }
 
 /// How a server crashes.
@@ -50,26 +52,27 @@
 enum Crash {
     /// Its listening socket closes first.
     ListenerFirst,
-    /// Its connections end first, and its listening socket closes so many milliseconds later.
+    /// Its connections end first; its listening socket closes this many milliseconds later.
     ListenerLast(u64),
-    /// It is started again so many milliseconds after its crash.
-    StartsAgain(u64),
+    /// It starts again this many milliseconds after the crash.
+    RestartsAfter(u64),
 }
 
 impl Crash {
     fn step(self) -> backend::Step {
         match self {
-            Self::ListenerFirst => backend::Step::Crash(DOWN),
+            Self::ListenerFirst => backend::Step::Crash(RESTART_DELAY),
             Self::ListenerLast(ms) => {
                 let listens_for = Duration::from_millis(ms);
-                backend::Step::CrashListenerLast { listens_for, down: DOWN }
+                backend::Step::CrashListenerLast { listens_for, down: RESTART_DELAY }
             }
-            Self::StartsAgain(ms) => backend::Step::Crash(Duration::from_millis(ms)),
+            Self::RestartsAfter(ms) => backend::Step::Crash(Duration::from_millis(ms)),
         }
     }
 }
 
-/// A server that begins its answer, then crashes under each body that contains `poison`; it answers all others.
+/// A server that crashes on each body that contains `poison`, after the start of the answer if it streams; it answers all
+/// other requests.
 fn crashing(crash: Crash) -> backend::Script {
     Box::new(move |_, seen| {
         let body = String::from_utf8_lossy(&seen.body).into_owned();
@@ -92,16 +95,17 @@
     })
 }
 
-/// Servers that crash, with their records kept as the platform keeps them.
-struct Crashing {
+/// Servers that crash, and their records as the platform keeps them.
+struct CrashingServers {
     world: World,
     identity: Identity,
-    /// The start that each server's record tells, counted from 1.
+    /// The number of the start that each server's record has, counted from 1; 0 without a record.
     recorded: Vec<usize>,
-    lapsed: HashSet<(usize, usize)>,
+    /// Places and starts of servers whose records have expired.
+    expired: HashSet<(usize, usize)>,
 }
 
-impl Crashing {
+impl CrashingServers {
     fn start(name: &str, identity: Identity) -> Self {
         Self::start_with(name, identity, Crash::ListenerFirst)
     }
@@ -113,7 +117,7 @@
             world.store.remove(&format!("servers/i-{place}"));
         }
         let mut crashing =
-            Self { world, identity, recorded: vec![0; SERVERS], lapsed: HashSet::new() };
+            Self { world, identity, recorded: vec![0; SERVERS], expired: HashSet::new() };
         crashing.follow_servers();
         world = crashing.world;
         world.publish(&[routes::KEY], routes::PREPAID);
@@ -123,9 +127,9 @@
         }
         let crashing = Self { world, ..crashing };
         for place in 0..ROUTERS {
-            fleet::eventually("the router serves and knows the others", || {
-                let innocent = Request { body: "innocent", ..patient("/read/x", "warm") };
-                let served = crashing.world.ask(place, &innocent).status == 200;
+            fleet::eventually("the router serves and lists the other routers", || {
+                let harmless = Request { body: "innocent", ..patient("/read/x", "warm") };
+                let served = crashing.world.ask(place, &harmless).status == 200;
                 served && crashing.world.metrics(place).contains("doorswitch_members 3")
             });
         }
@@ -134,20 +138,21 @@
 
     fn key(&self, place: usize, start: usize) -> String {
         match self.identity {
-            Identity::Another => format!("servers/i-{place}-{start}"),
-            Identity::LaterStart => format!("servers/i-{place}"),
+            Identity::NewId => format!("servers/i-{place}-{start}"),
+            Identity::SameId => format!("servers/i-{place}"),
         }
     }
 
-    /// Records servers that started, and lets the records of those that crashed lapse.
+    /// Writes records of servers that started, and removes records of crashed ones once they have expired.
     fn follow_servers(&mut self) {
         for place in 0..SERVERS {
             let backend = &self.world.backends[place];
             let (starts, crashes) = (backend.starts(), backend.crashes());
-            let lapses = crashes.iter().enumerate().filter(|(_, at)| at.elapsed() >= LAPSE);
-            for start in lapses.map(|(number, _)| number + 1) {
-                let gone = self.lapsed.insert((place, start));
-                if gone && self.recorded[place] <= start {
+            let expired_starts =
+                crashes.iter().enumerate().filter(|(_, at)| at.elapsed() >= RECORD_EXPIRY);
+            for start in expired_starts.map(|(number, _)| number + 1) {
+                let newly_expired = self.expired.insert((place, start));
+                if newly_expired && self.recorded[place] <= start {
                     self.world.store.remove(&self.key(place, start));
                 }
             }
@@ -157,7 +162,7 @@
                     "service": "app", "address": self.world.backends[place].address().to_string(),
                     "zone": "a", "version": "v1", "slots": 8, "state": "ready", "coldLeftMs": 0,
                 });
-                if self.identity == Identity::LaterStart {
+                if self.identity == Identity::SameId {
                     record["born"] = json!(1_796_250_000_000_u64 + starts as u64);
                 }
                 self.world.store.put(&self.key(place, starts), record.to_string().as_bytes());
@@ -165,7 +170,7 @@
         }
     }
 
-    /// When requests with this text in their bodies reached a server, in order.
+    /// When requests with this text in their bodies arrived at servers, in order of time.
     fn arrivals(&self, text: &str) -> Vec<Instant> {
         let mut arrivals = Vec::new();
         for backend in &self.world.backends {
@@ -178,7 +183,7 @@
         arrivals
     }
 
-    /// When servers crashed, in order.
+    /// When servers crashed, in order of time.
     fn crashes(&self) -> Vec<Instant> {
         let mut crashes: Vec<Instant> =
             self.world.backends.iter().flat_map(backend::Backend::crashes).collect();
@@ -186,7 +191,8 @@
         crashes
     }
 
-    /// Sends a body again and again through the routers in turn; the statuses in order.
+    /// Sends a body repeatedly through the routers in turn, each time under another id; returns the statuses in order. `each`
+    /// runs before every send, with its number.
     fn repeat(
         &mut self,
         path: &str,
@@ -202,15 +208,15 @@
             self.follow_servers();
             let id = format!("{body}-{number}");
             let request = Request { body, ..routes::request(path, &id) };
-            let status = self.ask_one(number % ROUTERS, &request);
+            let status = self.send_one(number % ROUTERS, &request);
             statuses.push(status);
             std::thread::sleep(REPEAT_EVERY.saturating_sub(sent.elapsed()));
         }
         statuses
     }
 
-    /// The status of an answer that is whole; 0 if there is none, 1 if it broke off.
-    fn ask_one(&self, place: usize, request: &Request<'_>) -> u16 {
+    /// Sends a request; returns the status of a complete answer, 0 without an answer, 1 if it broke off.
+    fn send_one(&self, place: usize, request: &Request<'_>) -> u16 {
         let Ok(mut stream) = std::net::TcpStream::connect(self.world.routers[place].clients) else {
             return 0;
         };
@@ -221,129 +227,129 @@
         if answer.status == 200 && !answer.whole { 1 } else { answer.status }
     }
 
-    /// Checks that few servers were reached in all.
-    fn check_few(&self, statuses: &[u16]) {
+    /// Checks the total number of sends to servers.
+    fn check_sends(&self, statuses: &[u16]) {
         let reached = self.arrivals("poison").len();
-        assert!(reached <= REACHED, "{reached} sends, statuses {statuses:?}");
+        assert!(reached <= SENDS_MAX, "{reached} sends, statuses {statuses:?}");
     }
 
-    /// Checks that servers were spared after the crashes that it takes to know.
-    fn check_spared(&self, statuses: &[u16]) {
+    /// Checks that few sends reach servers once the quarantine is in force at all routers.
+    fn check_quarantined(&self, statuses: &[u16]) {
         let (arrivals, crashes) = (self.arrivals("poison"), self.crashes());
-        let known = crashes[CRASHES - 1] + CONTACT;
-        let late = arrivals.iter().filter(|at| **at > known).count();
+        let in_force = crashes[QUARANTINE_CRASHES - 1] + QUARANTINE_BOUND;
+        let late = arrivals.iter().filter(|at| **at > in_force).count();
         let logs: Vec<String> = (0..ROUTERS).map(|place| self.world.log(place)).collect();
-        let told = |event: &str| logs.iter().map(|log| log.matches(event).count()).sum::<usize>();
+        let logged = |event: &str| logs.iter().map(|log| log.matches(event).count()).sum::<usize>();
         assert!(
-            late <= LATE_SENDS,
-            "{late} late sends of {} in all, {} crashes, statuses {statuses:?}, {} broken runs told",
+            late <= LATE_SENDS_MAX,
+            "{late} late sends of {} in all, {} crashes, statuses {statuses:?}, {} broken runs logged",
             arrivals.len(),
             crashes.len(),
-            told("event=run_broken"),
+            logged("event=run_broken"),
         );
     }
 }
 
-macro_rules! spared {
+macro_rules! quarantined {
     ($($name:ident: $path:literal, $identity:expr;)*) => { $(
         #[test]
         fn $name() {
-            let mut crashing = Crashing::start(stringify!($name), $identity);
+            let mut crashing = CrashingServers::start(stringify!($name), $identity);
             let statuses = crashing.repeat($path, "poison", |_, _| {});
-            crashing.check_spared(&statuses);
+            crashing.check_quarantined(&statuses);
         }
     )* };
 }
 
-spared! {
-    poison_requests_that_may_be_repeated_reach_few_servers: "/read/x", Identity::Another;
-    poison_requests_that_may_not_be_repeated_reach_few_servers: "/pay/x", Identity::Another;
-    poison_streams_reach_few_servers: "/stream/x", Identity::Another;
-    poison_streams_that_may_go_on_reach_few_servers: "/resume/x", Identity::Another;
-    poison_requests_reach_few_servers_that_keep_their_ids: "/read/x", Identity::LaterStart;
+quarantined! {
+    repeatable_requests_that_crash_servers_reach_few: "/read/x", Identity::NewId;
+    unrepeatable_requests_that_crash_servers_reach_few: "/pay/x", Identity::NewId;
+    streams_that_crash_servers_reach_few: "/stream/x", Identity::NewId;
+    resumable_streams_that_crash_servers_reach_few: "/resume/x", Identity::NewId;
+    requests_that_crash_servers_reach_few_that_keep_their_ids: "/read/x", Identity::SameId;
 }
 
-macro_rules! spared_whatever_closes_first {
+macro_rules! quarantined_in_any_closing_order {
     ($($name:ident: $path:literal, $crash:expr;)*) => { $(
         #[test]
         fn $name() {
             let mut crashing =
-                Crashing::start_with(stringify!($name), Identity::Another, $crash);
+                CrashingServers::start_with(stringify!($name), Identity::NewId, $crash);
             let statuses = crashing.repeat($path, "poison", |_, _| {});
-            crashing.check_spared(&statuses);
-            crashing.check_few(&statuses);
+            crashing.check_quarantined(&statuses);
+            crashing.check_sends(&statuses);
         }
     )* };
 }
 
-// A process that ends closes its sockets in no order that is promised: a look at its address may come up after its
-// connections have ended.
-spared_whatever_closes_first! {
-    poison_at_listeners_that_close_first: "/read/x", Crash::ListenerFirst;
-    poison_at_listeners_that_close_at_once: "/read/x", Crash::ListenerLast(0);
-    poison_at_listeners_that_close_after_1_ms: "/read/x", Crash::ListenerLast(1);
-    poison_at_listeners_that_close_after_2_ms: "/read/x", Crash::ListenerLast(2);
-    poison_at_listeners_that_close_after_5_ms: "/read/x", Crash::ListenerLast(5);
-    poison_at_listeners_that_close_after_20_ms: "/read/x", Crash::ListenerLast(20);
-    poison_at_listeners_that_close_after_100_ms: "/read/x", Crash::ListenerLast(100);
-    unrepeatable_poison_at_listeners_that_close_after_2_ms: "/pay/x", Crash::ListenerLast(2);
-    poison_streams_at_listeners_that_close_after_2_ms: "/stream/x", Crash::ListenerLast(2);
-    poison_streams_that_go_on_at_listeners_that_close_after_2_ms: "/resume/x", Crash::ListenerLast(2);
-    poison_streams_at_listeners_that_close_after_100_ms: "/stream/x", Crash::ListenerLast(100);
+// A process that ends closes its sockets in no guaranteed order: a router that checks its address may still connect after
+// its connections have ended.
+quarantined_in_any_closing_order! {
+    requests_that_crash_servers_whose_listeners_close_first: "/read/x", Crash::ListenerFirst;
+    requests_that_crash_servers_whose_listeners_close_at_once: "/read/x", Crash::ListenerLast(0);
+    requests_that_crash_servers_whose_listeners_close_after_1_ms: "/read/x", Crash::ListenerLast(1);
+    requests_that_crash_servers_whose_listeners_close_after_2_ms: "/read/x", Crash::ListenerLast(2);
+    requests_that_crash_servers_whose_listeners_close_after_5_ms: "/read/x", Crash::ListenerLast(5);
+    requests_that_crash_servers_whose_listeners_close_after_20_ms: "/read/x", Crash::ListenerLast(20);
+    requests_that_crash_servers_whose_listeners_close_after_100_ms: "/read/x", Crash::ListenerLast(100);
+    unrepeatable_requests_that_crash_servers_whose_listeners_close_after_2_ms: "/pay/x", Crash::ListenerLast(2);
+    streams_that_crash_servers_whose_listeners_close_after_2_ms: "/stream/x", Crash::ListenerLast(2);
+    resumable_streams_that_crash_servers_whose_listeners_close_after_2_ms: "/resume/x", Crash::ListenerLast(2);
+    streams_that_crash_servers_whose_listeners_close_after_100_ms: "/stream/x", Crash::ListenerLast(100);
 }
 
-/// A server that is started again at once takes connections whenever a router looks: only its record tells.
+/// A server that restarts at once accepts connections whenever a router checks; only its record shows the crash.
 #[test]
-fn poison_at_servers_that_start_again_at_once_reaches_few() {
+fn requests_that_crash_servers_that_restart_at_once_reach_few() {
     let mut crashing =
-        Crashing::start_with("poison-at-once", Identity::Another, Crash::StartsAgain(5));
+        CrashingServers::start_with("poison-at-once", Identity::NewId, Crash::RestartsAfter(5));
     let statuses = crashing.repeat("/read/x", "poison", |_, _| {});
-    crashing.check_spared(&statuses);
+    crashing.check_quarantined(&statuses);
 }
 
 #[test]
-fn poison_at_listeners_that_close_last_reaches_few_though_a_router_starts_anew() {
+fn requests_that_crash_servers_whose_listeners_close_last_reach_few_though_a_router_restarts() {
     let mut crashing =
-        Crashing::start_with("poison-last-restart", Identity::Another, Crash::ListenerLast(2));
+        CrashingServers::start_with("poison-last-restart", Identity::NewId, Crash::ListenerLast(2));
     let statuses = crashing.repeat("/read/x", "poison", |crashing, number| match number {
         80 => crashing.world.kill(0),
         90 => crashing.world.spawn(0),
         _ => {}
     });
-    crashing.check_spared(&statuses);
-    crashing.check_few(&statuses);
+    crashing.check_quarantined(&statuses);
+    crashing.check_sends(&statuses);
 }
 
 #[test]
-fn poison_requests_reach_few_servers_though_a_router_starts_anew() {
-    let mut crashing = Crashing::start("poison-restart", Identity::Another);
+fn requests_that_crash_servers_reach_few_though_a_router_restarts() {
+    let mut crashing = CrashingServers::start("poison-restart", Identity::NewId);
     let statuses = crashing.repeat("/read/x", "poison", |crashing, number| match number {
         80 => crashing.world.kill(0),
         90 => crashing.world.spawn(0),
         _ => {}
     });
-    crashing.check_spared(&statuses);
+    crashing.check_quarantined(&statuses);
 }
 
 #[test]
-fn poison_requests_reach_few_servers_though_all_routers_start_anew() {
-    let mut crashing = Crashing::start("poison-restart-all", Identity::Another);
+fn requests_that_crash_servers_reach_few_though_all_routers_restart() {
+    let mut crashing = CrashingServers::start("poison-restart-all", Identity::NewId);
     let statuses = crashing.repeat("/read/x", "poison", |crashing, number| match number {
         70 => (0..ROUTERS).for_each(|place| crashing.world.kill(place)),
         75 => (0..ROUTERS).for_each(|place| crashing.world.spawn(place)),
         _ => {}
     });
-    crashing.check_spared(&statuses);
+    crashing.check_quarantined(&statuses);
 }
 
-/// An innocent request, again and again, at servers that six other requests crash.
+/// Repeats a harmless request at servers that six other requests crash.
 #[test]
-fn poison_requests_leave_others_beside_them_served() {
-    let mut crashing = Crashing::start("poison-beside", Identity::Another);
-    // A client that leaves takes its request back.
+fn other_requests_are_served_while_some_crash_servers() {
+    let mut crashing = CrashingServers::start("poison-beside", Identity::NewId);
+    // Keeps the connections open: a client that disconnects cancels its request.
     let mut clients = Vec::new();
     let statuses = crashing.repeat("/read/x", "innocent", |crashing, number| {
-        // The last crash leaves time for what it broke.
+        // The last request that crashes a server comes early enough for the servers to recover.
         if number % 20 == 10 && number <= 110 {
             let poison = format!("poison {number}");
             let id = format!("poison-{number}");
@@ -358,11 +364,11 @@
     assert!(last.iter().all(|status| *status == 200), "{statuses:?}");
 }
 
-/// What others lose while a client repeats a poison request beside them: nothing once it is known and the servers that it
-/// crashed have started again.
+/// While a client repeats a request that crashes servers, other requests lose nothing once it is quarantined and the
+/// crashed servers have started again.
 #[test]
-fn poison_requests_cost_others_nothing_once_they_are_known() {
-    let mut crashing = Crashing::start("poison-others", Identity::Another);
+fn other_requests_lose_nothing_once_those_that_crash_servers_are_quarantined() {
+    let mut crashing = CrashingServers::start("poison-others", Identity::NewId);
     let mut clients = Vec::new();
     let mut sent = Vec::new();
     let statuses = crashing.repeat("/read/x", "innocent", |crashing, number| {
@@ -372,16 +378,16 @@
         clients.push(crashing.world.send(number % ROUTERS, &request));
     });
     let crashes = crashing.crashes();
-    // Each router may have one more under way when the others learn of the third.
-    assert!(crashes.len() <= CRASHES + ROUTERS, "{} crashes", crashes.len());
-    let over = crashes[CRASHES - 1] + CONTACT + DOWN;
-    let mut after = statuses.iter().zip(&sent).filter(|(_, at)| **at > over);
+    // Each router may have one more in flight when the third crash is reported to it.
+    assert!(crashes.len() <= QUARANTINE_CRASHES + ROUTERS, "{} crashes", crashes.len());
+    let recovered = crashes[QUARANTINE_CRASHES - 1] + QUARANTINE_BOUND + RESTART_DELAY;
+    let mut after = statuses.iter().zip(&sent).filter(|(_, at)| **at > recovered);
     assert!(after.all(|(status, _)| *status == 200), "{statuses:?}");
 }
 
-/// The same request at servers of which one breaks off each answer and goes on.
+/// Repeats one request at servers of which one resets each connection without crashing.
 #[test]
-fn poison_requests_are_not_those_whose_answers_break_off() {
+fn requests_whose_answers_break_off_are_not_quarantined() {
     let breaks_off: backend::Script = Box::new(|_, _| vec![backend::Step::Reset]);
     let mut scripts = vec![breaks_off];
     scripts.extend((1..4).map(|_| routes::answers("answer")));
--- a/tests/restored_budgets.rs
+++ b/tests/restored_budgets.rs
@@ -12,16 +12,18 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The prepaid tokens of the tenant, and the tokens of each request: input, and maximum output.
+/// The prepaid tokens of the tenant.
 const PAID: u64 = 20_000;
+/// Tokens of each request: input, and maximum output.
 const TOKENS: (u64, u64) = (100, 100);
-/// As many requests as were paid.
+/// The number of requests that the prepaid tokens pay for.
 const PAID_REQUESTS: usize = (PAID / TOKENS.0) as usize;
 const SERVERS: usize = 3;
 /// How long the store is unavailable during a restore.
 const OUTAGE: Duration = Duration::from_millis(500);
 
-struct Tenant {
+/// A tenant that spends prepaid tokens through all routers.
+struct SpendingTenant {
     replying: Replying,
     routers: usize,
     sent: usize,
@@ -29,15 +31,16 @@
     last_status: u16,
 }
 
-impl Tenant {
+impl SpendingTenant {
     fn new(name: &str, routers: usize) -> Self {
         let mut replying = Replying::start(name, routers, SERVERS, Duration::from_millis(20));
         replying.world.publish(&[KEY], PAID);
-        // Routers take a new configuration over within half a second.
+        // Routers apply a new configuration within half a second.
         thread::sleep(Duration::from_millis(700));
         Self { replying, routers, sent: 0, served: 0, last_status: 0 }
     }
 
+    /// Sends one request; true if it was served.
     fn spend_one(&mut self) -> bool {
         let router = self.sent % self.routers;
         let id = format!("{router}-{}", self.sent);
@@ -55,8 +58,8 @@
         }
     }
 
-    /// Restores the store from a backup that was taken before `meanwhile`, while all routers are killed and started again.
-    fn lose_all(&mut self, meanwhile: impl FnOnce(&mut Self)) {
+    /// Restores the store from a backup that was taken before `meanwhile` ran; all routers are killed and started again.
+    fn lose_all_routers(&mut self, meanwhile: impl FnOnce(&mut Self)) {
         let backup = self.replying.world.store.back_up();
         meanwhile(self);
         self.replying.world.store.set_mode(Mode::Down);
@@ -75,10 +78,11 @@
         thread::sleep(Duration::from_millis(1_500));
     }
 
-    /// Runs an operator's command on budgets against all routers; its output.
+    /// Runs an operator's `budget` command against all routers; returns its output.
     fn operate(&self, arguments: &[&str]) -> String {
         let routers = self.replying.world.routers.iter();
-        let urls = routers.flat_map(|it| ["--router".into(), format!("http://{}", it.operators)]);
+        let urls =
+            routers.flat_map(|router| ["--router".into(), format!("http://{}", router.operators)]);
         let output = Command::new(env!("CARGO_BIN_EXE_doorswitch"))
             .arg("budget")
             .args(arguments)
@@ -89,22 +93,22 @@
         String::from_utf8_lossy(&output.stdout).into_owned()
     }
 
-    /// Spends until nothing is served any more.
-    fn spend_all(&mut self) {
+    /// Sends one request more than were paid for.
+    fn exhaust(&mut self) {
         (0..=PAID_REQUESTS).for_each(|_| _ = self.spend_one());
     }
 }
 
-macro_rules! losses_of_all {
+macro_rules! losses_of_all_routers {
     ($($name:ident: $routers:literal routers, $losses:literal losses, $age_ms:literal ms old;)*) => {$(
         #[test]
         fn $name() {
-            let mut tenant = Tenant::new(stringify!($name), $routers);
+            let mut tenant = SpendingTenant::new(stringify!($name), $routers);
             for _ in 0..$losses {
                 tenant.spend_for(Duration::from_millis(300));
-                tenant.lose_all(|tenant| tenant.spend_for(Duration::from_millis($age_ms)));
+                tenant.lose_all_routers(|tenant| tenant.spend_for(Duration::from_millis($age_ms)));
             }
-            tenant.spend_all();
+            tenant.exhaust();
             let served = tenant.served;
             assert!(served <= PAID_REQUESTS, "{served} served, {PAID_REQUESTS} were paid");
             assert_eq!(tenant.last_status, 402, "{served} served");
@@ -112,32 +116,32 @@
     )*};
 }
 
-losses_of_all! {
-    three_losses_of_all_do_not_let_tokens_be_spent_twice: 3 routers, 3 losses, 2_500 ms old;
-    three_losses_of_both_routers_do_not_let_tokens_be_spent_twice:
+losses_of_all_routers! {
+    tokens_are_not_spent_twice_after_three_losses_of_three_routers: 3 routers, 3 losses, 2_500 ms old;
+    tokens_are_not_spent_twice_after_three_losses_of_two_routers:
         2 routers, 3 losses, 2_500 ms old;
-    two_losses_of_all_with_older_backups_do_not_let_tokens_be_spent_twice:
+    tokens_are_not_spent_twice_after_two_losses_with_older_backups:
         3 routers, 2 losses, 5_500 ms old;
-    two_losses_of_eight_routers_do_not_let_tokens_be_spent_twice: 8 routers, 2 losses, 3_500 ms old;
+    tokens_are_not_spent_twice_after_two_losses_of_eight_routers: 8 routers, 2 losses, 3_500 ms old;
 }
 
 #[test]
-fn an_operator_sees_and_releases_what_is_withheld_after_the_loss_of_all() {
-    let mut tenant = Tenant::new("release-withheld", 2);
-    tenant.lose_all(|tenant| (0..20).for_each(|_| _ = tenant.spend_one()));
-    tenant.spend_all();
+fn an_operator_lists_and_releases_tokens_withheld_after_the_loss_of_all_routers() {
+    let mut tenant = SpendingTenant::new("release-withheld", 2);
+    tenant.lose_all_routers(|tenant| (0..20).for_each(|_| _ = tenant.spend_one()));
+    tenant.exhaust();
     let before = tenant.served;
     assert_eq!(tenant.last_status, 402);
     let withheld = tenant.operate(&["withheld"]);
     assert!(withheld.contains("cafe/prepaid"), "{withheld}");
-    let would = tenant.operate(&["release", "cafe", "prepaid", "--dry-run"]);
-    assert!(would.contains("would be released"), "{would}");
+    let dry_run = tenant.operate(&["release", "cafe", "prepaid", "--dry-run"]);
+    assert!(dry_run.contains("would be released"), "{dry_run}");
     let released = tenant.operate(&["release", "cafe", "prepaid"]);
     assert!(released.contains("released"), "{released}");
     fleet::eventually("the tenant is served again", || tenant.spend_one());
-    tenant.spend_all();
+    tenant.exhaust();
     // What was spent before the loss can be spent once more.
-    let most = PAID_REQUESTS + before;
-    assert!(tenant.served > before && tenant.served <= most, "{} served", tenant.served);
+    let served_max = PAID_REQUESTS + before;
+    assert!(tenant.served > before && tenant.served <= served_max, "{} served", tenant.served);
     assert!(!tenant.operate(&["withheld"]).contains("cafe/prepaid"));
 }
--- a/tests/restored_store.rs
+++ b/tests/restored_store.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 /// The maximum time for which a leaving server or a revoked key may still be used.
-const STALE_BOUND: Duration = Duration::from_millis(2_000);
+const STALENESS_BOUND: Duration = Duration::from_millis(2_000);
 /// The maximum time until a new server gets requests.
 const NEW_SERVER_BOUND: Duration = Duration::from_millis(3_000);
 /// How long the store is unavailable during a restore.
@@ -25,32 +25,30 @@
 const REQUEST_INTERVAL_MS: u64 = 50;
 const LOAD_MS: u64 = 9_000;
 
-/// Writes keys that no router watches.
+/// Writes keys that no router subscribes to.
 fn write_elsewhere(replying: &Replying, writes: usize) {
     for number in 0..writes {
         replying.world.store.put(&format!("other/{number}"), b"{}");
     }
 }
 
-/// Takes a backup, then makes `writes` writes to watched keys that restoring it loses.
+/// Takes a backup, then makes `writes` writes to subscribed keys, which restoring the backup loses.
 fn back_up_before_writes(replying: &Replying, writes: usize) -> Backup {
     let backup = replying.world.store.back_up();
     for _ in 0..writes / 2 {
         replying.world.store.put("op/other", b"{}");
         replying.world.record_server(1, "ready");
     }
-    wait_for_watches(replying);
+    wait_for_polls(replying);
     backup
 }
 
-/// Waits until every router is up to date and has an open watch for both topics.
-fn wait_for_watches(replying: &Replying) {
+/// Waits until every router is up to date and has an open long poll for both topics.
+fn wait_for_polls(replying: &Replying) {
     let routers = replying.world.routers.len();
-    // Routers make the next call half a second after a change.
+    // Routers send the next poll half a second after a change.
     thread::sleep(Duration::from_millis(700));
-    fleet::eventually("every router watches", || {
-        replying.world.store.open_watches() == 2 * routers
-    });
+    fleet::eventually("every router polls", || replying.world.store.open_watches() == 2 * routers);
 }
 
 /// Stops the store and restores it from a backup; `before_answers` runs before the store answers calls again.
@@ -72,26 +70,28 @@
     })
 }
 
-fn drain(replying: &Replying) -> Instant {
+/// Sets the state of server 0 to draining; returns when.
+fn mark_draining(replying: &Replying) -> Instant {
     replying.world.record_server(0, "draining");
     Instant::now()
 }
 
 /// The number of requests that reached a server after the allowed time.
 fn late_requests(replying: &Replying, server: usize, since: Instant) -> usize {
-    replying.arrivals(server, since + STALE_BOUND, Instant::now()).len()
+    replying.arrivals(server, since + STALENESS_BOUND, Instant::now()).len()
 }
 
+/// Checks that server 0 got no request too late after it left, and that all requests were served.
 fn check_server_left(replying: &Replying, left: Instant, got: &[Got]) {
     let late = late_requests(replying, 0, left);
     assert_eq!(late, 0, "requests reached server 0 too late, of {}", got.len());
     check_served(got);
 }
 
-/// Starts routers and waits until they watch the store.
+/// Starts routers and waits until they poll the store.
 fn start(name: &str, routers: usize) -> Replying {
     let replying = Replying::start(name, routers, SERVERS, SERVICE_TIME);
-    wait_for_watches(&replying);
+    wait_for_polls(&replying);
     replying
 }
 
@@ -119,7 +119,7 @@
 ) -> Instant {
     let mut left = Instant::now();
     restore(replying, backup, open, || {
-        left = drain(replying);
+        left = mark_draining(replying);
         write_elsewhere(replying, others);
     });
     left
@@ -134,41 +134,41 @@
 ) -> Instant {
     restore(replying, backup, open, || {});
     thread::sleep(Duration::from_millis(pause_ms));
-    drain(replying)
+    mark_draining(replying)
 }
 
 a_server_leaves! {
-    a_server_that_leaves_at_a_restore_gets_nothing_more:
-        3 routers, 40 lost, Ended, |it, backup, open| drain_during_restore(it, backup, open, 0);
+    a_server_that_leaves_at_a_restore_gets_no_more_requests:
+        3 routers, 40 lost, Ended, |replying, backup, open| drain_during_restore(replying, backup, open, 0);
     a_server_that_leaves_after_a_restore_gets_nothing_more:
-        3 routers, 40 lost, Ended, |it, backup, open| drain_after_restore(it, backup, open, 1_500);
+        3 routers, 40 lost, Ended, |replying, backup, open| drain_after_restore(replying, backup, open, 1_500);
     a_server_that_leaves_after_a_restore_gets_nothing_more_from_one_router:
-        1 routers, 40 lost, Ended, |it, backup, open| drain_after_restore(it, backup, open, 300);
+        1 routers, 40 lost, Ended, |replying, backup, open| drain_after_restore(replying, backup, open, 300);
     a_server_that_leaves_after_a_restore_gets_nothing_more_from_eight_routers:
-        8 routers, 40 lost, Ended, |it, backup, open| drain_after_restore(it, backup, open, 1_500);
+        8 routers, 40 lost, Ended, |replying, backup, open| drain_after_restore(replying, backup, open, 1_500);
     a_server_that_leaves_is_dropped_after_the_revisions_caught_up:
-        3 routers, 20 lost, Ended, |it, backup, open| drain_during_restore(it, backup, open, 60);
-    a_server_that_leaves_is_dropped_when_watches_outlast_the_restore:
-        3 routers, 20 lost, Kept, |it, backup, open| drain_during_restore(it, backup, open, 60);
-    a_server_that_leaves_later_is_dropped_when_watches_outlast_the_restore:
-        3 routers, 40 lost, Kept, |it, backup, open| drain_after_restore(it, backup, open, 1_500);
-    a_server_that_leaves_between_two_restores_gets_nothing_more:
-        3 routers, 40 lost, Ended, |it, backup, open| {
-            restore(it, backup, open, || {});
+        3 routers, 20 lost, Ended, |replying, backup, open| drain_during_restore(replying, backup, open, 60);
+    a_server_that_leaves_is_dropped_when_polls_stay_open_over_the_restore:
+        3 routers, 20 lost, Kept, |replying, backup, open| drain_during_restore(replying, backup, open, 60);
+    a_server_that_leaves_later_is_dropped_when_polls_stay_open_over_the_restore:
+        3 routers, 40 lost, Kept, |replying, backup, open| drain_after_restore(replying, backup, open, 1_500);
+    a_server_that_leaves_between_two_restores_gets_no_more_requests:
+        3 routers, 40 lost, Ended, |replying, backup, open| {
+            restore(replying, backup, open, || {});
             thread::sleep(Duration::from_millis(100));
-            let second = it.world.store.back_up();
-            write_elsewhere(it, 60);
+            let second = replying.world.store.back_up();
+            write_elsewhere(replying, 60);
             thread::sleep(Duration::from_millis(100));
-            drain_during_restore(it, &second, open, 0)
+            drain_during_restore(replying, &second, open, 0)
         };
 }
 
 #[test]
-fn a_server_that_left_before_a_restore_gets_nothing_more() {
+fn a_server_that_left_before_a_restore_gets_no_more_requests() {
     let replying = start("left-before", 3);
     let backup = back_up_before_writes(&replying, 40);
     let (got, left) = send_while(&replying, LOAD_MS, || {
-        let left = drain(&replying);
+        let left = mark_draining(&replying);
         thread::sleep(Duration::from_millis(500));
         restore(&replying, &backup, OpenWatches::Ended, || {});
         thread::sleep(Duration::from_millis(800));
@@ -188,7 +188,7 @@
     replying.world.wait_ready(0);
     let (got, left) = send_while(&replying, LOAD_MS, || {
         thread::sleep(Duration::from_millis(500));
-        drain(&replying)
+        mark_draining(&replying)
     });
     check_server_left(&replying, left, &got);
 }
@@ -207,8 +207,8 @@
         Instant::now()
     });
     assert_eq!(late_requests(&replying, 0, since), 0, "requests reached the removed server");
-    let found = replying.arrivals(2, since, since + NEW_SERVER_BOUND).len();
-    assert!(found > 0, "the new server got no request within {NEW_SERVER_BOUND:?}");
+    let arrived = replying.arrivals(2, since, since + NEW_SERVER_BOUND).len();
+    assert!(arrived > 0, "the new server got no request within {NEW_SERVER_BOUND:?}");
 }
 
 #[test]
@@ -233,7 +233,7 @@
 
 /// The number of requests that were served with a revoked key after the allowed time.
 fn served_by_revoked(got: &[Got], revoked: Instant) -> usize {
-    got.iter().filter(|one| one.sent >= revoked + STALE_BOUND && one.status == 200).count()
+    got.iter().filter(|one| one.sent >= revoked + STALENESS_BOUND && one.status == 200).count()
 }
 
 macro_rules! a_key_is_revoked {
@@ -274,16 +274,16 @@
             let replying = Replying::start(stringify!($name), 2, SERVERS, SERVICE_TIME);
             replying.world.store.set_era_header($header);
             replying.send("/read/x", REQUEST_INTERVAL_MS, 1_000);
-            let (got, left) = send_while(&replying, 4_000, || drain(&replying));
+            let (got, left) = send_while(&replying, 4_000, || mark_draining(&replying));
             check_server_left(&replying, left, &got);
         }
     )*};
 }
 
 era_headers! {
-    a_store_without_an_era_header_is_followed: EraHeader::Absent;
-    a_store_with_an_unreadable_era_header_is_followed: EraHeader::Text("x");
-    a_store_with_an_empty_era_header_is_followed: EraHeader::Text("");
+    changes_of_a_store_without_an_era_header_are_applied: EraHeader::Absent;
+    changes_of_a_store_with_an_unreadable_era_header_are_applied: EraHeader::Text("x");
+    changes_of_a_store_with_an_empty_era_header_are_applied: EraHeader::Text("");
 }
 
 #[test]
@@ -324,7 +324,7 @@
 fn spend_over_restores(name: &str, between: impl Fn(&mut Replying)) {
     let mut replying = Replying::start(name, 3, SERVERS, Duration::from_millis(2));
     replying.world.publish(&[KEY], PAID);
-    wait_for_watches(&replying);
+    wait_for_polls(&replying);
     let backup = replying.world.store.back_up();
     let mut served = 0;
     for _ in 0..3 {
@@ -339,8 +339,8 @@
     }
     let (more, status) = spend(&replying, 3, 0..200);
     served += more;
-    let most = (PAID / TOKENS.0) as usize;
-    assert!(served <= most, "{served} served, {most} were paid");
+    let paid_requests = (PAID / TOKENS.0) as usize;
+    assert!(served <= paid_requests, "{served} served, {paid_requests} were paid");
     assert_eq!(status, 402, "{served} served");
 }
 
@@ -369,10 +369,10 @@
     let replying = start("earlier-era", 2);
     let backup = back_up_before_writes(&replying, 40);
     restore(&replying, &backup, OpenWatches::Ended, || {});
-    load::send(&replying.world, &[0, 1], "/read/x", Duration::from_millis(50), STALE_BOUND);
+    load::send(&replying.world, &[0, 1], "/read/x", Duration::from_millis(50), STALENESS_BOUND);
     replying.world.store.set_era_header(EraHeader::Text("0"));
     thread::sleep(Duration::from_millis(300));
     replying.world.store.set_era_header(EraHeader::Current);
-    let (got, left) = send_while(&replying, 5_000, || drain(&replying));
+    let (got, left) = send_while(&replying, 5_000, || mark_draining(&replying));
     check_server_left(&replying, left, &got);
 }
