--- a/benches/capacity/control.rs
+++ b/benches/capacity/control.rs
@@ -1,15 +1,16 @@
-//! One node's control state: the cost of a tick and of a decision, and the bytes that things take.
+//! The control state of one node: the cost of a tick and of a decision, and the memory per budget, member, server and
+//! request.
 
 use crate::{allocated_bytes, nanoseconds};
 use doorswitch_core::{config, ids, members, message, node, servers, store};
 
 const SIZES: [usize; 4] = [10, 100, 1_000, 10_000];
 
-/// What a node is given to know.
+/// The size of a node's state.
 #[derive(Clone, Copy, Default)]
-struct Size {
+struct NodeSize {
     budgets: usize,
-    /// Of those, the budgets that are in use here.
+    /// The number of these budgets that are in use at this node.
     active: usize,
     members: usize,
     servers: usize,
@@ -22,17 +23,17 @@
         "{:<28} {:>8} {:>12} {:>14} {:>12}",
         "what grows", "count", "tick ns", "bytes", "bytes each"
     );
-    let base = Size { budgets: 10, active: 10, members: 8, servers: 10, requests: 0 };
-    row("budgets, none in use", |count| Size { budgets: count, active: 0, ..base });
-    row("budgets, all in use", |count| Size { budgets: count, active: count, ..base });
-    row("members", |count| Size { members: count, ..base });
-    row("servers", |count| Size { servers: count, ..base });
-    row("requests in flight", |count| Size { requests: count, servers: count, ..base });
+    let base = NodeSize { budgets: 10, active: 10, members: 8, servers: 10, requests: 0 };
+    row("budgets, none in use", |count| NodeSize { budgets: count, active: 0, ..base });
+    row("budgets, all in use", |count| NodeSize { budgets: count, active: count, ..base });
+    row("members", |count| NodeSize { members: count, ..base });
+    row("servers", |count| NodeSize { servers: count, ..base });
+    row("requests in flight", |count| NodeSize { requests: count, servers: count, ..base });
     decisions();
     refusals();
 }
 
-fn row(what: &str, size: impl Fn(usize) -> Size) {
+fn row(what: &str, size: impl Fn(usize) -> NodeSize) {
     for count in SIZES {
         let before = allocated_bytes();
         let mut node = build(size(count));
@@ -47,37 +48,37 @@
     }
 }
 
-/// Decisions a second that one node's core makes: admit, dispatch, finish.
+/// Measures the decisions per second of one node's core: admit, dispatch, finish.
 fn decisions() {
     println!("\ndecisions of one core: admit, dispatch, finish");
     println!("{:<28} {:>8} {:>12} {:>14}", "servers", "count", "ns each", "a second");
     for servers in [10, 32, 100, 1_000] {
-        let size = Size { budgets: 10, active: 10, members: 8, servers, requests: 0 };
+        let size = NodeSize { budgets: 10, active: 10, members: 8, servers, requests: 0 };
         let mut node = build(size);
         let mut number = 0;
         let each = nanoseconds(|| {
             number += 1;
-            let slot = node.admit(wanted(number, 0), 1_000_000);
-            let ending =
+            let slot = node.admit(admission_request(number, 0), 1_000_000);
+            let request_outcome =
                 node::RequestOutcome::Ran { consumed_tokens: 1, outcome: None, healthy: true };
-            node.finish(slot, ending, 1_000_000);
+            node.finish(slot, request_outcome, 1_000_000);
             acknowledge(&mut node);
         });
         println!("{:<28} {servers:>8} {each:>12.0} {:>14.0}", "", 1e9 / each);
     }
 }
 
-/// What a refusal costs beside an accepted request: the queue is full, all servers are busy.
+/// Measures the cost of a refusal: the queue is full, all servers are busy.
 fn refusals() {
-    let mut node = build(Size { budgets: 10, active: 10, members: 8, servers: 1, requests: 0 });
+    let mut node = build(NodeSize { budgets: 10, active: 10, members: 8, servers: 1, requests: 0 });
     for key in 0..200 {
-        node.admit(wanted(key, 0), 1_000_000);
+        node.admit(admission_request(key, 0), 1_000_000);
     }
     node.take_actions();
     let mut key = 1_000;
     let each = nanoseconds(|| {
         key += 1;
-        node.admit(wanted(key, 0), 1_000_000);
+        node.admit(admission_request(key, 0), 1_000_000);
         node.take_actions();
     });
     println!("a refusal with a full queue: {each:.0} ns");
@@ -101,7 +102,7 @@
     }
 }
 
-fn build(size: Size) -> node::Node {
+fn build(size: NodeSize) -> node::Node {
     let mut node = node::Node::new(settings(), 1, 0);
     node.offer_vms(store::Position::new(0, 1), vms(size.servers), 0);
     node.offer_config(published(size), 0);
@@ -115,21 +116,21 @@
         answer_store(&mut node, now_ms);
     }
     for number in 0..size.requests {
-        node.admit(wanted(1_000_000 + number as u64, number % 10), now_ms);
+        node.admit(admission_request(1_000_000 + number as u64, number % 10), now_ms);
     }
     node.take_actions();
     node
 }
 
-/// A node that knows so many members and servers.
-pub fn knowing(members: usize, servers: usize) -> node::Node {
-    build(Size { budgets: 10, active: 10, members, servers, requests: 0 })
+/// Builds a node with this many members and servers.
+pub fn node_with(members: usize, servers: usize) -> node::Node {
+    build(NodeSize { budgets: 10, active: 10, members, servers, requests: 0 })
 }
 
-/// The time at which a node that was built last ticked.
+/// The time of the last tick of a node that was just built, in milliseconds.
 pub const BUILT_MS: u64 = 21_000;
 
-fn published(size: Size) -> config::Published {
+fn published(size: NodeSize) -> config::Published {
     let budget = |number: usize| config::Budget {
         name: format!("b{number}"),
         cover_s: 60,
@@ -209,7 +210,7 @@
     }
 }
 
-fn wanted(key: u64, budget: usize) -> node::AdmissionRequest {
+fn admission_request(key: u64, budget: usize) -> node::AdmissionRequest {
     node::AdmissionRequest {
         attempts_max: u32::MAX,
         fingerprint: None,
@@ -228,7 +229,7 @@
     }
 }
 
-/// A store in which every budget has plenty, and every write works.
+/// Answers the node's calls of the store: every budget has enough tokens, and every write succeeds.
 fn answer_store(node: &mut node::Node, now_ms: u64) {
     use doorswitch_core::ledger;
     for action in node.take_actions() {
@@ -257,7 +258,7 @@
     }
 }
 
-/// Acknowledges settlements as a peer's log does.
+/// Acknowledges settlements as the log of a peer does.
 fn acknowledge(node: &mut node::Node) {
     for action in node.take_actions() {
         let node::Action::Send { envelope, .. } = action else { continue };
--- a/benches/capacity/limits.rs
+++ b/benches/capacity/limits.rs
@@ -1,4 +1,4 @@
-//! What servers that limit what they take cost: a calm fleet, and one of the largest size with some or all servers limited.
+//! The cost of limited servers: a fleet without any, and one of the largest size with some or all servers limited.
 
 use crate::{allocated_bytes, control, nanoseconds};
 use doorswitch_core::{ids, message, node, servers};
@@ -7,19 +7,20 @@
 const MEMBERS: usize = 760;
 const SERVERS: usize = 4_800;
 const TICK_MS: u64 = 20;
-/// Ticks until what is new has been told.
-const TOLD_TICKS: u64 = 250;
+/// The number of ticks until updates are no longer sent.
+const GOSSIP_TICKS: u64 = 250;
 
-fn limit(node: &mut node::Node, servers: usize, now_ms: u64) {
+/// Reports a limit for each of the first `servers` servers.
+fn report_limits(node: &mut node::Node, servers: usize, now_ms: u64) {
     for server in 0..servers {
-        let said = servers::Stated::Value(1_100 + server as u64);
+        let directive = servers::Stated::Value(1_100 + server as u64);
         let vm = format!("server-{server}");
-        node.report_limit(&vm, ids::ServerLife::UNKNOWN, said, 5, now_ms);
+        node.report_limit(&vm, ids::ServerLife::UNKNOWN, directive, 5, now_ms);
     }
     node.take_actions();
 }
 
-/// The bytes of limits in the answer to a probe, and of the whole answer.
+/// The bytes of limits in the answer to a probe, and the bytes of the datagram.
 fn datagram_bytes(node: &mut node::Node, now_ms: u64) -> (usize, usize) {
     let ping = message::Gossip { kind: message::GossipKind::Ping, ..control::gossip(0) };
     node.handle_gossip(&ping, now_ms);
@@ -37,24 +38,24 @@
 pub fn show() {
     println!("\n# Servers that limit what they take, {MEMBERS} members, {SERVERS} servers");
     for limited in [0, 10, 200, SERVERS] {
-        let mut node = control::knowing(MEMBERS, SERVERS);
+        let mut node = control::node_with(MEMBERS, SERVERS);
         let mut now_ms = control::BUILT_MS;
         let before = allocated_bytes();
-        limit(&mut node, limited, now_ms);
+        report_limits(&mut node, limited, now_ms);
         let bytes = allocated_bytes().saturating_sub(before);
-        for _ in 0..TOLD_TICKS {
+        for _ in 0..GOSSIP_TICKS {
             now_ms += TICK_MS;
             node.tick(now_ms);
             node.take_actions();
         }
-        let (limits, whole) = datagram_bytes(&mut node, now_ms);
-        // Time stands still, so that what is measured does not hang on what runs out meanwhile.
+        let (limits, datagram) = datagram_bytes(&mut node, now_ms);
+        // The time doesn't advance, so that the measurement doesn't depend on what expires meanwhile.
         let tick = nanoseconds(|| {
             node.tick(now_ms);
             black_box(node.take_actions());
         });
         println!(
-            "{limited} limited: {bytes} bytes held, {limits} of the {whole} bytes of a datagram, a tick of {:.1} us",
+            "{limited} limited: {bytes} bytes held, {limits} of the {datagram} bytes of a datagram, a tick of {:.1} us",
             tick / 1_000.0
         );
     }
--- a/benches/capacity/main.rs
+++ b/benches/capacity/main.rs
@@ -1,7 +1,7 @@
-//! Measures the slopes that `docs/CAPACITY.md` multiplies: time, memory and bytes at several sizes.
+//! Measures the costs per item that `docs/CAPACITY.md` multiplies: time, memory and bytes at several sizes.
 //!
-//! `cargo bench --bench capacity` prints the tables. Times are of this machine; what counts is how
-//! they grow, and their ratio to one another in the same run.
+//! `cargo bench --bench capacity` prints the tables. Times depend on the machine; what matters is how they grow, and their
+//! ratio to one another in the same run.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -15,18 +15,18 @@
 #[global_allocator]
 static ALLOCATOR: &stats_alloc::StatsAlloc<std::alloc::System> = &stats_alloc::INSTRUMENTED_SYSTEM;
 
-/// Bytes that are allocated now.
+/// The number of bytes that are allocated now.
 pub fn allocated_bytes() -> usize {
     let stats = ALLOCATOR.stats();
     stats.bytes_allocated.saturating_sub(stats.bytes_deallocated)
 }
 
-/// The time of one run of `work`, in nanoseconds, over enough runs to tell.
+/// The mean time of one run of `work`, in nanoseconds.
 pub fn nanoseconds(mut work: impl FnMut()) -> f64 {
-    const ENOUGH: std::time::Duration = std::time::Duration::from_millis(150);
+    const MEASURE_FOR: std::time::Duration = std::time::Duration::from_millis(150);
     let begin = std::time::Instant::now();
     let mut runs = 0_u32;
-    while begin.elapsed() < ENOUGH {
+    while begin.elapsed() < MEASURE_FOR {
         work();
         runs += 1;
     }
@@ -34,7 +34,8 @@
 }
 
 fn main() {
-    let wanted: Vec<String> = std::env::args().skip(1).filter(|it| !it.starts_with("--")).collect();
+    let selected: Vec<String> =
+        std::env::args().skip(1).filter(|name| !name.starts_with("--")).collect();
     let parts: [(&str, fn()); 6] = [
         ("control", control::show),
         ("messages", messages::show),
@@ -44,7 +45,7 @@
         ("limits", limits::show),
     ];
     for (name, show) in parts {
-        if wanted.is_empty() || wanted.iter().any(|it| it == name) {
+        if selected.is_empty() || selected.iter().any(|one| one == name) {
             show();
         }
     }
--- a/benches/capacity/messages.rs
+++ b/benches/capacity/messages.rs
@@ -1,4 +1,4 @@
-//! Bytes of what routers say to each other.
+//! The sizes of messages between routers.
 
 use crate::control;
 use doorswitch::peers;
@@ -29,11 +29,11 @@
         consumed_tokens: 1_000,
         outcome: None,
     };
-    let send = |message| {
+    let message_bytes = |message| {
         let id = ids::Incarnation(u64::MAX);
         peers::encode(&message::Envelope { from: id, to: id, message }).len()
     };
-    let with_news = |items: usize| {
+    let with_updates = |items: usize| {
         let mut gossip = control::gossip(0);
         gossip.member_updates = (0..items).map(control::record).collect();
         peers::encode(&gossip).len()
@@ -46,16 +46,19 @@
         tokens: 100_000,
     };
     vec![
-        ("gossip without news", with_news(0)),
-        ("gossip with 8 news items", with_news(8)),
-        ("claim", send(message::Message::Claim(claim))),
+        ("gossip without news", with_updates(0)),
+        ("gossip with 8 news items", with_updates(8)),
+        ("claim", message_bytes(message::Message::Claim(claim))),
         (
             "claim reply",
-            send(message::Message::ClaimReply { claim, verdict: log_index::ClaimVerdict::Granted }),
+            message_bytes(message::Message::ClaimReply {
+                claim,
+                verdict: log_index::ClaimVerdict::Granted,
+            }),
         ),
-        ("settlement", send(message::Message::Settle(settlement))),
-        ("settlement stored", send(message::Message::SettleStored(claim.attempt))),
-        ("settlement durable", send(message::Message::SettleDurable(claim.attempt))),
-        ("transfer", send(transfer)),
+        ("settlement", message_bytes(message::Message::Settle(settlement))),
+        ("settlement stored", message_bytes(message::Message::SettleStored(claim.attempt))),
+        ("settlement durable", message_bytes(message::Message::SettleDurable(claim.attempt))),
+        ("transfer", message_bytes(transfer)),
     ]
 }
--- a/benches/capacity/path.rs
+++ b/benches/capacity/path.rs
@@ -1,4 +1,5 @@
-//! The whole path through one router beside the same request straight to the engine, in one run.
+//! The latency of the whole path through one router, compared with the same request sent directly to the engine in the same
+//! run.
 
 use doorswitch::{auth, document, platform, publish, router, settings};
 use doorswitch_standins::{engine, platform as standin};
@@ -15,11 +16,11 @@
 policies:
   - { name: p, program: 'allow("main", 5, [])' }
 "#;
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 const REQUESTS: u32 = 300;
-/// Lengths of the answers: the difference shows what a token costs.
+/// Lengths of the answers in tokens: the difference shows the cost of a token.
 const TOKENS: [u64; 2] = [16, 512];
-/// Ports for callers, operators and peers, below the range that the kernel gives out by itself.
+/// Ports for callers, operators and peers, below the range of ephemeral ports.
 const PORTS: [[u16; 3]; 2] = [[11_871, 11_872, 11_873], [11_881, 11_882, 11_883]];
 
 pub fn show() {
@@ -71,12 +72,12 @@
     let client = platform::Client::new(&format!("http://{platform}"), 1_000, None);
     let text = CONFIG.replace("KEY", &auth::digest_hex("k"));
     let document = document::parse(&text, "bench".as_ref(), None).unwrap();
-    publish::publish(&client, &document, 0, "bench", PATIENCE).await.unwrap();
-    publish::pay(&client, "w", "main", 1 << 40, "bench", PATIENCE).await.unwrap();
+    publish::publish(&client, &document, 0, "bench", TIMEOUT).await.unwrap();
+    publish::pay(&client, "w", "main", 1 << 40, "bench", TIMEOUT).await.unwrap();
     let through = local(PORTS[0][0]);
     let ready = Instant::now();
-    while once(through, 1).await.is_err() {
-        assert!(ready.elapsed() < PATIENCE, "the router never served");
+    while send_once(through, 1).await.is_err() {
+        assert!(ready.elapsed() < TIMEOUT, "the router never served");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     for tokens in TOKENS {
@@ -95,7 +96,7 @@
     for _ in 0..REQUESTS {
         for (address, histogram) in [engine, through].into_iter().zip(&mut histograms) {
             let begin = Instant::now();
-            once(address, tokens).await?;
+            send_once(address, tokens).await?;
             histogram.record(begin.elapsed().as_micros() as u64).unwrap();
         }
     }
@@ -114,7 +115,7 @@
     hdrhistogram::Histogram::new(3).unwrap()
 }
 
-async fn once(address: SocketAddr, tokens: u64) -> Result<(), String> {
+async fn send_once(address: SocketAddr, tokens: u64) -> Result<(), String> {
     let client = thread_client();
     let body = serde_json::json!({
         "model": "roast-7b",
@@ -130,7 +131,7 @@
 
 fn thread_client() -> awc::Client {
     thread_local! {
-        static CLIENT: awc::Client = awc::Client::builder().timeout(PATIENCE).finish();
+        static CLIENT: awc::Client = awc::Client::builder().timeout(TIMEOUT).finish();
     }
     CLIENT.with(Clone::clone)
 }
--- a/benches/capacity/values.rs
+++ b/benches/capacity/values.rs
@@ -1,4 +1,4 @@
-//! Values in the store: their bytes, and the time to read and write them.
+//! Values in the store: their sizes, and the times to decode and encode them.
 
 use crate::nanoseconds;
 use doorswitch::policy;
@@ -85,8 +85,11 @@
     }
     let before = crate::allocated_bytes();
     let mut index = log_index::Index::default();
-    for part in 0..100 {
-        segment_from(part * 1_000, 1_000).entries.iter().for_each(|entry| index.apply(entry));
+    for segment_number in 0..100 {
+        segment_from(segment_number * 1_000, 1_000)
+            .entries
+            .iter()
+            .for_each(|entry| index.apply(entry));
     }
     let bytes = crate::allocated_bytes() - before;
     println!(
@@ -137,9 +140,9 @@
         });
         let budgets = workspaces * 8;
         let before = crate::allocated_bytes();
-        let held: config::Published = serde_json::from_slice(&value).unwrap();
+        let decoded: config::Published = serde_json::from_slice(&value).unwrap();
         let held_bytes = crate::allocated_bytes() - before;
-        drop(held);
+        drop(decoded);
         println!(
             "{workspaces:>11} {budgets:>8} {:>12} {:>14.1} {held_bytes:>14}",
             value.len(),
--- a/examples/demo.rs
+++ b/examples/demo.rs
@@ -1,5 +1,5 @@
-//! The main job with everything embedded: platform, engines, a plain service, three routers and a
-//! published sample configuration of the Roastery. Shows a first metered answer, then stays up.
+//! A demonstration in one process: a platform, engines, a plain service, three routers and a published sample configuration.
+//! Prints a first metered answer, then runs until a signal.
 
 use doorswitch::{document, logging, platform, publish, router, settings};
 use doorswitch_core::config;
@@ -14,12 +14,12 @@
 const FIRST_OPERATOR_PORT: u16 = 9081;
 const FIRST_PEER_PORT: u16 = 7081;
 const PLATFORM_PORT: u16 = 8500;
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 const CONFIG: &str = "deploy/bursa/config.yaml";
 
-type Failure = Box<dyn error::Error + Send + Sync>;
+type DemoError = Box<dyn error::Error + Send + Sync>;
 
-fn main() -> Result<(), Failure> {
+fn main() -> Result<(), DemoError> {
     logging::start();
     let platform = standin::Platform::start(local(PLATFORM_PORT))?;
     let mode = engine::Mode { slots: 4, token_ms: 20, prompt_ms: 50, ..engine::Mode::default() };
@@ -31,10 +31,10 @@
     let routers = (0..ROUTERS)
         .zip(stops.clone())
         .map(|(place, stop)| start_router(place, stop))
-        .collect::<Result<Vec<_>, Failure>>()?;
+        .collect::<Result<Vec<_>, DemoError>>()?;
     let system = actix_rt::System::new();
-    system.block_on(show())?;
-    system.block_on(until_signal())?;
+    system.block_on(publish_and_ask())?;
+    system.block_on(wait_for_signal())?;
     for stop in stops {
         stop.stop();
     }
@@ -44,7 +44,7 @@
     Ok(())
 }
 
-async fn until_signal() -> std::io::Result<()> {
+async fn wait_for_signal() -> std::io::Result<()> {
     use tokio::signal::unix;
     let mut terminate = unix::signal(unix::SignalKind::terminate())?;
     tokio::select! {
@@ -60,7 +60,7 @@
 fn start_router(
     place: u16,
     stop: router::StopHandle,
-) -> Result<thread::JoinHandle<Result<(), router::Error>>, Failure> {
+) -> Result<thread::JoinHandle<Result<(), router::Error>>, DemoError> {
     let seeds: Vec<String> = (0..ROUTERS)
         .filter(|other| *other != place)
         .map(|other| format!("\"{}\"", local(FIRST_PEER_PORT + other)))
@@ -100,15 +100,16 @@
     routers.chain(engines).chain([service]).collect()
 }
 
-async fn show() -> Result<(), Failure> {
+/// Publishes the configuration, pays for the budgets and prints a first answer.
+async fn publish_and_ask() -> Result<(), DemoError> {
     let client = platform::Client::new(&format!("http://{}", local(PLATFORM_PORT)), 1_000, None);
     let document = document::load(Path::new(CONFIG), None)?;
-    publish::publish(&client, &document, 0, "demo", PATIENCE).await?;
+    publish::publish(&client, &document, 0, "demo", TIMEOUT).await?;
     for workspace in &document.workspaces {
-        // One workspace has little, so that its end can be seen.
+        // One workspace has few tokens, so that its budget can be exhausted.
         let tokens = if workspace.name == "tenant-1" { 400 } else { 1_000_000 };
         for budget in &workspace.budgets {
-            publish::pay(&client, &workspace.name, &budget.name, tokens, "demo", PATIENCE).await?;
+            publish::pay(&client, &workspace.name, &budget.name, tokens, "demo", TIMEOUT).await?;
         }
     }
     println!("{}", first_answer(&document).await?);
@@ -116,8 +117,8 @@
     Ok(())
 }
 
-async fn first_answer(document: &config::Document) -> Result<String, Failure> {
-    let client = awc::Client::builder().timeout(PATIENCE).finish();
+async fn first_answer(document: &config::Document) -> Result<String, DemoError> {
+    let client = awc::Client::builder().timeout(TIMEOUT).finish();
     let url = format!("http://{}/v1/chat/completions", local(FIRST_PORT));
     let body = serde_json::json!({
         "model": "roast-7b",
