--- a/tests/crashing_calls.rs
+++ b/tests/crashing_calls.rs
@@ -28,16 +28,16 @@
 const STREAM_HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\
     Transfer-Encoding: chunked\r\n\r\n";
 
-/// An engine or plain service that crashes on each body that contains `poison`, while `crashes` is true.
-fn crashing(crashes: Arc<AtomicBool>, crash: backend::Step) -> backend::Script {
+/// An engine or plain service that crashes on each body that contains `poison`, while `crash_enabled` is true.
+fn crashing(crash_enabled: Arc<AtomicBool>, crash: backend::Step) -> backend::Script {
     Box::new(move |_, seen| {
-        let poison = String::from_utf8_lossy(&seen.body).contains("poison");
+        let crashes_server = String::from_utf8_lossy(&seen.body).contains("poison");
         let streams = seen.line.contains("/v1/");
         let mut steps = Vec::new();
         if streams {
             steps.push(backend::Step::Write(STREAM_HEAD.to_owned()));
         }
-        if poison && crashes.load(Ordering::Relaxed) {
+        if crashes_server && crash_enabled.load(Ordering::Relaxed) {
             steps.push(backend::Step::Pause(Duration::from_millis(30)));
             steps.push(crash.clone());
         } else if streams {
@@ -58,7 +58,7 @@
 struct CrashingFleet {
     fleet: Fleet,
     servers: Vec<backend::Backend>,
-    crashes: Arc<AtomicBool>,
+    crash_enabled: Arc<AtomicBool>,
 }
 
 impl CrashingFleet {
@@ -69,11 +69,12 @@
     fn start_with(name: &str, crash: &backend::Step) -> Self {
         let options = Options { routers: ROUTERS, engines: 0, services: 0, ..Options::default() };
         let fleet = Fleet::start(name, options);
-        let crashes = Arc::new(AtomicBool::new(true));
-        let start = |_| backend::Backend::start(crashing(crashes.clone(), crash.clone())).unwrap();
+        let crash_enabled = Arc::new(AtomicBool::new(true));
+        let start =
+            |_| backend::Backend::start(crashing(crash_enabled.clone(), crash.clone())).unwrap();
         let servers: Vec<backend::Backend> = (0..2 * SERVERS).map(start).collect();
         fleet.put_servers(&servers, |place| if place < SERVERS { "roast" } else { "payments" });
-        Self { fleet, servers, crashes }
+        Self { fleet, servers, crash_enabled }
     }
 
     /// When requests that crash servers arrived at a server, in no order.
@@ -81,9 +82,9 @@
         let seen = self.servers.iter().flat_map(|server| {
             server.requests().into_iter().zip(server.arrivals()).collect::<Vec<_>>()
         });
-        let poison =
+        let crashing =
             seen.filter(|(seen, _)| String::from_utf8_lossy(&seen.body).contains("poison"));
-        poison.map(|(_, at)| at).collect()
+        crashing.map(|(_, at)| at).collect()
     }
 
     /// When the third of all crashes happened.
@@ -142,7 +143,7 @@
 
 #[test]
 fn completions_that_crash_engines_reach_few() {
-    let crashing = CrashingFleet::start("poison-completions");
+    let crashing = CrashingFleet::start("crashing-completions");
     let last = crashing.repeat(|place| crashing.fleet.complete(place, "poison", 4, false));
     crashing.check_quarantined(&last);
     let harmless = crashing.fleet.complete(0, "innocent", 4, false).unwrap();
@@ -178,7 +179,7 @@
 
 #[test]
 fn calls_that_crash_servers_reach_few_until_an_operator_releases_them() {
-    let crashing = CrashingFleet::start("poison-calls");
+    let crashing = CrashingFleet::start("crashing-calls");
     let last = crashing.repeat(|place| call_service(&crashing.fleet, place, "poison"));
     crashing.check_quarantined(&last);
     let other = call_service(&crashing.fleet, 0, "innocent").unwrap();
@@ -187,7 +188,7 @@
     let shown = crashing.operate(0, &["show", "--format", "json"]);
     let shown: serde_json::Value = serde_json::from_str(&shown).unwrap();
     let fingerprint = shown[0]["fingerprint"].as_str().unwrap().to_owned();
-    crashing.crashes.store(false, Ordering::Relaxed);
+    crashing.crash_enabled.store(false, Ordering::Relaxed);
     let dry_run = crashing.operate(1, &["release", &fingerprint, "--dry-run"]);
     assert!(dry_run.contains("would be released"), "{dry_run}");
     assert_eq!(call_service(&crashing.fleet, 1, "poison").unwrap().code(), "quarantined");
@@ -204,10 +205,10 @@
 
 #[test]
 fn calls_quarantined_in_one_workspace_are_served_in_another() {
-    let crashing = CrashingFleet::start("poison-workspaces");
+    let crashing = CrashingFleet::start("crashing-workspaces");
     let last = crashing.repeat(|place| call_service(&crashing.fleet, place, "poison"));
     crashing.check_quarantined(&last);
-    crashing.crashes.store(false, Ordering::Relaxed);
+    crashing.crash_enabled.store(false, Ordering::Relaxed);
     let gate = crashing.fleet.routers[0].callers;
     fleet::eventually("the same request of another workspace is served", || {
         let path = "/services/payments/lookup?card=7";
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -302,15 +302,18 @@
 #[test]
 fn requests_that_crash_servers_that_restart_at_once_reach_few() {
     let mut crashing =
-        CrashingServers::start_with("poison-at-once", Identity::NewId, Crash::RestartsAfter(5));
+        CrashingServers::start_with("crashing-at-once", Identity::NewId, Crash::RestartsAfter(5));
     let statuses = crashing.repeat("/read/x", "poison", |_, _| {});
     crashing.check_quarantined(&statuses);
 }
 
 #[test]
 fn requests_that_crash_servers_whose_listeners_close_last_reach_few_though_a_router_restarts() {
-    let mut crashing =
-        CrashingServers::start_with("poison-last-restart", Identity::NewId, Crash::ListenerLast(2));
+    let mut crashing = CrashingServers::start_with(
+        "crashing-last-restart",
+        Identity::NewId,
+        Crash::ListenerLast(2),
+    );
     let statuses = crashing.repeat("/read/x", "poison", |crashing, number| match number {
         80 => crashing.world.kill(0),
         90 => crashing.world.spawn(0),
@@ -322,7 +325,7 @@
 
 #[test]
 fn requests_that_crash_servers_reach_few_though_a_router_restarts() {
-    let mut crashing = CrashingServers::start("poison-restart", Identity::NewId);
+    let mut crashing = CrashingServers::start("crashing-restart", Identity::NewId);
     let statuses = crashing.repeat("/read/x", "poison", |crashing, number| match number {
         80 => crashing.world.kill(0),
         90 => crashing.world.spawn(0),
@@ -333,7 +336,7 @@
 
 #[test]
 fn requests_that_crash_servers_reach_few_though_all_routers_restart() {
-    let mut crashing = CrashingServers::start("poison-restart-all", Identity::NewId);
+    let mut crashing = CrashingServers::start("crashing-restart-all", Identity::NewId);
     let statuses = crashing.repeat("/read/x", "poison", |crashing, number| match number {
         70 => (0..ROUTERS).for_each(|place| crashing.world.kill(place)),
         75 => (0..ROUTERS).for_each(|place| crashing.world.spawn(place)),
@@ -345,15 +348,15 @@
 /// Repeats a harmless request at servers that six other requests crash.
 #[test]
 fn other_requests_are_served_while_some_crash_servers() {
-    let mut crashing = CrashingServers::start("poison-beside", Identity::NewId);
+    let mut crashing = CrashingServers::start("crashing-beside", Identity::NewId);
     // Keeps the connections open: a client that disconnects cancels its request.
     let mut clients = Vec::new();
     let statuses = crashing.repeat("/read/x", "innocent", |crashing, number| {
         // The last request that crashes a server comes early enough for the servers to recover.
         if number % 20 == 10 && number <= 110 {
-            let poison = format!("poison {number}");
+            let body = format!("poison {number}");
             let id = format!("poison-{number}");
-            let request = Request { body: &poison, ..routes::request("/pay/x", &id) };
+            let request = Request { body: &body, ..routes::request("/pay/x", &id) };
             clients.push(crashing.world.send(number % ROUTERS, &request));
         }
     });
@@ -368,7 +371,7 @@
 /// crashed servers have started again.
 #[test]
 fn other_requests_lose_nothing_once_those_that_crash_servers_are_quarantined() {
-    let mut crashing = CrashingServers::start("poison-others", Identity::NewId);
+    let mut crashing = CrashingServers::start("crashing-others", Identity::NewId);
     let mut clients = Vec::new();
     let mut sent = Vec::new();
     let statuses = crashing.repeat("/read/x", "innocent", |crashing, number| {
@@ -391,7 +394,7 @@
     let breaks_off: backend::Script = Box::new(|_, _| vec![backend::Step::Reset]);
     let mut scripts = vec![breaks_off];
     scripts.extend((1..4).map(|_| routes::answers("answer")));
-    let world = World::start("poison-flaky", scripts);
+    let world = World::start("crashing-flaky", scripts);
     let statuses: Vec<u16> = (0..120)
         .map(|number| {
             let id = format!("flaky-{number}");
--- a/tests/server_backoff.rs
+++ b/tests/server_backoff.rs
@@ -64,7 +64,7 @@
 }
 
 macro_rules! one_server_requests_a_backoff {
-    ($($name:ident: $routers:literal routers, $path:literal, requests $value:literal;)*) => {$(
+    ($($name:ident: $routers:literal routers, $path:literal, asks for $value:literal;)*) => {$(
         #[test]
         fn $name() {
             let replying = Replying::start(stringify!($name), $routers, 4, SERVICE_TIME);
@@ -78,10 +78,10 @@
 }
 
 one_server_requests_a_backoff! {
-    a_server_gets_the_backoff_that_it_requests: 3 routers, "/read/x", requests "3";
-    a_server_gets_the_short_backoff_that_it_requests: 3 routers, "/read/x", requests "1.25";
-    a_server_gets_the_long_backoff_that_it_requests: 3 routers, "/pay/x", requests "6";
-    a_server_gets_the_backoff_that_it_requests_from_streams: 3 routers, "/stream/x", requests "4";
+    a_server_gets_the_backoff_that_it_requests: 3 routers, "/read/x", asks for "3";
+    a_server_gets_the_short_backoff_that_it_requests: 3 routers, "/read/x", asks for "1.25";
+    a_server_gets_the_long_backoff_that_it_requests: 3 routers, "/pay/x", asks for "6";
+    a_server_gets_the_backoff_that_it_requests_from_streams: 3 routers, "/stream/x", asks for "4";
 }
 
 #[test]
--- a/tests/server_restarts.rs
+++ b/tests/server_restarts.rs
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_leaving_state_does_not_apply_after_a_server_restart() {
-    let mut world = world("lives-leaving", vec![answers("0")]);
+    let mut world = world("restart-leaving", vec![answers("0")]);
     world.add_router();
     for place in [0, 1] {
         world.wait_ready(place);
@@ -56,7 +56,7 @@
 
 #[test]
 fn a_record_of_an_earlier_start_is_ignored() {
-    let world = world("lives-older", vec![answers("0")]);
+    let world = world("restart-older", vec![answers("0")]);
     world.record_server_born(0, "ready", LATER_START_MS);
     fleet::eventually("the server is used", || status(&world, 0) == 200);
     world.record_server_born(0, "draining", FIRST_START_MS);
@@ -92,21 +92,21 @@
 
 #[test]
 fn an_open_repeatable_request_is_repeated_after_a_server_restart() {
-    let (status, took, received) = open_request_at_a_restart("lives-repeat", "/long/x");
+    let (status, took, received) = open_request_at_a_restart("restart-repeat", "/long/x");
     assert_eq!((status, received), (200, 2), "after {took:?}");
     assert!(took < RESTART_DETECTED_WITHIN, "after {took:?}");
 }
 
 #[test]
 fn an_open_unrepeatable_request_ends_at_a_server_restart() {
-    let (status, took, received) = open_request_at_a_restart("lives-once", "/long-pay/x");
+    let (status, took, received) = open_request_at_a_restart("restart-once", "/long-pay/x");
     assert_eq!((status, received), (502, 1), "after {took:?}");
     assert!(took < RESTART_DETECTED_WITHIN, "after {took:?}");
 }
 
 #[test]
 fn idle_connections_are_not_reused_after_a_server_restart() {
-    let world = world("lives-resting", vec![answers("0")]);
+    let world = world("restart-idle", vec![answers("0")]);
     fleet::eventually("the server is used", || status(&world, 0) == 200);
     assert_eq!(status(&world, 0), 200);
     let before = world.backends[0].requests().last().unwrap().connection;
@@ -145,7 +145,7 @@
 
 #[test]
 fn a_record_without_a_start_is_not_used_beside_those_with_one() {
-    let mut world = World::start("lives-undated", vec![answers("0"), answers("1")]);
+    let mut world = World::start("restart-undated", vec![answers("0"), answers("1")]);
     fleet::eventually("the server is used", || status(&world, 0) == 200);
     world.record_server_born(1, "draining", FIRST_START_MS);
     world.add_router();
