--- a/benches/capacity/control.rs
+++ b/benches/capacity/control.rs
@@ -180,7 +180,7 @@
         failure_domain: "a".to_owned(),
         state: servers::VmState::Live,
         slots: 0,
-        life: Default::default(),
+        incarnation: Default::default(),
         cold_ms: 0,
     };
     (0..servers).map(vm).collect()
--- a/benches/capacity/limits.rs
+++ b/benches/capacity/limits.rs
@@ -14,7 +14,7 @@
     for server in 0..servers {
         let said = servers::Directive::Value(1_100 + server as u64);
         let vm = format!("server-{server}");
-        node.report_limit(&vm, ids::ServerLife::UNKNOWN, said, 5, now_ms);
+        node.report_limit(&vm, ids::ServerIncarnation::UNKNOWN, said, 5, now_ms);
     }
     node.take_actions();
 }
--- a/benches/capacity/quarantine.rs
+++ b/benches/capacity/quarantine.rs
@@ -31,7 +31,7 @@
     let mut table = quarantine::Table::default();
     for number in 0..ENTRIES {
         for crash in 0..crashes {
-            let server = quarantine::Server::new("vm", ids::ServerLife(1 + crash));
+            let server = quarantine::Server::new("vm", ids::ServerIncarnation(1 + crash));
             table.crashed(request(number), server, NOW_MS + crash * 1_000);
         }
     }
--- a/core/benches/routing/strategies.rs
+++ b/core/benches/routing/strategies.rs
@@ -222,7 +222,7 @@
         failure_domain: "a".to_owned(),
         state: servers::VmState::Live,
         slots: 0,
-        life: Default::default(),
+        incarnation: Default::default(),
         cold_ms: 0,
     });
     node.offer_vms(store::Position::new(0, 1), vms.collect(), 0);
--- a/core/src/ids.rs
+++ b/core/src/ids.rs
@@ -20,9 +20,9 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
-pub struct ServerLife(pub u64);
+pub struct ServerIncarnation(pub u64);
 
-impl ServerLife {
+impl ServerIncarnation {
     /// The incarnation of a server that doesn't report its start.
     pub const UNKNOWN: Self = Self(0);
 }
--- a/core/src/leaving_servers.rs
+++ b/core/src/leaving_servers.rs
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug)]
 pub struct LeavingServer {
     /// Incarnation that is leaving.
-    pub life: ids::ServerLife,
+    pub incarnation: ids::ServerIncarnation,
     /// Source of the information.
     pub source: Source,
     /// Time since which no record of the server is known.
@@ -64,20 +64,25 @@
 impl LeavingServers {
     /// Records that an incarnation of a server is leaving; returns whether this is new or from a
     /// source that is kept longer.
-    pub fn record(&mut self, vm: &str, life: ids::ServerLife, source: Source) -> bool {
+    pub fn record(
+        &mut self,
+        vm: &str,
+        incarnation: ids::ServerIncarnation,
+        source: Source,
+    ) -> bool {
         let sends_left = if source == Source::Answer { gossip_rotation::TRANSMISSIONS } else { 0 };
-        let known = self.known.get(vm).map(|known| (known.life, known.source));
-        if known.is_some_and(|known| known >= (life, source)) {
+        let known = self.known.get(vm).map(|known| (known.incarnation, known.source));
+        if known.is_some_and(|known| known >= (incarnation, source)) {
             return false;
         }
-        let leaving = LeavingServer { life, source, unlisted_since_ms: None, sends_left };
+        let leaving = LeavingServer { incarnation, source, unlisted_since_ms: None, sends_left };
         self.known.insert(vm.to_owned(), leaving);
         true
     }
 
     /// Whether an incarnation of a server is known to be leaving.
-    pub fn contains(&self, vm: &str, life: ids::ServerLife) -> bool {
-        self.known.get(vm).is_some_and(|leaving| leaving.life >= life)
+    pub fn contains(&self, vm: &str, incarnation: ids::ServerIncarnation) -> bool {
+        self.known.get(vm).is_some_and(|leaving| leaving.incarnation >= incarnation)
     }
 
     /// Iterates over all leaving servers with their VMs.
@@ -94,8 +99,8 @@
     pub fn take_updates(&mut self) -> Vec<message::LeavingUpdate> {
         let vms = self.rotation.take(&mut self.known, String::len);
         let updates = vms.into_iter().filter_map(|vm| {
-            let LeavingServer { life, source, .. } = *self.known.get(&vm)?;
-            Some(message::LeavingUpdate { vm, life, source })
+            let LeavingServer { incarnation, source, .. } = *self.known.get(&vm)?;
+            Some(message::LeavingUpdate { vm, incarnation, source })
         });
         updates.collect()
     }
@@ -104,24 +109,24 @@
     /// record; returns the VMs and incarnations of the removed entries.
     pub fn forget(
         &mut self,
-        lives: &collections::HashMap<&str, ids::ServerLife>,
+        incarnations: &collections::HashMap<&str, ids::ServerIncarnation>,
         now_ms: u64,
-    ) -> Vec<(String, ids::ServerLife)> {
+    ) -> Vec<(String, ids::ServerIncarnation)> {
         for (vm, leaving) in &mut self.known {
-            let listed = lives.contains_key(vm.as_str());
+            let listed = incarnations.contains_key(vm.as_str());
             let since_ms = leaving.unlisted_since_ms.unwrap_or(now_ms);
             leaving.unlisted_since_ms = (!listed).then_some(since_ms);
         }
         let oldest_ms = self.oldest_kept_ms(now_ms);
-        let holds = |vm: &str, leaving: &LeavingServer| match lives.get(vm) {
-            Some(present) => *present <= leaving.life,
+        let holds = |vm: &str, leaving: &LeavingServer| match incarnations.get(vm) {
+            Some(present) => *present <= leaving.incarnation,
             None => {
                 let since_ms = leaving.unlisted_since_ms.unwrap_or(now_ms);
                 leaving.source == Source::Answer && since_ms >= oldest_ms
             }
         };
         let removed = self.known.extract_if(.., |vm, leaving| !holds(vm, leaving));
-        removed.map(|(vm, leaving)| (vm, leaving.life)).collect()
+        removed.map(|(vm, leaving)| (vm, leaving.incarnation)).collect()
     }
 
     /// Earliest time of a record's disappearance for which an entry is kept.
--- a/core/src/message.rs
+++ b/core/src/message.rs
@@ -135,7 +135,7 @@
         /// The VM that runs the server.
         vm: String,
         /// The server incarnation that the permits are for.
-        life: ids::ServerLife,
+        incarnation: ids::ServerIncarnation,
         /// Whether the permits are for trial requests.
         trial: bool,
         /// The permits, or when to send the next request.
@@ -290,7 +290,7 @@
     /// The name of the VM.
     pub vm: String,
     /// The server incarnation that is leaving.
-    pub life: ids::ServerLife,
+    pub incarnation: ids::ServerIncarnation,
 
     /// Where the update comes from.
     pub source: leaving_servers::Source,
--- a/core/src/node.rs
+++ b/core/src/node.rs
@@ -338,8 +338,13 @@
     }
 
     /// Stores the load that a server reported on an answer, if it is the current incarnation of the server.
-    pub fn report_load_of(&mut self, vm: &str, life: ids::ServerLife, load: servers::Load) {
-        if let Some(slot) = self.servers.find_life(vm, life) {
+    pub fn report_load_of(
+        &mut self,
+        vm: &str,
+        incarnation: ids::ServerIncarnation,
+        load: servers::Load,
+    ) {
+        if let Some(slot) = self.servers.find_incarnation(vm, incarnation) {
             self.report_load(slot, load);
         }
     }
--- a/core/src/node/config_and_vms.rs
+++ b/core/src/node/config_and_vms.rs
@@ -108,7 +108,7 @@
         });
         let vms: Vec<servers::Vm> = vms.collect();
         for vm in vms.iter().filter(|vm| vm.state == servers::VmState::Leaving) {
-            self.record_leaving(&vm.vm, vm.life, leaving_servers::Source::Record, None);
+            self.record_leaving(&vm.vm, vm.incarnation, leaving_servers::Source::Record, None);
         }
         let routers = vms.iter().filter(|vm| vm.service == ROUTER_SERVICE);
         self.members.add_seeds(routers.map(|vm| vm.address.clone()));
@@ -120,7 +120,7 @@
         let router_removed =
             earlier.values().filter(removed).any(|vm| vm.service == ROUTER_SERVICE);
         for vm in earlier.values().filter(removed) {
-            self.eras.record_removal(&vm.vm, vm.life, previous_index, now_ms);
+            self.eras.record_removal(&vm.vm, vm.incarnation, previous_index, now_ms);
         }
         if self.listed_index == store::Position::START && self.vms.contains_key(&self.settings.vm) {
             self.listed_index = index;
@@ -137,7 +137,7 @@
     /// The backend servers: the listed ones, and those whose records expired but may be listed again soon. A server
     /// that is leaving counts as leaving whatever the state in its record.
     fn backends(&self, vms: &[servers::Vm]) -> Vec<servers::Vm> {
-        let stays = |vm: &&servers::Vm| !self.leaving_servers.contains(&vm.vm, vm.life);
+        let stays = |vm: &&servers::Vm| !self.leaving_servers.contains(&vm.vm, vm.incarnation);
         let lapsed = self.lapsed.iter().filter(stays);
         let mut backends: Vec<servers::Vm> = vms
             .iter()
@@ -147,11 +147,13 @@
             .collect();
 
         // Where servers record when they started, a record without a start time comes from another writer.
-        for vm in backends.iter_mut().filter(|vm| self.leaving_servers.contains(&vm.vm, vm.life)) {
+        for vm in
+            backends.iter_mut().filter(|vm| self.leaving_servers.contains(&vm.vm, vm.incarnation))
+        {
             vm.state = servers::VmState::Leaving;
         }
-        if backends.iter().any(|vm| vm.life != ids::ServerLife::UNKNOWN) {
-            backends.retain(|vm| vm.life != ids::ServerLife::UNKNOWN);
+        if backends.iter().any(|vm| vm.incarnation != ids::ServerIncarnation::UNKNOWN) {
+            backends.retain(|vm| vm.incarnation != ids::ServerIncarnation::UNKNOWN);
         }
         backends
     }
@@ -159,8 +161,9 @@
     /// Reports servers that restarted.
     fn report_restarted(&mut self) {
         for restarted in self.servers.take_restarted() {
-            let servers::Restarted { vm, life, .. } = &restarted;
-            self.actions.push(Action::ServerRestarted { vm: vm.clone(), life: *life });
+            let servers::Restarted { vm, incarnation, .. } = &restarted;
+            self.actions
+                .push(Action::ServerRestarted { vm: vm.clone(), incarnation: *incarnation });
             self.actions.push(Action::Notice(Notice::ServerRestarted(restarted)));
         }
     }
@@ -169,10 +172,10 @@
     /// and does not apply to a later incarnation of the server.
     fn expire_leaving_servers(&mut self, now_ms: u64) {
         let vms = self.vms.values().chain(&self.lapsed);
-        let lives: collections::HashMap<&str, ids::ServerLife> =
-            vms.map(|vm| (vm.vm.as_str(), vm.life)).collect();
-        for (vm, life) in self.leaving_servers.forget(&lives, now_ms) {
-            self.actions.push(Action::Notice(Notice::ServerLeavingEnded { vm, life }));
+        let incarnations: collections::HashMap<&str, ids::ServerIncarnation> =
+            vms.map(|vm| (vm.vm.as_str(), vm.incarnation)).collect();
+        for (vm, incarnation) in self.leaving_servers.forget(&incarnations, now_ms) {
+            self.actions.push(Action::Notice(Notice::ServerLeavingEnded { vm, incarnation }));
         }
     }
 
--- a/core/src/node/confirmations.rs
+++ b/core/src/node/confirmations.rs
@@ -228,10 +228,10 @@
         }
     }
 
-    /// Whether this router read the shard after it discovered the router `life`, and before draws may have been lost.
+    /// Whether this router read the shard after it discovered the router `incarnation`, and before draws may have been lost.
     /// Then it has read all draws of earlier incarnations at that address.
-    fn covers_earlier_incarnations(&self, shard: u32, life: ids::Incarnation) -> bool {
-        let discovered_ms = self.members.added_ms(life);
+    fn covers_earlier_incarnations(&self, shard: u32, incarnation: ids::Incarnation) -> bool {
+        let discovered_ms = self.members.added_ms(incarnation);
         let ledger = self.ledgers.get(shard as usize);
         let read_ms = ledger.and_then(|ledger| {
             ledger.read_before_ms(ledger.unconfirmed_since_era(self.store_era())?)
--- a/core/src/node/directives.rs
+++ b/core/src/node/directives.rs
@@ -11,41 +11,47 @@
     pub fn report_directives(
         &mut self,
         vm: &str,
-        life: ids::ServerLife,
+        incarnation: ids::ServerIncarnation,
         directives: &servers::Directives,
         age: servers::AnswerAge,
         now_ms: u64,
     ) {
         for header in directives.unreadable() {
-            self.report_unreadable_header(vm, life, header);
+            self.report_unreadable_header(vm, incarnation, header);
         }
 
         // The end of a limit dispatches waiting requests, so directives that prevent dispatches are applied before it.
         if directives.is_leaving == servers::Directive::Value(true) {
-            self.record_leaving(vm, life, leaving_servers::Source::Answer, None);
+            self.record_leaving(vm, incarnation, leaving_servers::Source::Answer, None);
         }
         if let servers::Directive::Value(backoff_ms) = directives.backoff_ms {
             let left_ms = backoff_ms.saturating_sub(age.received_ms);
-            self.start_backoff(vm, life, now_ms + left_ms, now_ms);
+            self.start_backoff(vm, incarnation, now_ms + left_ms, now_ms);
         }
-        self.report_limit(vm, life, directives.limit_milli_per_s, age.sent_ms, now_ms);
+        self.report_limit(vm, incarnation, directives.limit_milli_per_s, age.sent_ms, now_ms);
     }
 
     fn report_unreadable_header(
         &mut self,
         vm: &str,
-        life: ids::ServerLife,
+        incarnation: ids::ServerIncarnation,
         header: servers::Header,
     ) {
-        let Some(slot) = self.servers.find_life(vm, life) else { return };
+        let Some(slot) = self.servers.find_incarnation(vm, incarnation) else { return };
         if self.servers.note_unreadable(slot, header) {
             let notice = Notice::HeaderUnreadable { vm: vm.to_owned(), header };
             self.actions.push(Action::Notice(notice));
         }
     }
 
-    fn start_backoff(&mut self, vm: &str, life: ids::ServerLife, until_ms: u64, now_ms: u64) {
-        let Some(slot) = self.servers.find_life(vm, life) else { return };
+    fn start_backoff(
+        &mut self,
+        vm: &str,
+        incarnation: ids::ServerIncarnation,
+        until_ms: u64,
+        now_ms: u64,
+    ) {
+        let Some(slot) = self.servers.find_incarnation(vm, incarnation) else { return };
         if !self.servers.back_off(slot, until_ms, now_ms, &mut self.rng) {
             return;
         }
@@ -53,7 +59,7 @@
         let service = service.unwrap_or_default();
         *self.counters.server_backoffs.entry(service.clone()).or_default() += 1;
         let for_ms = until_ms - now_ms;
-        let notice = Notice::ServerBackoff { vm: vm.to_owned(), life, service, for_ms };
+        let notice = Notice::ServerBackoff { vm: vm.to_owned(), incarnation, service, for_ms };
         self.actions.push(Action::Notice(notice));
     }
 
@@ -61,19 +67,20 @@
     pub(super) fn record_leaving(
         &mut self,
         vm: &str,
-        life: ids::ServerLife,
+        server_incarnation: ids::ServerIncarnation,
         source: leaving_servers::Source,
         from: Option<ids::Incarnation>,
     ) {
-        self.servers.mark_leaving(vm, life);
-        if !self.leaving_servers.record(vm, life, source) {
+        self.servers.mark_leaving(vm, server_incarnation);
+        if !self.leaving_servers.record(vm, server_incarnation, source) {
             return;
         }
-        let slot = self.servers.find_life(vm, life);
+        let slot = self.servers.find_incarnation(vm, server_incarnation);
         let service = slot.and_then(|slot| Some(self.servers.get(slot)?.vm.service.clone()));
         let service = service.unwrap_or_default();
         let vm = vm.to_owned();
-        let notice = Notice::ServerLeaving { vm, life, service, source, from };
+        let notice =
+            Notice::ServerLeaving { vm, incarnation: server_incarnation, service, source, from };
         self.actions.push(Action::Notice(notice));
     }
 
@@ -83,12 +90,13 @@
         from: ids::Incarnation,
         leaving: &message::LeavingUpdate,
     ) {
-        let message::LeavingUpdate { vm, life, source } = leaving;
+        let message::LeavingUpdate { vm, incarnation, source } = leaving;
         // Without a live record here the report is ignored: the peer's list may be the older one.
-        let live =
-            |known: &servers::Vm| known.state == servers::VmState::Live && known.life == *life;
+        let live = |known: &servers::Vm| {
+            known.state == servers::VmState::Live && known.incarnation == *incarnation
+        };
         if *source == leaving_servers::Source::Answer || self.vms.get(vm).is_some_and(live) {
-            self.record_leaving(vm, *life, *source, Some(from));
+            self.record_leaving(vm, *incarnation, *source, Some(from));
         }
     }
 
--- a/core/src/node/dump.rs
+++ b/core/src/node/dump.rs
@@ -93,7 +93,7 @@
 
     fn dump_leaving_servers(&self) -> serde_json::Value {
         let leavings = self.leaving_servers.iter().map(|(vm, leaving)| {
-            let figures = json!({ "life": leaving.life.0, "source": leaving.source });
+            let figures = json!({ "life": leaving.incarnation.0, "source": leaving.source });
             (vm.to_owned(), figures)
         });
         leavings.collect::<serde_json::Map<_, _>>().into()
--- a/core/src/node/eras.rs
+++ b/core/src/node/eras.rs
@@ -37,7 +37,7 @@
 /// A server whose record was removed.
 #[derive(Clone, Copy, Debug)]
 struct Removed {
-    life: ids::ServerLife,
+    incarnation: ids::ServerIncarnation,
     /// The revision of the record; an upper bound if it is not known.
     revision: u64,
     at_ms: u64,
@@ -92,7 +92,7 @@
     pub(super) fn record_removal(
         &mut self,
         vm: &str,
-        life: ids::ServerLife,
+        incarnation: ids::ServerIncarnation,
         listed: store::Position,
         now_ms: u64,
     ) {
@@ -103,7 +103,7 @@
                 self.removed.remove(&oldest);
             }
         }
-        self.removed.insert(vm.to_owned(), Removed { life, revision, at_ms: now_ms });
+        self.removed.insert(vm.to_owned(), Removed { incarnation, revision, at_ms: now_ms });
     }
 
     /// Failure domains that stay evacuated although the restored store does not list them.
@@ -202,9 +202,11 @@
         for change in &digest.changes {
             let watch::ServerRecord::Listed(vm) = &change.record else { continue };
             let leaves = vm.state == servers::VmState::Leaving;
-            if leaves && self.vms.get(&vm.vm).is_some_and(|listed| listed.life == vm.life) {
+            if leaves
+                && self.vms.get(&vm.vm).is_some_and(|listed| listed.incarnation == vm.incarnation)
+            {
                 let source = crate::leaving_servers::Source::Record;
-                self.record_leaving(&vm.vm, vm.life, source, Some(from));
+                self.record_leaving(&vm.vm, vm.incarnation, source, Some(from));
             }
         }
         let era = digest.era.max(digest.servers.position.era);
@@ -252,8 +254,9 @@
         eras.removed.retain(|_, removed| now_ms < removed.at_ms + REMOVED_TTL_MS);
         for vm in &all.listed {
             let revision = all.revisions.get(&vm.vm).copied().unwrap_or(0);
-            let as_before =
-                |removed: &Removed| vm.life <= removed.life && revision <= removed.revision;
+            let as_before = |removed: &Removed| {
+                vm.incarnation <= removed.incarnation && revision <= removed.revision
+            };
             if eras.removed.get(&vm.vm).is_some_and(as_before) {
                 eras.held_back_until_ms.insert(vm.vm.clone(), until_ms);
                 let notice =
--- a/core/src/node/limits.rs
+++ b/core/src/node/limits.rs
@@ -77,12 +77,12 @@
     pub fn report_limit(
         &mut self,
         vm: &str,
-        life: ids::ServerLife,
+        server_incarnation: ids::ServerIncarnation,
         directive: servers::Directive<u64>,
         took_ms: u64,
         now_ms: u64,
     ) {
-        let Some(slot) = self.servers.find_life(vm, life) else { return };
+        let Some(slot) = self.servers.find_incarnation(vm, server_incarnation) else { return };
         let limit_milli_per_s = match directive {
             servers::Directive::Value(limit) => Some(limit),
             servers::Directive::Absent => None,
@@ -105,7 +105,7 @@
     /// Merges the limits reported by a peer.
     pub(super) fn merge_limits(&mut self, updates: &[servers::LimitUpdate], now_ms: u64) {
         for update in updates {
-            let slot = self.servers.find_life(&update.vm, update.life);
+            let slot = self.servers.find_incarnation(&update.vm, update.incarnation);
             if let (Some(slot), Some(report)) = (slot, update.report(now_ms)) {
                 let source = LimitSource::Peer(update.answer.router);
                 self.apply_limit_report(slot, report, source, now_ms);
@@ -172,7 +172,7 @@
         let server = self.servers.get(slot)?;
         Some(servers::LimitUpdate {
             vm: server.vm.vm.clone(),
-            life: server.vm.life,
+            incarnation: server.vm.incarnation,
             limit_milli_per_s: report.limit_milli_per_s,
             answer: report.answer,
             sent_age_ms: now_ms.saturating_sub(report.sent_ms),
@@ -344,13 +344,13 @@
         now_ms: u64,
     ) {
         self.merge_limits(std::slice::from_ref(&known), now_ms);
-        let servers::LimitUpdate { vm, life, .. } = known;
-        let granted = match self.servers.find_life(&vm, life) {
+        let servers::LimitUpdate { vm, incarnation, .. } = known;
+        let granted = match self.servers.find_incarnation(&vm, incarnation) {
             Some(slot) => self.grant_permits(slot, wanted, now_ms),
             None => servers::PermitsGranted::none(NOT_PACER_RETRY_MS),
         };
         let trial = wanted.trial;
-        self.send(from, message::Message::PermitReply { number, vm, life, trial, granted });
+        self.send(from, message::Message::PermitReply { number, vm, incarnation, trial, granted });
     }
 
     /// Handles a pacer's reply to a request for permits.
@@ -358,12 +358,12 @@
         &mut self,
         number: u64,
         vm: &str,
-        life: ids::ServerLife,
+        incarnation: ids::ServerIncarnation,
         trial: bool,
         granted: servers::PermitsGranted,
         now_ms: u64,
     ) {
-        let Some(slot) = self.servers.find_life(vm, life) else { return };
+        let Some(slot) = self.servers.find_incarnation(vm, incarnation) else { return };
         let Some(limited) = self.servers.limits_mut().limited_mut(slot) else { return };
         limited.share.answered(Some(number), granted, trial, now_ms);
         let Some(server) = self.servers.get(slot) else { return };
--- a/core/src/node/notices.rs
+++ b/core/src/node/notices.rs
@@ -80,7 +80,7 @@
         /// VM of the server.
         vm: String,
         /// The incarnation that ended.
-        life: ids::ServerLife,
+        incarnation: ids::ServerIncarnation,
         /// Number of requests that broke off.
         requests: usize,
     },
@@ -146,7 +146,7 @@
         /// VM of the server.
         vm: String,
         /// The incarnation that leaves.
-        life: ids::ServerLife,
+        incarnation: ids::ServerIncarnation,
         /// Service of the server; empty if unknown.
         service: String,
 
@@ -160,14 +160,14 @@
         /// VM of the server.
         vm: String,
         /// The incarnation that left.
-        life: ids::ServerLife,
+        incarnation: ids::ServerIncarnation,
     },
     /// A server asked this router to send it no requests for some time.
     ServerBackoff {
         /// VM of the server.
         vm: String,
         /// The incarnation that asked.
-        life: ids::ServerLife,
+        incarnation: ids::ServerIncarnation,
         /// Service of the server.
         service: String,
         /// Duration in milliseconds, from now on.
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -60,8 +60,8 @@
             message::Message::PermitRequest { number, known, wanted } => {
                 self.handle_permit_request(from, number, known, wanted, now_ms);
             }
-            message::Message::PermitReply { number, vm, life, trial, granted } => {
-                self.handle_permit_reply(number, &vm, life, trial, granted, now_ms);
+            message::Message::PermitReply { number, vm, incarnation, trial, granted } => {
+                self.handle_permit_reply(number, &vm, incarnation, trial, granted, now_ms);
             }
             message::Message::LedgerCopy { shard, position, value } => {
                 self.handle_ledger_copy(from, shard, position, &value);
--- a/core/src/node/quarantine.rs
+++ b/core/src/node/quarantine.rs
@@ -78,7 +78,7 @@
 
     /// Records that a server's address refuses connections, so that the process that listened there has ended.
     pub fn connection_refused(&mut self, server: &quarantine::ServerInstance, now_ms: u64) {
-        if let Some(slot) = self.servers.find_life(&server.vm, server.life) {
+        if let Some(slot) = self.servers.find_incarnation(&server.vm, server.incarnation) {
             self.servers.refused(slot, now_ms);
         }
         // A server that leaves ends as planned.
@@ -139,8 +139,10 @@
             return;
         }
         if let Some(server) = self.servers.get(server) {
-            let server =
-                quarantine::ServerInstance { vm: server.vm.vm.clone(), life: server.vm.life };
+            let server = quarantine::ServerInstance {
+                vm: server.vm.vm.clone(),
+                incarnation: server.vm.incarnation,
+            };
             self.quarantine.runs.answered(&server, sent_ms);
         }
     }
@@ -160,7 +162,7 @@
 
     /// Whether a server incarnation announced that it leaves.
     fn is_leaving(&self, server: &quarantine::ServerInstance) -> bool {
-        self.leaving_servers.contains(&server.vm, server.life)
+        self.leaving_servers.contains(&server.vm, server.incarnation)
     }
 
     fn has_ended(&self, server: &quarantine::ServerInstance, address: &str) -> bool {
@@ -168,7 +170,7 @@
             return false;
         }
         match self.vms.get(&server.vm) {
-            Some(vm) if vm.life > server.life => true,
+            Some(vm) if vm.incarnation > server.incarnation => true,
             Some(vm) if vm.state == servers::VmState::Leaving => false,
             Some(_) => {
                 let succeeds = |vm: &servers::Vm| vm.address == address && vm.vm != server.vm;
@@ -191,7 +193,7 @@
         self.counters.server_crashes += 1;
         self.actions.push(Action::Notice(Notice::ServerCrashed {
             vm: server.vm.clone(),
-            life: server.life,
+            incarnation: server.incarnation,
             requests,
         }));
         for (request, at_ms) in broken {
@@ -205,7 +207,7 @@
         server: &quarantine::ServerInstance,
         at_ms: u64,
     ) {
-        let digest = quarantine::Server::new(&server.vm, server.life);
+        let digest = quarantine::Server::new(&server.vm, server.incarnation);
         let change = self.quarantine.table.crashed(request, digest, at_ms);
         if change == quarantine::Change::Quarantined {
             self.quarantine.record_sync.schedule_write();
--- a/core/src/node/types.rs
+++ b/core/src/node/types.rs
@@ -210,7 +210,7 @@
         /// VM of the server.
         vm: String,
         /// Incarnation of the server that the request is meant for.
-        life: ids::ServerLife,
+        incarnation: ids::ServerIncarnation,
         /// Identifies the attempt to the server.
         attempt: ids::AttemptId,
         /// Estimate of the prompt tokens that the server does not have in its cache.
@@ -288,7 +288,7 @@
         /// VM of the server.
         vm: String,
         /// Current incarnation of the server.
-        life: ids::ServerLife,
+        incarnation: ids::ServerIncarnation,
     },
     /// Reports an event for the log.
     Notice(Notice),
--- a/core/src/quarantine.rs
+++ b/core/src/quarantine.rs
@@ -49,7 +49,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Server {
     /// One incarnation of a server, which crashes only once.
-    Life(u64),
+    #[serde(rename = "Life")]
+    Incarnation(u64),
     /// A VM whose server does not report its start; its incarnations are distinguished by the times
     /// of their crashes.
     Vm(u64),
@@ -57,17 +58,19 @@
 
 impl Server {
     /// Creates the identity of an incarnation of a VM's server.
-    pub fn new(vm: &str, life: ids::ServerLife) -> Self {
+    pub fn new(vm: &str, incarnation: ids::ServerIncarnation) -> Self {
         let vm = rendezvous::digest(vm);
-        match life {
-            ids::ServerLife::UNKNOWN => Self::Vm(vm),
-            ids::ServerLife(life) => Self::Life(rendezvous::mix(vm ^ rendezvous::mix(life))),
+        match incarnation {
+            ids::ServerIncarnation::UNKNOWN => Self::Vm(vm),
+            ids::ServerIncarnation(incarnation) => {
+                Self::Incarnation(rendezvous::mix(vm ^ rendezvous::mix(incarnation)))
+            }
         }
     }
 
     /// Whether two crashes that are `apart_ms` apart are the same one.
     fn same_crash(self, other: Self, apart_ms: u64) -> bool {
-        self == other && (matches!(self, Self::Life(_)) || apart_ms < SAME_CRASH_WINDOW_MS)
+        self == other && (matches!(self, Self::Incarnation(_)) || apart_ms < SAME_CRASH_WINDOW_MS)
     }
 }
 
--- a/core/src/quarantine/runs.rs
+++ b/core/src/quarantine/runs.rs
@@ -28,7 +28,7 @@
     /// VM of the server.
     pub vm: String,
     /// Incarnation of the server.
-    pub life: ids::ServerLife,
+    pub incarnation: ids::ServerIncarnation,
 }
 
 #[derive(Debug)]
@@ -43,8 +43,8 @@
 impl InstanceRuns {
     /// Whether the incarnation is known to have crashed. Incarnations without an identifier are
     /// distinguished by the times of their crashes.
-    fn crashed(&self, life: ids::ServerLife, now_ms: u64) -> bool {
-        let identified = life != ids::ServerLife::UNKNOWN;
+    fn crashed(&self, incarnation: ids::ServerIncarnation, now_ms: u64) -> bool {
+        let identified = incarnation != ids::ServerIncarnation::UNKNOWN;
         self.crashed_ms.is_some_and(|at_ms| identified || now_ms < at_ms + SAME_CRASH_WINDOW_MS)
     }
 }
@@ -87,7 +87,7 @@
         });
         runs.updated_ms = now_ms;
         self.revision += 1;
-        let crashed = runs.crashed(server.life, now_ms);
+        let crashed = runs.crashed(server.incarnation, now_ms);
         if !crashed && runs.interrupted.len() < RUNS_PER_INSTANCE_MAX {
             runs.interrupted.push(InterruptedRun {
                 request,
--- a/core/src/servers/limit_checks.rs
+++ b/core/src/servers/limit_checks.rs
@@ -26,8 +26,12 @@
     }
 
     /// Slot of one incarnation of a VM's server.
-    pub fn find_life(&self, vm: &str, life: ids::ServerLife) -> Option<ids::ServerSlot> {
-        self.find(vm).filter(|slot| self.servers[*slot].vm.life == life)
+    pub fn find_incarnation(
+        &self,
+        vm: &str,
+        incarnation: ids::ServerIncarnation,
+    ) -> Option<ids::ServerSlot> {
+        self.find(vm).filter(|slot| self.servers[*slot].vm.incarnation == incarnation)
     }
 
     /// Resets the estimated answer time of a server: it is outdated or comes from a few requests
--- a/core/src/servers/limits.rs
+++ b/core/src/servers/limits.rs
@@ -61,7 +61,7 @@
     /// VM of the server.
     pub vm: String,
     /// Incarnation of the server.
-    pub life: ids::ServerLife,
+    pub incarnation: ids::ServerIncarnation,
     /// Limit in thousandths of a request per second; `None` if the server reports no limit any
     /// more.
     pub limit_milli_per_s: Option<u64>,
--- a/core/src/servers/restarts.rs
+++ b/core/src/servers/restarts.rs
@@ -11,15 +11,15 @@
     /// VM of the server.
     pub vm: String,
     /// Incarnation of the server after the restart.
-    pub life: ids::ServerLife,
+    pub incarnation: ids::ServerIncarnation,
     /// Number of this router's requests that were open at the previous incarnation.
     pub open_requests: u64,
 }
 
 impl Table {
     /// Marks an incarnation of a server as leaving; it receives no new requests from now on.
-    pub fn mark_leaving(&mut self, vm: &str, life: ids::ServerLife) {
-        if let Some(slot) = self.find_life(vm, life) {
+    pub fn mark_leaving(&mut self, vm: &str, incarnation: ids::ServerIncarnation) {
+        if let Some(slot) = self.find_incarnation(vm, incarnation) {
             self.servers[slot].vm.state = VmState::Leaving;
         }
     }
@@ -31,10 +31,10 @@
 
     pub(super) fn apply_vm(&mut self, vm: &Vm, now_ms: u64) {
         if let Some(slot) = self.find(&vm.vm) {
-            match vm.life.cmp(&self.servers[slot].vm.life) {
+            match vm.incarnation.cmp(&self.servers[slot].vm.incarnation) {
                 Ordering::Less => return,
                 Ordering::Equal => return self.update_incarnation(slot, vm, now_ms),
-                Ordering::Greater => self.end_incarnation(slot, vm.life),
+                Ordering::Greater => self.end_incarnation(slot, vm.incarnation),
             }
         }
         let slot = self.servers.insert(Server::new(vm.clone()));
@@ -47,11 +47,11 @@
 
     /// Ends an incarnation of a server. The next one gets its own slot, because nothing that was
     /// learned about this one applies to it.
-    fn end_incarnation(&mut self, slot: ids::ServerSlot, next: ids::ServerLife) {
+    fn end_incarnation(&mut self, slot: ids::ServerSlot, next: ids::ServerIncarnation) {
         let server = &mut self.servers[slot];
         server.superseded = true;
         let (vm, open_requests) = (server.vm.vm.clone(), server.in_flight);
-        self.restarted.push(Restarted { vm, life: next, open_requests });
+        self.restarted.push(Restarted { vm, incarnation: next, open_requests });
         self.limits.forget(slot);
         for slots in self.by_service.values_mut() {
             slots.retain(|other| *other != slot);
--- a/core/src/servers/vm.rs
+++ b/core/src/servers/vm.rs
@@ -23,7 +23,8 @@
     pub slots: u64,
     /// Incarnation of its server.
     #[serde(default)]
-    pub life: ids::ServerLife,
+    #[serde(rename = "life")]
+    pub incarnation: ids::ServerIncarnation,
     /// Remaining time in which its server is cold, counted from the report, in milliseconds.
     #[serde(default)]
     pub cold_ms: u64,
@@ -40,7 +41,7 @@
     /// one is outdated then.
     pub fn unless_superseded(self, known: Option<&Self>) -> Self {
         match known {
-            Some(known) if known.life > self.life => known.clone(),
+            Some(known) if known.incarnation > self.incarnation => known.clone(),
             _ => self,
         }
     }
--- a/core/tests/arbitrary_messages.rs
+++ b/core/tests/arbitrary_messages.rs
@@ -18,16 +18,16 @@
     fleet.restart_server("server-2", servers::VmState::Live);
     fleet.spoil_server("server-3");
     fleet.publish();
-    let names: Vec<(String, ids::ServerLife)> = fleet.routers[0]
+    let names: Vec<(String, ids::ServerIncarnation)> = fleet.routers[0]
         .node
         .servers()
         .iter()
-        .map(|(_, server)| (server.vm.vm.clone(), server.vm.life))
+        .map(|(_, server)| (server.vm.vm.clone(), server.vm.incarnation))
         .collect();
     let now_ms = fleet.now_ms;
-    for (vm, life) in &names {
+    for (vm, incarnation) in &names {
         let said = servers::Directive::Value(1_100);
-        fleet.routers[0].node.report_limit(vm, *life, said, 5, now_ms);
+        fleet.routers[0].node.report_limit(vm, *incarnation, said, 5, now_ms);
     }
     let mut found = permits(fleet, &names[0]);
     for _ in 0..40 {
@@ -49,15 +49,15 @@
 }
 
 /// A question for permits and an answer, which a router in calm does not send.
-fn permits(fleet: &Fleet, (vm, life): &(String, ids::ServerLife)) -> Vec<Vec<u8>> {
+fn permits(fleet: &Fleet, (vm, incarnation): &(String, ids::ServerIncarnation)) -> Vec<Vec<u8>> {
     let id = |place: usize| fleet.routers[place].node.members().own().id;
     let wanted = servers::PermitsRequested { permits: 2, within_ms: 400, trial: false };
     let granted = servers::PermitsGranted { permits: 1, in_ms: 300 };
-    let (vm, life) = (vm.clone(), *life);
+    let (vm, incarnation) = (vm.clone(), *incarnation);
     let answer = servers::AnswerId { router: id(0), number: 1 };
     let known = servers::LimitUpdate {
         vm: vm.clone(),
-        life,
+        incarnation,
         limit_milli_per_s: Some(1_100),
         answer,
         sent_age_ms: 40,
@@ -65,7 +65,7 @@
     };
     let messages = [
         message::Message::PermitRequest { number: 1, known, wanted },
-        message::Message::PermitReply { number: 1, vm, life, trial: false, granted },
+        message::Message::PermitReply { number: 1, vm, incarnation, trial: false, granted },
     ];
     let envelopes = messages.map(|message| message::Envelope { from: id(0), to: id(1), message });
     let datagrams = envelopes.map(message::Datagram::Message);
@@ -118,7 +118,7 @@
         failure_domain: "a".to_owned(),
         state: servers::VmState::Leaving,
         slots: 1,
-        life: ids::ServerLife(u64::arbitrary(g)),
+        incarnation: ids::ServerIncarnation(u64::arbitrary(g)),
         cold_ms: 0,
     };
     let copy_state = message::CopyState { position, age_ms: Some(0) };
--- a/core/tests/broken_runs.rs
+++ b/core/tests/broken_runs.rs
@@ -11,14 +11,14 @@
     ids::Fingerprint { head: u64::from(number), whole: [number; 16] }
 }
 
-fn server(life: u64) -> ServerInstance {
-    ServerInstance { vm: "vm".to_owned(), life: ids::ServerLife(life) }
+fn server(incarnation: u64) -> ServerInstance {
+    ServerInstance { vm: "vm".to_owned(), incarnation: ids::ServerIncarnation(incarnation) }
 }
 
 /// One run that broke at a moment.
-fn broken(life: u64) -> Runs {
+fn broken(incarnation: u64) -> Runs {
     let mut runs = Runs::default();
-    assert!(!runs.record_interrupted(&server(life), "10.0.0.1:1", request(1), NOW_MS));
+    assert!(!runs.record_interrupted(&server(incarnation), "10.0.0.1:1", request(1), NOW_MS));
     runs
 }
 
@@ -47,7 +47,7 @@
 
 #[test]
 fn lives_without_names_are_told_apart_by_time() {
-    let unknown = ids::ServerLife::UNKNOWN.0;
+    let unknown = ids::ServerIncarnation::UNKNOWN.0;
     let mut runs = broken(unknown);
     runs.refused(&server(unknown), NOW_MS);
     assert!(runs.record_interrupted(&server(unknown), "10.0.0.1:1", request(2), NOW_MS + 300));
@@ -85,7 +85,8 @@
 fn all_is_forgotten_and_bounded() {
     let mut runs = Runs::default();
     for number in 0..2_000 {
-        let server = ServerInstance { vm: format!("vm-{number}"), life: ids::ServerLife(1) };
+        let server =
+            ServerInstance { vm: format!("vm-{number}"), incarnation: ids::ServerIncarnation(1) };
         for _ in 0..400 {
             runs.record_interrupted(&server, "10.0.0.1:1", request(1), NOW_MS + number);
         }
--- a/core/tests/cold_servers.rs
+++ b/core/tests/cold_servers.rs
@@ -22,7 +22,7 @@
         failure_domain: domain.to_owned(),
         state: servers::VmState::Live,
         slots: 24,
-        life: Default::default(),
+        incarnation: Default::default(),
         cold_ms,
     }
 }
--- a/core/tests/crash_cost.rs
+++ b/core/tests/crash_cost.rs
@@ -95,10 +95,10 @@
         let mut world = fleet(seed);
         spend(&mut world, TOKENS_PER_S, 20_000);
         let holder = holder(&world, 0);
-        let life = world.routers[holder].life;
+        let incarnation = world.routers[holder].incarnation;
         let before_tokens = world.ledger(0).written_off_tokens;
         crash(&mut world, &[holder]);
-        assert!(!world.ledger(0).grants.contains_key(&life), "seed {seed}: it was closed");
+        assert!(!world.ledger(0).grants.contains_key(&incarnation), "seed {seed}: it was closed");
         let lost_tokens = world.ledger(0).written_off_tokens - before_tokens;
         assert!(
             lost_tokens <= 2 * COVER_S * TOKENS_PER_S,
--- a/core/tests/external_names.rs
+++ b/core/tests/external_names.rs
@@ -192,7 +192,8 @@
 fn quarantine_record() -> quarantine::Record {
     let request = ids::Fingerprint { head: 1, whole: [2; 16] };
     let crash = |server, age_ms| quarantine::Crash { server, age_ms };
-    let crashes = vec![crash(quarantine::Server::Life(3), 4), crash(quarantine::Server::Vm(5), 6)];
+    let crashes =
+        vec![crash(quarantine::Server::Incarnation(3), 4), crash(quarantine::Server::Vm(5), 6)];
     let report = quarantine::Report { request, crashes, cleared_age_ms: Some(7) };
     quarantine::Record::new(vec![report], 1_000)
 }
@@ -217,7 +218,7 @@
         failure_domain: "east".to_owned(),
         state,
         slots: 1,
-        life: ids::ServerLife(2),
+        incarnation: ids::ServerIncarnation(2),
         cold_ms: 3,
     }
 }
--- a/core/tests/fair_parts.rs
+++ b/core/tests/fair_parts.rs
@@ -31,7 +31,7 @@
 
 struct Server {
     name: String,
-    life: u64,
+    incarnation: u64,
     work_ms: u64,
     fails: bool,
     sends_ms: Vec<u64>,
@@ -41,7 +41,7 @@
     router: usize,
     slot: ids::ServerSlot,
     server: usize,
-    life: u64,
+    incarnation: u64,
     sent_ms: u64,
     fails: bool,
 }
@@ -63,7 +63,7 @@
     fn new(routers: usize, servers: usize, work_ms: u64, per_s: u64, seed: u64) -> Self {
         let server = |place: usize| Server {
             name: format!("vm-{place}"),
-            life: 1,
+            incarnation: 1,
             work_ms,
             fails: false,
             sends_ms: Vec::new(),
@@ -93,7 +93,7 @@
             failure_domain: "a".to_owned(),
             state: servers::VmState::Live,
             slots: 8,
-            life: ids::ServerLife(server.life),
+            incarnation: ids::ServerIncarnation(server.incarnation),
             cold_ms: 0,
         };
         let vms: Vec<servers::Vm> = self.servers.iter().map(vm).collect();
@@ -132,9 +132,9 @@
         server.sends_ms.push(self.now_ms);
         let fails = server.fails;
         let takes_ms = if fails { 1 } else { self.rng.random_range(1..2 * server.work_ms) };
-        let (life, sent_ms) = (server.life, self.now_ms);
+        let (incarnation, sent_ms) = (server.incarnation, self.now_ms);
         self.number += 1;
-        let run = Run { router, slot, server: place, life, sent_ms, fails };
+        let run = Run { router, slot, server: place, incarnation, sent_ms, fails };
         self.runs.insert((self.now_ms + takes_ms, self.number), run);
     }
 
@@ -146,7 +146,7 @@
             let run = entry.remove();
             let table = &mut self.tables[run.router];
             table.ended(run.slot);
-            if run.fails || self.servers[run.server].life != run.life {
+            if run.fails || self.servers[run.server].incarnation != run.incarnation {
                 table.failed(run.slot, self.now_ms);
                 continue;
             }
@@ -184,7 +184,7 @@
                 }
             }
             Trouble::Crashes => {
-                self.servers[0].life += 1;
+                self.servers[0].incarnation += 1;
                 let tables = self.tables.iter_mut();
                 tables.for_each(|table| table.refused(table.find("vm-0").unwrap(), self.now_ms));
             }
--- a/core/tests/holders.rs
+++ b/core/tests/holders.rs
@@ -120,9 +120,10 @@
     assert!(served(&world, place), "{:?}", world.given[place].end);
     world.faults.pairs_cut.clear();
     world.run_ms(10_000);
-    let holder_life = world.routers[holder].life;
+    let holder_incarnation = world.routers[holder].incarnation;
     let ledger = world.ledger(0);
-    let others = ledger.grants.iter().filter(|(life, _)| **life != holder_life);
+    let others =
+        ledger.grants.iter().filter(|(incarnation, _)| **incarnation != holder_incarnation);
     let drawn_tokens: u64 = others.map(|(_, grant)| grant.granted_tokens).sum();
     assert!(drawn_tokens >= BOUND_TOKENS, "{drawn_tokens} still granted: no call gave them back");
     let elsewhere = (0..ROUTERS).filter(|at| *at != holder);
@@ -158,14 +159,14 @@
 #[test]
 fn a_dead_member_is_suspected_soon_however_large_the_fleet() {
     let mut world = fleet();
-    let dead = world.routers[3].life;
+    let dead = world.routers[3].incarnation;
     world.kill(3);
     world.run_ms(3_000);
     let suspects = |router: &world::Router, id: ids::Incarnation| {
         let record = router.node.members().find(id);
         record.is_some_and(|record| record.health >= members::Health::Suspect)
     };
-    let living = world.routers.iter().filter(|router| router.life != dead);
+    let living = world.routers.iter().filter(|router| router.incarnation != dead);
     let knowing = living.filter(|router| suspects(router, dead)).count();
     assert!(knowing > 0, "nobody noticed");
 }
@@ -174,7 +175,7 @@
 fn a_life_that_starts_where_another_held_tokens_is_told_and_closes_them() {
     let mut world = fleet();
     let holder = holders(&world)[0];
-    let earlier = world.routers[holder].life;
+    let earlier = world.routers[holder].incarnation;
     // A holder has something in hand once the budget is spent from.
     world.admit(holder, 0, 0, BOUND_TOKENS, BOUND_TOKENS, false);
     world.run_ms(2_000);
--- a/core/tests/limit_schedules.rs
+++ b/core/tests/limit_schedules.rs
@@ -26,7 +26,7 @@
 /// A server, and what it says.
 struct Server {
     name: String,
-    life: ids::ServerLife,
+    incarnation: ids::ServerIncarnation,
     work_ms: std::ops::Range<u64>,
     limit_milli_per_s: Option<u64>,
     /// When an answer first named that.
@@ -39,10 +39,10 @@
 
 struct Run {
     router: usize,
-    life: u64,
+    incarnation: u64,
     slot: ids::RequestSlot,
     server: usize,
-    server_life: ids::ServerLife,
+    server_incarnation: ids::ServerIncarnation,
     sent_ms: u64,
     answers_ms: u64,
     /// What the answer says, once it is made; it arrives later.
@@ -74,7 +74,7 @@
         let work_ms = traffic.rng.random_range(10..200);
         let server = |place: usize| Server {
             name: format!("vm-{place}"),
-            life: ids::ServerLife(1),
+            incarnation: ids::ServerIncarnation(1),
             work_ms: work_ms / 2..work_ms * 4,
             limit_milli_per_s: None,
             named_ms: None,
@@ -128,14 +128,14 @@
     }
 
     fn take_answers(&mut self) {
-        for (place, life, slot, answer) in std::mem::take(&mut self.traffic.fleet.answers) {
+        for (place, incarnation, slot, answer) in std::mem::take(&mut self.traffic.fleet.answers) {
             match answer {
-                node::Answer::Dispatch { vm, life: server_life, .. } => {
-                    self.waiting.remove(&(place, life, slot));
-                    self.dispatched(place, life, slot, &vm, server_life);
+                node::Answer::Dispatch { vm, incarnation: server_incarnation, .. } => {
+                    self.waiting.remove(&(place, incarnation, slot));
+                    self.dispatched(place, incarnation, slot, &vm, server_incarnation);
                 }
                 node::Answer::Refuse { reason, retry_after_ms } => {
-                    let given_ms = self.waiting.remove(&(place, life, slot)).unwrap();
+                    let given_ms = self.waiting.remove(&(place, incarnation, slot)).unwrap();
                     self.refused(place, reason, retry_after_ms, given_ms);
                 }
                 node::Answer::Replay(_) | node::Answer::Closed { .. } => {}
@@ -146,22 +146,31 @@
     fn dispatched(
         &mut self,
         router: usize,
-        life: u64,
+        incarnation: u64,
         slot: ids::RequestSlot,
         vm: &str,
-        server_life: ids::ServerLife,
+        server_incarnation: ids::ServerIncarnation,
     ) {
         let now_ms = self.traffic.fleet.now_ms;
         let place = self.servers.iter().position(|server| server.name == vm).unwrap();
         let in_touch = self.traffic.fleet.in_touch(router);
         let server = &mut self.servers[place];
-        if server.life == server_life && in_touch {
+        if server.incarnation == server_incarnation && in_touch {
             server.sends_ms.push(now_ms);
         }
         server.all_sends_ms.push(now_ms);
         let answers_ms = now_ms + self.traffic.rng.random_range(server.work_ms.clone());
         let (server, sent_ms) = (place, now_ms);
-        let run = Run { router, life, slot, server, server_life, sent_ms, answers_ms, said: None };
+        let run = Run {
+            router,
+            incarnation,
+            slot,
+            server,
+            server_incarnation,
+            sent_ms,
+            answers_ms,
+            said: None,
+        };
         self.runs.push(run);
     }
 
@@ -188,7 +197,8 @@
                 continue;
             }
             let server = &mut self.servers[run.server];
-            let limit = server.limit_milli_per_s.filter(|_| server.life == run.server_life);
+            let limit =
+                server.limit_milli_per_s.filter(|_| server.incarnation == run.server_incarnation);
             if limit.is_some() {
                 server.named_ms.get_or_insert(now_ms);
             }
@@ -199,7 +209,7 @@
         let routers = &self.traffic.fleet.routers;
         let arrived = |run: &mut Run| {
             let router = &routers[run.router];
-            let reads = !router.frozen || router.life != run.life;
+            let reads = !router.frozen || router.incarnation != run.incarnation;
             run.said.is_some_and(|(_, at_ms)| now_ms >= at_ms) && reads
         };
         let ended: Vec<Run> = self.runs.extract_if(.., arrived).collect();
@@ -211,14 +221,14 @@
     fn answered(&mut self, run: &Run) {
         let now_ms = self.traffic.fleet.now_ms;
         let router = &mut self.traffic.fleet.routers[run.router];
-        if !router.alive || router.life != run.life {
+        if !router.alive || router.incarnation != run.incarnation {
             return;
         }
         let Some((said, _)) = run.said else { return };
         self.counts.served += 1;
         let vm = &self.servers[run.server].name;
         let took_ms = now_ms - run.sent_ms;
-        router.node.report_limit(vm, run.server_life, said, took_ms, now_ms);
+        router.node.report_limit(vm, run.server_incarnation, said, took_ms, now_ms);
         let ending = node::RequestOutcome::Ran { consumed_tokens: 0, outcome: None, healthy: true };
         router.node.finish(run.slot, ending, now_ms);
         self.traffic.fleet.carry_out(run.router);
@@ -267,7 +277,7 @@
             11 => {
                 let server = self.traffic.rng.random_range(0..self.servers.len());
                 let name = self.servers[server].name.clone();
-                self.servers[server].life.0 += 1;
+                self.servers[server].incarnation.0 += 1;
                 self.traffic.fleet.restart_server_with_slots(&name, servers::VmState::Live, 1_000);
                 let limit = self.servers[server].limit_milli_per_s.take();
                 self.name(server, limit);
@@ -319,8 +329,9 @@
     let reached = scenario.reached(since_ms);
     let even = reached.values().sum::<usize>() / reached.len();
     // One that started anew counts as slow until it has served for a while, limit or not.
-    let first_lives = scenario.servers.iter().filter(|server| server.life.0 == 1);
-    let least = first_lives.map(|server| reached[server.name.as_str()]).min().unwrap_or(even);
+    let first_incarnations = scenario.servers.iter().filter(|server| server.incarnation.0 == 1);
+    let least =
+        first_incarnations.map(|server| reached[server.name.as_str()]).min().unwrap_or(even);
     assert!(least * 3 >= even, "seed {seed}: {reached:?} long after all limits ended");
     let held_back = scenario
         .traffic
@@ -405,7 +416,7 @@
         let now_ms = scenario.traffic.fleet.now_ms;
         let said = servers::Directive::Value(1_000);
         let node = &mut scenario.traffic.fleet.routers[0].node;
-        node.report_limit("vm-0", ids::ServerLife(1), said, 10, now_ms);
+        node.report_limit("vm-0", ids::ServerIncarnation(1), said, 10, now_ms);
         scenario.traffic.fleet.run_until("all know", CONTACT_MS, |fleet| {
             fleet.routers.iter().all(|it| it.node.servers().limits().iter_limited().count() == 1)
         });
@@ -512,7 +523,7 @@
     let id = |place: usize| fleet.routers[place].node.members().own().id;
     let known = servers::LimitUpdate {
         vm: "server-0".to_owned(),
-        life: ids::ServerLife(1),
+        incarnation: ids::ServerIncarnation(1),
         limit_milli_per_s: Some(100_000),
         answer: servers::AnswerId { router: id(asker), number: 1 },
         sent_age_ms: 100,
@@ -539,7 +550,7 @@
     let mut fleet = watch_fleet::settled(7, BOUNDS, 12);
     let said = servers::Directive::Value(1_100);
     let now_ms = fleet.now_ms;
-    fleet.routers[0].node.report_limit("server-0", ids::ServerLife(1), said, 10, now_ms);
+    fleet.routers[0].node.report_limit("server-0", ids::ServerIncarnation(1), said, 10, now_ms);
     fleet.run_ms(5_000);
     let granting = (0..7).filter(|place| grants(&mut fleet, *place, (place + 1) % 7)).count();
     assert_eq!(granting, 1);
@@ -562,16 +573,16 @@
 fn an_answer_made_before_a_limit_does_not_end_it() {
     let mut fleet = watch_fleet::settled(3, BOUNDS, 9);
     let now_ms = fleet.now_ms;
-    let life = ids::ServerLife(1);
+    let incarnation = ids::ServerIncarnation(1);
     let node = &mut fleet.routers[0].node;
     let limited = |node: &node::Node| node.servers().limits().iter_limited().next().is_some();
-    node.report_limit("server-0", life, servers::Directive::Value(1_100), 20, now_ms);
+    node.report_limit("server-0", incarnation, servers::Directive::Value(1_100), 20, now_ms);
     assert!(limited(node));
-    node.report_limit("server-0", life, servers::Directive::Absent, 500, now_ms + 100);
+    node.report_limit("server-0", incarnation, servers::Directive::Absent, 500, now_ms + 100);
     assert!(limited(node));
-    node.report_limit("server-0", life, servers::Directive::Absent, 50, now_ms + 100);
+    node.report_limit("server-0", incarnation, servers::Directive::Absent, 50, now_ms + 100);
     assert!(!limited(node));
-    node.report_limit("server-0", life, servers::Directive::Value(1_100), 400, now_ms + 110);
+    node.report_limit("server-0", incarnation, servers::Directive::Value(1_100), 400, now_ms + 110);
     assert!(!limited(node), "an answer to an earlier request began it again");
 }
 
@@ -584,12 +595,12 @@
     };
     let said = servers::Directive::Value(0);
     let now_ms = fleet.now_ms;
-    fleet.routers[0].node.report_limit("server-0", ids::ServerLife(1), said, 5, now_ms);
+    fleet.routers[0].node.report_limit("server-0", ids::ServerIncarnation(1), said, 5, now_ms);
     fleet.run_ms(5_000);
     assert!(fleet.routers.iter().all(|it| it.node.servers().limits().iter_limited().count() == 1));
     fleet.run_until("it runs out", 150_000, |fleet| !limited(fleet));
     let now_ms = fleet.now_ms;
-    fleet.routers[0].node.report_limit("server-1", ids::ServerLife(1), said, 5, now_ms);
+    fleet.routers[0].node.report_limit("server-1", ids::ServerIncarnation(1), said, 5, now_ms);
     fleet.run_ms(1_000);
     fleet.restart_server("server-1", servers::VmState::Live);
     fleet.run_until("its later life is known", 5_000, |fleet| !limited(fleet));
@@ -617,7 +628,7 @@
     let now_ms = fleet.now_ms;
     for router in &mut fleet.routers {
         let age = servers::AnswerAge::default();
-        router.node.report_directives("server-0", ids::ServerLife(1), &said, age, now_ms);
+        router.node.report_directives("server-0", ids::ServerIncarnation(1), &said, age, now_ms);
     }
     fleet.run_ms(1_000);
     assert_eq!(granting(&mut fleet), 0);
@@ -641,7 +652,13 @@
         };
         let said = servers::Directives { limit_milli_per_s, backoff_ms, ..Default::default() };
         let age = servers::AnswerAge::default();
-        node.report_directives(&format!("vm-{place}"), ids::ServerLife(1), &said, age, now_ms);
+        node.report_directives(
+            &format!("vm-{place}"),
+            ids::ServerIncarnation(1),
+            &said,
+            age,
+            now_ms,
+        );
     }
     node.take_actions();
     traffic.fleet.routers[1].alive = false;
@@ -677,11 +694,11 @@
     let report_limit = |fleet: &mut Fleet, limit_milli_per_s| {
         let (node, now_ms) = (&mut fleet.routers[1].node, fleet.now_ms);
         let stated = servers::Directive::Value(limit_milli_per_s);
-        node.report_limit("server-0", ids::ServerLife(1), stated, 0, now_ms);
+        node.report_limit("server-0", ids::ServerIncarnation(1), stated, 0, now_ms);
     };
     let known_limit = |fleet: &Fleet, place: usize| {
         let servers = fleet.routers[place].node.servers();
-        let slot = servers.find_life("server-0", ids::ServerLife(1)).unwrap();
+        let slot = servers.find_incarnation("server-0", ids::ServerIncarnation(1)).unwrap();
         servers.limits().limited(slot).and_then(|known| known.report.limit_milli_per_s)
     };
     fleet.set_frozen(0, true);
--- a/core/tests/node.rs
+++ b/core/tests/node.rs
@@ -199,7 +199,7 @@
 
 /// The list of VMs that a router tells a peer which asks.
 fn told_vms(world: &mut World) -> Vec<String> {
-    let (from, to) = (world.routers[1].life, world.routers[0].life);
+    let (from, to) = (world.routers[1].incarnation, world.routers[0].incarnation);
     let ask = message::Envelope { from, to, message: message::Message::VmsRequest };
     let node = &mut world.routers[0].node;
     node.take_actions();
@@ -243,7 +243,7 @@
         member_updates: Vec::new(),
         leaving: vec![message::LeavingUpdate {
             vm: vm.to_owned(),
-            life: Default::default(),
+            incarnation: Default::default(),
             source: leaving_servers::Source::Record,
         }],
         quarantine: Default::default(),
@@ -295,7 +295,7 @@
     assert!(!world.given[given].dispatched, "the claim takes a while");
     node.report_directives(
         &chosen.vm,
-        chosen.life,
+        chosen.incarnation,
         &said,
         servers::AnswerAge::default(),
         world.now_ms,
@@ -365,7 +365,7 @@
         servers::Directives { backoff_ms: servers::Directive::Value(1_000), ..Default::default() };
     for (number, slot) in slots.into_iter().enumerate() {
         let age = servers::AnswerAge::default();
-        node.report_directives(&vm.vm, vm.life, &said, age, now_ms + 50);
+        node.report_directives(&vm.vm, vm.incarnation, &said, age, now_ms + 50);
         // Some answers don't say that the request did not run.
         let ending = match number % 2 {
             0 => {
@@ -406,7 +406,7 @@
     let vm = node.servers().iter().next().unwrap().1.vm.clone();
     let said =
         servers::Directives { backoff_ms: servers::Directive::Value(100), ..Default::default() };
-    node.report_directives(&vm.vm, vm.life, &said, servers::AnswerAge::default(), now_ms);
+    node.report_directives(&vm.vm, vm.incarnation, &said, servers::AnswerAge::default(), now_ms);
     node.take_actions();
     for wanted in wanted {
         node.admit(wanted, now_ms + 200);
--- a/core/tests/poison_schedules.rs
+++ b/core/tests/poison_schedules.rs
@@ -31,13 +31,13 @@
 struct Run {
     kind: usize,
     router: usize,
-    life: u64,
+    incarnation: u64,
     ends_ms: u64,
 }
 
 struct Server {
     name: String,
-    life: ids::ServerLife,
+    incarnation: ids::ServerIncarnation,
     starts: u64,
     runs: Vec<Run>,
     /// When it starts again, if it has crashed.
@@ -105,10 +105,10 @@
         for place in 0..SERVERS {
             let name = format!("vm-{place}");
             scenario.fleet.put_server(&name, servers::VmState::Live);
-            let life = ids::ServerLife(1);
+            let incarnation = ids::ServerIncarnation(1);
             let runs = Vec::new();
             let server =
-                Server { name, life, starts: 1, runs, down_until_ms: None, lapses_ms: None };
+                Server { name, incarnation, starts: 1, runs, down_until_ms: None, lapses_ms: None };
             scenario.servers.push(server);
         }
         scenario
@@ -154,7 +154,7 @@
         server.down_until_ms = None;
         server.starts += 1;
         if self.rng.random_bool(0.5) {
-            server.life.0 += 1;
+            server.incarnation.0 += 1;
             server.lapses_ms = None;
             let name = server.name.clone();
             self.fleet.restart_server(&name, servers::VmState::Live);
@@ -163,7 +163,7 @@
                 self.fleet.remove_server(&server.name);
             }
             server.name = format!("vm-{place}-{}", server.starts);
-            server.life = ids::ServerLife(1);
+            server.incarnation = ids::ServerIncarnation(1);
             let name = server.name.clone();
             self.fleet.put_server(&name, servers::VmState::Live);
         }
@@ -189,11 +189,14 @@
         let server = &self.servers[place];
         let broken = node::BrokenRun {
             slot: ids::RequestSlot::default(),
-            server: quarantine::ServerInstance { vm: server.name.clone(), life: server.life },
+            server: quarantine::ServerInstance {
+                vm: server.name.clone(),
+                incarnation: server.incarnation,
+            },
             address: format!("10.9.1.{place}:{}", server.starts),
             request: self.kinds[run.kind].request,
         };
-        self.unnoticed.push((run.router, run.life, broken));
+        self.unnoticed.push((run.router, run.incarnation, broken));
     }
 
     fn end_well(&mut self, place: usize, run: &Run) {
@@ -203,7 +206,7 @@
             return;
         }
         let router = &mut self.fleet.routers[run.router];
-        if router.alive && router.life == run.life {
+        if router.alive && router.incarnation == run.incarnation {
             let now_ms = self.fleet.now_ms;
             self.good_ends_ms[run.kind].push(now_ms);
             router.node.run_succeeded(self.kinds[run.kind].request, now_ms);
@@ -214,19 +217,19 @@
     fn notice(&mut self) {
         let now_ms = self.fleet.now_ms;
         let unnoticed = std::mem::take(&mut self.unnoticed);
-        for (router, life, broken) in unnoticed {
+        for (router, incarnation, broken) in unnoticed {
             let at = &mut self.fleet.routers[router];
-            if !at.alive || at.life != life {
+            if !at.alive || at.incarnation != incarnation {
                 continue;
             }
             if at.frozen {
-                self.unnoticed.push((router, life, broken));
+                self.unnoticed.push((router, incarnation, broken));
                 continue;
             }
             at.node.run_broken(&broken, now_ms);
             let down = self.servers.iter().any(|server| {
                 server.name == broken.server.vm
-                    && server.life == broken.server.life
+                    && server.incarnation == broken.server.incarnation
                     && server.down_until_ms.is_some()
             });
             if down && self.rng.random_range(0..100) < self.refusals_percent {
@@ -261,7 +264,7 @@
         if router.node.quarantine_refusal(Some(request), now_ms).is_some() {
             return;
         }
-        let life = router.life;
+        let incarnation = router.incarnation;
         let up: Vec<usize> = (0..self.servers.len())
             .filter(|server| self.servers[*server].down_until_ms.is_none())
             .collect();
@@ -270,7 +273,7 @@
             self.sends_ms[kind].push(now_ms);
         }
         let ends_ms = now_ms + runs_ms;
-        self.servers[server].runs.push(Run { kind, router: place, life, ends_ms });
+        self.servers[server].runs.push(Run { kind, router: place, incarnation, ends_ms });
     }
 
     fn check_innocent(&self) {
@@ -419,7 +422,7 @@
     let vm = format!("crashed-{number}");
     let broken = node::BrokenRun {
         slot: ids::RequestSlot::default(),
-        server: quarantine::ServerInstance { vm, life: ids::ServerLife(1) },
+        server: quarantine::ServerInstance { vm, incarnation: ids::ServerIncarnation(1) },
         address: format!("10.9.2.{number}:1"),
         request: fingerprint(0),
     };
--- a/core/tests/promises.rs
+++ b/core/tests/promises.rs
@@ -203,7 +203,7 @@
     }
     quiet(&mut world);
     for given in &world.given {
-        let lost = world.routers[given.at].life != given.life;
+        let lost = world.routers[given.at].incarnation != given.incarnation;
         assert!(given.end.is_some() || lost, "a request got no answer: {given:?}");
     }
     // Two deaths may take a settlement's router and its committer; one may not.
--- a/core/tests/quarantine.rs
+++ b/core/tests/quarantine.rs
@@ -17,7 +17,7 @@
 }
 
 fn server(number: u64) -> Server {
-    Server::new(&format!("vm-{number}"), ids::ServerLife(1))
+    Server::new(&format!("vm-{number}"), ids::ServerIncarnation(1))
 }
 
 /// Three crashes under a request, a second apart.
@@ -47,7 +47,7 @@
 
 #[test]
 fn a_vm_whose_lives_have_no_names_crashes_again_after_a_while() {
-    let vm = Server::new("vm", ids::ServerLife::UNKNOWN);
+    let vm = Server::new("vm", ids::ServerIncarnation::UNKNOWN);
     let mut table = Table::default();
     table.crashed(request(1), vm, NOW_MS);
     assert_eq!(table.crashed(request(1), vm, NOW_MS + 300), Change::None, "seen by another router");
--- a/core/tests/said_schedules.rs
+++ b/core/tests/said_schedules.rs
@@ -18,7 +18,7 @@
 const BACK_MS: u64 = 3_000;
 const WINDOW_MS: u64 = 8_000;
 
-type Life = (String, ids::ServerLife);
+type VmIncarnation = (String, ids::ServerIncarnation);
 
 /// How a server answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,7 +37,7 @@
 
 struct Server {
     name: String,
-    life: ids::ServerLife,
+    incarnation: ids::ServerIncarnation,
     manner: Manner,
     limit_milli_per_s: Option<u64>,
     listed: bool,
@@ -48,7 +48,7 @@
     router: (usize, u64),
     slot: ids::RequestSlot,
     server: usize,
-    life: ids::ServerLife,
+    incarnation: ids::ServerIncarnation,
     sent_ms: u64,
     answers_ms: u64,
     manner: Manner,
@@ -57,8 +57,8 @@
 /// What a life of a router was told.
 #[derive(Default)]
 struct Told {
-    leaving: HashMap<Life, u64>,
-    backoff_until_ms: HashMap<Life, u64>,
+    leaving: HashMap<VmIncarnation, u64>,
+    backoff_until_ms: HashMap<VmIncarnation, u64>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -89,7 +89,7 @@
         let mut traffic = Traffic::new(routers, seed, 0x5a1d);
         let server = |place: usize| Server {
             name: format!("vm-{place}"),
-            life: ids::ServerLife(1),
+            incarnation: ids::ServerIncarnation(1),
             manner: Manner::Serves,
             limit_milli_per_s: None,
             listed: true,
@@ -134,15 +134,15 @@
     }
 
     fn take_answers(&mut self) {
-        for (place, life, slot, answer) in std::mem::take(&mut self.traffic.fleet.answers) {
-            let given_ms = self.waiting.get(&(place, life, slot)).copied();
+        for (place, incarnation, slot, answer) in std::mem::take(&mut self.traffic.fleet.answers) {
+            let given_ms = self.waiting.get(&(place, incarnation, slot)).copied();
             match answer {
-                node::Answer::Dispatch { vm, life: of_server, .. } => {
-                    self.check_send((place, life), &vm, of_server);
-                    self.dispatched((place, life), slot, &vm, of_server);
+                node::Answer::Dispatch { vm, incarnation: of_server, .. } => {
+                    self.check_send((place, incarnation), &vm, of_server);
+                    self.dispatched((place, incarnation), slot, &vm, of_server);
                 }
                 node::Answer::Refuse { reason, retry_after_ms } => {
-                    self.waiting.remove(&(place, life, slot));
+                    self.waiting.remove(&(place, incarnation, slot));
                     self.refused(place, reason, retry_after_ms, given_ms);
                 }
                 node::Answer::Replay(_) | node::Answer::Closed { .. } => {}
@@ -151,10 +151,10 @@
     }
 
     /// Nothing goes to a server that told this router otherwise.
-    fn check_send(&self, router: (usize, u64), vm: &str, life: ids::ServerLife) {
+    fn check_send(&self, router: (usize, u64), vm: &str, incarnation: ids::ServerIncarnation) {
         let (now_ms, seed) = (self.traffic.fleet.now_ms, self.seed);
         let Some(told) = self.told.get(&router) else { return };
-        let server = (vm.to_owned(), life);
+        let server = (vm.to_owned(), incarnation);
         let leaves = told.leaving.get(&server);
         assert!(
             leaves.is_none(),
@@ -172,7 +172,7 @@
         router: (usize, u64),
         slot: ids::RequestSlot,
         vm: &str,
-        life: ids::ServerLife,
+        incarnation: ids::ServerIncarnation,
     ) {
         let now_ms = self.traffic.fleet.now_ms;
         let place = self.servers.iter().position(|server| server.name == vm).unwrap();
@@ -181,7 +181,7 @@
         server.sends_ms.push(now_ms);
         let running = self.runs.iter().filter(|run| run.server == place).count();
         let manner = match server.manner {
-            _ if server.life != life => Manner::Serves,
+            _ if server.incarnation != incarnation => Manner::Serves,
             Manner::Sheds { places, backoff_ms } if running >= places => {
                 Manner::TurnsAway { backoff_ms }
             }
@@ -198,7 +198,15 @@
             _ => work_ms,
         };
         let (sent_ms, answers_ms) = (now_ms, now_ms + takes_ms);
-        self.runs.push(Run { router, slot, server: place, life, sent_ms, answers_ms, manner });
+        self.runs.push(Run {
+            router,
+            slot,
+            server: place,
+            incarnation,
+            sent_ms,
+            answers_ms,
+            manner,
+        });
     }
 
     fn refused(
@@ -226,7 +234,7 @@
         let routers = &self.traffic.fleet.routers;
         let arrives = |run: &mut Run| {
             let router = &routers[run.router.0];
-            now_ms >= run.answers_ms && (!router.frozen || router.life != run.router.1)
+            now_ms >= run.answers_ms && (!router.frozen || router.incarnation != run.router.1)
         };
         let ended: Vec<Run> = self.runs.extract_if(.., arrives).collect();
         for run in ended {
@@ -236,15 +244,15 @@
 
     fn answered(&mut self, run: &Run) {
         let now_ms = self.traffic.fleet.now_ms;
-        let (place, life) = run.router;
+        let (place, incarnation) = run.router;
         let router = &mut self.traffic.fleet.routers[place];
-        if !router.alive || router.life != life {
+        if !router.alive || router.incarnation != incarnation {
             return;
         }
         let server = &self.servers[run.server];
-        let of = (server.name.clone(), run.life);
+        let of = (server.name.clone(), run.incarnation);
         let told = self.told.entry(run.router).or_default();
-        let limit = server.limit_milli_per_s.filter(|_| server.life == run.life);
+        let limit = server.limit_milli_per_s.filter(|_| server.incarnation == run.incarnation);
         let mut said = servers::Directives {
             limit_milli_per_s: limit.map_or(servers::Directive::Absent, servers::Directive::Value),
             ..servers::Directives::default()
@@ -262,14 +270,14 @@
             }
         }
         let age = servers::AnswerAge { sent_ms: now_ms - run.sent_ms, received_ms: 0 };
-        router.node.report_directives(&server.name, run.life, &said, age, now_ms);
+        router.node.report_directives(&server.name, run.incarnation, &said, age, now_ms);
         if let Manner::TurnsAway { .. } = run.manner {
             router.node.retry(run.slot, node::AttemptFailure::Rejected, now_ms);
         } else {
             let ending =
                 node::RequestOutcome::Ran { consumed_tokens: 0, outcome: None, healthy: true };
             router.node.finish(run.slot, ending, now_ms);
-            if let Some(given_ms) = self.waiting.remove(&(place, life, run.slot)) {
+            if let Some(given_ms) = self.waiting.remove(&(place, incarnation, run.slot)) {
                 self.counts.served += 1;
                 self.counts.waited_ms += run.sent_ms - given_ms;
             }
@@ -301,7 +309,7 @@
     /// A server's next life serves.
     fn restart_server(&mut self, place: usize) {
         let server = &mut self.servers[place];
-        server.life.0 += 1;
+        server.incarnation.0 += 1;
         server.manner = Manner::Serves;
         server.listed = true;
         let name = server.name.clone();
@@ -343,7 +351,7 @@
             let table = router.node.servers();
             assert_eq!(table.backing_off().count(), 0, "seed {}: at {place}", self.seed);
             for server in self.servers.iter().filter(|it| it.manner != Manner::Leaves) {
-                let slot = table.find_life(&server.name, server.life).unwrap();
+                let slot = table.find_incarnation(&server.name, server.incarnation).unwrap();
                 let live = table.get(slot).unwrap().is_live();
                 assert!(live, "seed {}: {place} does not use {}", self.seed, server.name);
             }
@@ -356,17 +364,17 @@
         self.servers.iter().map(count).collect()
     }
 
-    fn leaving(&self) -> Vec<Life> {
+    fn leaving(&self) -> Vec<VmIncarnation> {
         let leaving = self.servers.iter().filter(|server| server.manner == Manner::Leaves);
-        leaving.map(|server| (server.name.clone(), server.life)).collect()
+        leaving.map(|server| (server.name.clone(), server.incarnation)).collect()
     }
 
     /// Whether a router knows all servers that leave by their answers.
-    fn knows(&self, node: &node::Node, leaving: &[Life]) -> bool {
-        let known = |(vm, life): &Life| {
+    fn knows(&self, node: &node::Node, leaving: &[VmIncarnation]) -> bool {
+        let known = |(vm, incarnation): &VmIncarnation| {
             let source = node.leaving_servers().iter().find(|(known, _)| known == vm);
             source.is_some_and(|(_, it)| {
-                it.life == *life && it.source == leaving_servers::Source::Answer
+                it.incarnation == *incarnation && it.source == leaving_servers::Source::Answer
             })
         };
         leaving.iter().all(known)
@@ -396,14 +404,14 @@
     }
     scenario.run_ms(CALM_MS + BACK_MS);
     let leaving = scenario.leaving();
-    let told = |(vm, life): &&Life| {
+    let told = |(vm, incarnation): &&VmIncarnation| {
         let mut told = scenario.told.iter();
         told.any(|(router, told)| {
-            let present = scenario.traffic.fleet.routers[router.0].life == router.1;
-            present && told.leaving.contains_key(&(vm.clone(), *life))
+            let present = scenario.traffic.fleet.routers[router.0].incarnation == router.1;
+            present && told.leaving.contains_key(&(vm.clone(), *incarnation))
         })
     };
-    let leaving: Vec<Life> = leaving.iter().filter(told).cloned().collect();
+    let leaving: Vec<VmIncarnation> = leaving.iter().filter(told).cloned().collect();
     for (place, router) in scenario.traffic.fleet.routers.iter().enumerate() {
         let knows = scenario.knows(&router.node, &leaving);
         assert!(knows, "seed {seed}: router {place} does not know that {leaving:?} leave");
@@ -565,7 +573,7 @@
             let vm = format!("vm-{place}");
             let age = servers::AnswerAge::default();
             let node = &mut scenario.traffic.fleet.routers[0].node;
-            node.report_directives(&vm, ids::ServerLife(1), &said, age, now_ms);
+            node.report_directives(&vm, ids::ServerIncarnation(1), &said, age, now_ms);
         }
         scenario.traffic.fleet.run_until("all know", CONTACT_MS, |fleet| {
             fleet.routers.iter().all(|it| it.node.leaving_servers().iter().count() == leaving)
--- a/core/tests/server_lives.rs
+++ b/core/tests/server_lives.rs
@@ -8,7 +8,7 @@
 
 const NOW_MS: u64 = 1_000;
 
-fn vm(life: u64, state: servers::VmState) -> servers::Vm {
+fn vm(incarnation: u64, state: servers::VmState) -> servers::Vm {
     servers::Vm {
         vm: "one".to_owned(),
         service: "service".to_owned(),
@@ -17,13 +17,13 @@
         failure_domain: "a".to_owned(),
         state,
         slots: 4,
-        life: ids::ServerLife(life),
+        incarnation: ids::ServerIncarnation(incarnation),
         cold_ms: 0,
     }
 }
 
-fn live(life: u64) -> servers::Vm {
-    vm(life, servers::VmState::Live)
+fn live(incarnation: u64) -> servers::Vm {
+    vm(incarnation, servers::VmState::Live)
 }
 
 struct Bench {
@@ -62,7 +62,7 @@
 #[test]
 fn a_leaving_is_forgotten() {
     let mut bench = Bench::new();
-    bench.table.mark_leaving("one", ids::ServerLife(5));
+    bench.table.mark_leaving("one", ids::ServerIncarnation(5));
     assert_eq!(bench.choose(&[]).unwrap_err(), servers::Unavailable::None);
     bench.restart();
     assert!(bench.choose(&[]).is_ok());
@@ -72,9 +72,9 @@
 fn a_leaving_of_the_earlier_life_that_comes_late_changes_nothing() {
     let mut bench = Bench::new();
     bench.restart();
-    bench.table.mark_leaving("one", ids::ServerLife(5));
+    bench.table.mark_leaving("one", ids::ServerIncarnation(5));
     assert!(bench.choose(&[]).is_ok());
-    bench.table.mark_leaving("one", ids::ServerLife(6));
+    bench.table.mark_leaving("one", ids::ServerIncarnation(6));
     assert_eq!(bench.choose(&[]).unwrap_err(), servers::Unavailable::None);
 }
 
@@ -132,7 +132,11 @@
     bench.restart();
     assert_eq!(
         bench.table.take_restarted(),
-        [servers::Restarted { vm: "one".to_owned(), life: ids::ServerLife(6), open_requests: 1 }]
+        [servers::Restarted {
+            vm: "one".to_owned(),
+            incarnation: ids::ServerIncarnation(6),
+            open_requests: 1
+        }]
     );
     let later = bench.choose(&[]).unwrap().slot;
     bench.table.reported(earlier, servers::Load { running: 9, queued: 9, slots: 1 });
--- a/core/tests/servers.rs
+++ b/core/tests/servers.rs
@@ -21,7 +21,7 @@
         failure_domain: "a".to_owned(),
         state,
         slots: 0,
-        life: Default::default(),
+        incarnation: Default::default(),
         cold_ms: 0,
     }
 }
@@ -74,7 +74,7 @@
 #[test]
 fn a_leaving_server_gets_nothing_new_and_stays_leaving_in_an_older_list() {
     let mut bench = Bench::two();
-    bench.table.mark_leaving("one", ids::ServerLife::UNKNOWN);
+    bench.table.mark_leaving("one", ids::ServerIncarnation::UNKNOWN);
     let live = servers::VmState::Live;
     bench.table.apply_list(&[vm("one", "new", live), vm("two", "old", live)], 0);
     for _ in 0..8 {
@@ -254,7 +254,7 @@
     let live = servers::VmState::Live;
     let mut bench = Bench::new(&[vm("one", "new", live)]);
     bench.choose().unwrap();
-    bench.table.mark_leaving("one", ids::ServerLife::UNKNOWN);
+    bench.table.mark_leaving("one", ids::ServerIncarnation::UNKNOWN);
     bench.table.apply_list(&[], 0);
     bench.table.apply_list(&[vm("one", "new", live)], 0);
     assert_eq!(bench.choose(), Err(servers::Unavailable::None));
--- a/core/tests/shared_retries.rs
+++ b/core/tests/shared_retries.rs
@@ -52,8 +52,8 @@
             fleet.routers[place].node.admit(wanted(requests as u64, now_ms), now_ms);
             fleet.carry_out(place);
         }
-        for (place, life, slot, answer) in std::mem::take(&mut fleet.answers) {
-            let again = !sent.insert((place, life, slot));
+        for (place, incarnation, slot, answer) in std::mem::take(&mut fleet.answers) {
+            let again = !sent.insert((place, incarnation, slot));
             match answer {
                 node::Answer::Dispatch { .. } if again => {
                     retries += 1;
--- a/core/tests/transfers.rs
+++ b/core/tests/transfers.rs
@@ -70,7 +70,7 @@
     world.faults.store_out = true;
     world.kill(1);
     world.restart(1, true);
-    let (from, to) = (world.routers[0].life, world.routers[1].life);
+    let (from, to) = (world.routers[0].incarnation, world.routers[1].incarnation);
     let budget = world.budget_name(0);
     let transfer = |number| message::Envelope {
         from,
--- a/core/tests/watch_fleet/backup.rs
+++ b/core/tests/watch_fleet/backup.rs
@@ -74,7 +74,7 @@
             }
             match (before_restore.servers.get(name), restored.servers.get(name)) {
                 (Some((_, vm)), before) if before.map(|(_, vm)| vm) != Some(vm) => {
-                    self.lives_of.insert(name.clone(), vm.life);
+                    self.incarnations_of.insert(name.clone(), vm.incarnation);
                     self.put_server_with_slots(name, vm.state, vm.slots);
                 }
                 (None, Some(_)) => self.remove_server(name),
--- a/core/tests/watch_fleet/checks.rs
+++ b/core/tests/watch_fleet/checks.rs
@@ -17,7 +17,7 @@
             assert!(seen.1 >= router.seen.1, "an older list after a newer one");
             router.seen = seen;
             self.check_leaving(place);
-            self.check_lives(place);
+            self.check_incarnations(place);
             self.check_staleness(place);
         }
     }
@@ -29,8 +29,9 @@
         for (name, (revision, vm)) in &self.servers {
             if vm.state == servers::VmState::Leaving && self.includes(known, *revision) {
                 let live = node.servers().iter().any(|(_, server)| {
-                    let of_life = server.vm.vm == *name && server.vm.life == vm.life;
-                    of_life && server.vm.state == servers::VmState::Live
+                    let of_incarnation =
+                        server.vm.vm == *name && server.vm.incarnation == vm.incarnation;
+                    of_incarnation && server.vm.state == servers::VmState::Live
                 });
                 assert!(!live, "{name} is used by entry-{place} after it was heard to leave");
             }
@@ -38,25 +39,25 @@
     }
 
     /// Nothing of an earlier life of a server is used once a later one was heard of.
-    fn check_lives(&self, place: usize) {
+    fn check_incarnations(&self, place: usize) {
         let node = &self.routers[place].node;
         let known = node.vms_index();
         let heard = |(_, it): &(&String, &(u64, servers::Vm))| self.includes(known, it.0);
         for (name, (revision, vm)) in self.servers.iter().filter(heard) {
-            let earlier = node
-                .servers()
-                .iter()
-                .filter(|(_, server)| !server.is_superseded())
-                .any(|(_, server)| server.vm.vm == *name && server.vm.life < vm.life);
+            let earlier =
+                node.servers().iter().filter(|(_, server)| !server.is_superseded()).any(
+                    |(_, server)| server.vm.vm == *name && server.vm.incarnation < vm.incarnation,
+                );
             assert!(!earlier, "entry-{place} uses an earlier life of {name} after {revision}");
         }
     }
 
     /// No request goes to an earlier life of a server.
     pub(super) fn check_answer(&self, place: usize, answer: &node::Answer) {
-        let node::Answer::Dispatch { vm, life, .. } = answer else { return };
+        let node::Answer::Dispatch { vm, incarnation, .. } = answer else { return };
         let mut known = self.routers[place].node.servers().iter();
-        let later = known.any(|(_, server)| server.vm.vm == *vm && server.vm.life > *life);
+        let later =
+            known.any(|(_, server)| server.vm.vm == *vm && server.vm.incarnation > *incarnation);
         assert!(!later, "entry-{place} sends a request to an earlier life of {vm}");
     }
 
--- a/core/tests/watch_fleet/mod.rs
+++ b/core/tests/watch_fleet/mod.rs
@@ -36,7 +36,7 @@
 enum Event {
     Message { to: String, envelope: message::Envelope },
     Gossip { to: String, gossip: message::Gossip },
-    StoreReply { place: usize, life: u64, call: ids::CallId, reply: store::Reply },
+    StoreReply { place: usize, incarnation: u64, call: ids::CallId, reply: store::Reply },
 }
 
 struct Waiting {
@@ -57,7 +57,7 @@
 
 pub struct Router {
     pub node: node::Node,
-    pub life: u64,
+    pub incarnation: u64,
     pub address: String,
     pub alive: bool,
     pub frozen: bool,
@@ -112,7 +112,7 @@
     /// Calls for those values.
     pub value_calls: u64,
     /// The latest life of each server, also of those that are gone.
-    lives_of: BTreeMap<String, ids::ServerLife>,
+    incarnations_of: BTreeMap<String, ids::ServerIncarnation>,
     /// Servers whose records cannot be read.
     unreadable: BTreeSet<String>,
     /// What is evacuated, and every change of that.
@@ -122,7 +122,7 @@
     store_calm_since_ms: u64,
     events: BTreeMap<(u64, u64), Event>,
     next_event: u64,
-    lives: u64,
+    incarnations: u64,
     /// What routers answered to requests: by which router, in which of its lives, to which request.
     pub answers: Vec<(usize, u64, ids::RequestSlot, node::Answer)>,
     rng: StdRng,
@@ -162,7 +162,7 @@
             servers: BTreeMap::new(),
             values: BTreeMap::new(),
             value_calls: 0,
-            lives_of: BTreeMap::new(),
+            incarnations_of: BTreeMap::new(),
             unreadable: BTreeSet::new(),
             evacuated: BTreeSet::new(),
             evacuations: Vec::new(),
@@ -170,7 +170,7 @@
             store_calm_since_ms: 0,
             events: BTreeMap::new(),
             next_event: 0,
-            lives: 0,
+            incarnations: 0,
             answers: Vec::new(),
             rng: StdRng::seed_from_u64(seed),
             value_rng: StdRng::seed_from_u64(!seed),
@@ -310,7 +310,7 @@
     /// Whether a router has the configuration and the servers as they are now.
     pub fn knows_latest(&self, node: &node::Node) -> bool {
         let identity =
-            |vm: &servers::Vm| (vm.vm.clone(), vm.life, vm.state == servers::VmState::Live);
+            |vm: &servers::Vm| (vm.vm.clone(), vm.incarnation, vm.state == servers::VmState::Live);
         let listed: BTreeSet<_> =
             node.servers().iter().map(|(_, server)| identity(&server.vm)).collect();
         let wanted: BTreeSet<_> = self.servers.values().map(|(_, vm)| identity(vm)).collect();
@@ -338,7 +338,7 @@
     }
 
     fn new_router(&mut self, place: usize) -> Router {
-        self.lives += 1;
+        self.incarnations += 1;
         let address = format!("10.0.0.{place}:1");
         let settings = node::Settings {
             incarnation: ids::Incarnation(self.rng.random()),
@@ -357,7 +357,7 @@
         };
         Router {
             node: node::Node::new(settings, self.rng.random(), self.now_ms),
-            life: self.lives,
+            incarnation: self.incarnations,
             address,
             alive: true,
             frozen: false,
@@ -401,8 +401,8 @@
                 node::Action::Store { call, request } => self.call_store(place, call, &request),
                 node::Action::Answer { slot, answer } => {
                     self.check_answer(place, &answer);
-                    let life = self.routers[place].life;
-                    self.answers.push((place, life, slot, answer));
+                    let incarnation = self.routers[place].incarnation;
+                    self.answers.push((place, incarnation, slot, answer));
                 }
                 _ => {}
             }
@@ -440,9 +440,9 @@
         } else {
             CALL_TIMEOUT_MS
         };
-        let life = self.routers[place].life;
+        let incarnation = self.routers[place].incarnation;
         self.next_event += 1;
-        let event = Event::StoreReply { place, life, call, reply };
+        let event = Event::StoreReply { place, incarnation, call, reply };
         self.events.insert((self.now_ms + delay_ms, self.next_event), event);
     }
 
@@ -480,8 +480,8 @@
             Event::Message { to, .. } | Event::Gossip { to, .. } => {
                 self.routers.iter().position(|router| router.address == *to)
             }
-            Event::StoreReply { place, life, .. } => {
-                Some(*place).filter(|place| self.routers[*place].life == *life)
+            Event::StoreReply { place, incarnation, .. } => {
+                Some(*place).filter(|place| self.routers[*place].incarnation == *incarnation)
             }
         };
         let Some(place) = place else { return };
--- a/core/tests/watch_fleet/store.rs
+++ b/core/tests/watch_fleet/store.rs
@@ -20,7 +20,11 @@
             failure_domain: "a".to_owned(),
             state,
             slots,
-            life: self.lives_of.get(name).copied().unwrap_or(ids::ServerLife(1)),
+            incarnation: self
+                .incarnations_of
+                .get(name)
+                .copied()
+                .unwrap_or(ids::ServerIncarnation(1)),
             cold_ms: 0,
         };
         self.revision += 1;
@@ -44,7 +48,7 @@
 
     /// The same, and how many requests it works on at once.
     pub fn restart_server_with_slots(&mut self, name: &str, state: servers::VmState, slots: u64) {
-        self.lives_of.entry(name.to_owned()).or_insert(ids::ServerLife(1)).0 += 1;
+        self.incarnations_of.entry(name.to_owned()).or_insert(ids::ServerIncarnation(1)).0 += 1;
         self.put_server_with_slots(name, state, slots);
     }
 
--- a/core/tests/watch_fleet/traffic.rs
+++ b/core/tests/watch_fleet/traffic.rs
@@ -49,7 +49,7 @@
         let now_ms = self.fleet.now_ms;
         let router = &mut self.fleet.routers[place];
         let slot = router.node.admit(wanted, now_ms);
-        let handed = (place, router.life, slot);
+        let handed = (place, router.incarnation, slot);
         self.fleet.carry_out(place);
         Some(handed)
     }
--- a/core/tests/wire_format.rs
+++ b/core/tests/wire_format.rs
@@ -66,7 +66,7 @@
         failure_domain: "e".to_owned(),
         state: servers::VmState::Leaving,
         slots: 1,
-        life: ids::ServerLife(2),
+        incarnation: ids::ServerIncarnation(2),
         cold_ms: 3,
     }
 }
@@ -74,7 +74,7 @@
 fn limit() -> servers::LimitUpdate {
     servers::LimitUpdate {
         vm: "a".to_owned(),
-        life: ids::ServerLife(1),
+        incarnation: ids::ServerIncarnation(1),
         limit_milli_per_s: Some(2),
         answer: servers::AnswerId { router: router(3), number: 4 },
         sent_age_ms: 5,
@@ -85,7 +85,7 @@
 fn gossip() -> message::Gossip {
     let request = ids::Fingerprint { head: 1, whole: [2; 16] };
     let crashes = vec![
-        quarantine::Crash { server: quarantine::Server::Life(3), age_ms: 4 },
+        quarantine::Crash { server: quarantine::Server::Incarnation(3), age_ms: 4 },
         quarantine::Crash { server: quarantine::Server::Vm(5), age_ms: 6 },
     ];
     let report = quarantine::Report { request, crashes, cleared_age_ms: Some(7) };
@@ -115,7 +115,7 @@
         member_updates: vec![member()],
         leaving: vec![message::LeavingUpdate {
             vm: "a".to_owned(),
-            life: ids::ServerLife(1),
+            incarnation: ids::ServerIncarnation(1),
             source: leaving_servers::Source::Answer,
         }],
         quarantine: quarantine::Updates { summary: 8, reports: vec![report] },
@@ -202,7 +202,7 @@
     permits_keeps_its_bytes: message::Message::PermitReply {
         number: 1,
         vm: "a".to_owned(),
-        life: ids::ServerLife(2),
+        incarnation: ids::ServerIncarnation(2),
         trial: true,
         granted: servers::PermitsGranted { permits: 3, in_ms: 4 },
     } => "0101021201016102010304";
--- a/core/tests/world/checks.rs
+++ b/core/tests/world/checks.rs
@@ -38,7 +38,7 @@
             let state = log.find(given.key);
             let settled = matches!(state, Some(log_index::IdState::Settled { .. }));
             // An end that could not be made safe is lost only with its router.
-            let lost = !safe && self.routers[given.at].life != given.life;
+            let lost = !safe && self.routers[given.at].incarnation != given.incarnation;
             assert!(settled || lost, "request {} ended and is not billed", given.key);
         }
         let billed_requests: u64 = log.totals().map(|(_, _, it)| it.billed_requests).sum();
--- a/core/tests/world/faults.rs
+++ b/core/tests/world/faults.rs
@@ -60,7 +60,7 @@
     pub(super) fn call_store(
         &mut self,
         from: usize,
-        life: ids::Incarnation,
+        incarnation: ids::Incarnation,
         call: ids::CallId,
         request: store::Request,
     ) {
@@ -71,24 +71,24 @@
             self.ledger_reads += u64::from(is_ledger_read(&request));
         }
         if !self.reaches_store(from) {
-            self.reply_unknown(from, life, call);
+            self.reply_unknown(from, incarnation, call);
             return;
         }
         if request.is_write() && self.chance(self.faults.late_writes_percent) {
-            self.reply_unknown(from, life, call);
+            self.reply_unknown(from, incarnation, call);
             let late_ms = STORE_TIMEOUT_MS + self.rng.random_range(0..3_000);
             // Nobody waits for this reply any more: its call is unknown to the node by then.
-            self.after(late_ms, Event::StoreArrives { from, life, call, request });
+            self.after(late_ms, Event::StoreArrives { from, incarnation, call, request });
             return;
         }
         let delay_ms = self.delay_ms();
-        self.after(delay_ms, Event::StoreArrives { from, life, call, request });
+        self.after(delay_ms, Event::StoreArrives { from, incarnation, call, request });
     }
 
     pub(super) fn store_arrives(
         &mut self,
         from: usize,
-        life: ids::Incarnation,
+        incarnation: ids::Incarnation,
         call: ids::CallId,
         request: store::Request,
     ) {
@@ -96,16 +96,16 @@
         let reply = self.apply(request);
         let lost = is_write && self.chance(self.faults.lose_replies_percent);
         if lost || !self.reaches_store(from) {
-            self.reply_unknown(from, life, call);
+            self.reply_unknown(from, incarnation, call);
             return;
         }
         let delay_ms = self.delay_ms();
-        self.after(delay_ms, Event::StoreReplies { to: from, life, call, reply });
+        self.after(delay_ms, Event::StoreReplies { to: from, incarnation, call, reply });
     }
 
-    fn reply_unknown(&mut self, to: usize, life: ids::Incarnation, call: ids::CallId) {
+    fn reply_unknown(&mut self, to: usize, incarnation: ids::Incarnation, call: ids::CallId) {
         let reply = store::Reply::Unknown;
-        self.after(STORE_TIMEOUT_MS, Event::StoreReplies { to, life, call, reply });
+        self.after(STORE_TIMEOUT_MS, Event::StoreReplies { to, incarnation, call, reply });
     }
 
     fn apply(&mut self, request: store::Request) -> store::Reply {
--- a/core/tests/world/lives.rs
+++ b/core/tests/world/lives.rs
@@ -14,8 +14,10 @@
         self.deaths += 1;
         self.routers[at].alive = false;
         self.routers[at].held.clear();
-        let life = self.routers[at].life;
-        for given in self.given.iter_mut().filter(|given| given.life == life && given.running) {
+        let incarnation = self.routers[at].incarnation;
+        for given in
+            self.given.iter_mut().filter(|given| given.incarnation == incarnation && given.running)
+        {
             given.running = false;
             let truth = &mut self.truth[given.budget];
             truth.outstanding_tokens -= given.bound_tokens;
@@ -64,10 +66,10 @@
     }
 
     pub(super) fn new_router(&mut self, place: usize, vm: String, address: String) -> Router {
-        let life = ids::Incarnation(self.rng.random());
+        let incarnation = ids::Incarnation(self.rng.random());
         let seeds = self.routers.iter().map(|it| it.address.clone()).collect();
         let settings = node::Settings {
-            incarnation: life,
+            incarnation,
             vm: vm.clone(),
             address: address.clone(),
             failure_domain: format!("domain-{place}"),
@@ -83,7 +85,7 @@
         };
         Router {
             node: node::Node::new(settings, self.rng.random(), self.now_ms),
-            life,
+            incarnation,
             vm,
             address,
             region: place % self.shape.regions,
@@ -103,7 +105,7 @@
             failure_domain: "a".to_owned(),
             state: servers::VmState::Live,
             slots: 0,
-            life: Default::default(),
+            incarnation: Default::default(),
             cold_ms: 0,
         });
         let listed: BTreeSet<String> = self.vms.iter().map(|vm| vm.vm.clone()).collect();
--- a/core/tests/world/mod.rs
+++ b/core/tests/world/mod.rs
@@ -24,18 +24,40 @@
 /// What travels or waits.
 #[derive(Clone, Debug)]
 enum Event {
-    StoreArrives { from: usize, life: ids::Incarnation, call: ids::CallId, request: store::Request },
-    StoreReplies { to: usize, life: ids::Incarnation, call: ids::CallId, reply: store::Reply },
-    Message { to: usize, envelope: message::Envelope },
-    Gossip { to: usize, gossip: message::Gossip },
-    Served { at: usize, life: ids::Incarnation, slot: ids::RequestSlot },
-    VmGone { vm: String },
+    StoreArrives {
+        from: usize,
+        incarnation: ids::Incarnation,
+        call: ids::CallId,
+        request: store::Request,
+    },
+    StoreReplies {
+        to: usize,
+        incarnation: ids::Incarnation,
+        call: ids::CallId,
+        reply: store::Reply,
+    },
+    Message {
+        to: usize,
+        envelope: message::Envelope,
+    },
+    Gossip {
+        to: usize,
+        gossip: message::Gossip,
+    },
+    Served {
+        at: usize,
+        incarnation: ids::Incarnation,
+        slot: ids::RequestSlot,
+    },
+    VmGone {
+        vm: String,
+    },
 }
 
 /// A router process, as the world runs it.
 pub struct Router {
     pub node: node::Node,
-    pub life: ids::Incarnation,
+    pub incarnation: ids::Incarnation,
     pub vm: String,
     pub address: String,
     pub region: usize,
@@ -49,7 +71,7 @@
 #[derive(Clone, Debug)]
 pub struct Given {
     pub at: usize,
-    pub life: ids::Incarnation,
+    pub incarnation: ids::Incarnation,
     pub key: ids::RequestKey,
     pub budget: usize,
     pub bound_tokens: u64,
@@ -309,11 +331,11 @@
             parts: Vec::new(),
             deadline_ms: self.now_ms + self.deadline_ms,
         };
-        let life = router.life;
+        let incarnation = router.incarnation;
         let slot = self.routers[at].node.admit(wanted, self.now_ms);
         let given = Given {
             at,
-            life,
+            incarnation,
             key,
             budget,
             bound_tokens,
@@ -327,7 +349,7 @@
         };
         self.given.push(given);
         let place = self.given.len() - 1;
-        self.by_slot.insert((life, slot), place);
+        self.by_slot.insert((incarnation, slot), place);
         self.carry_out(at);
         Some(place)
     }
@@ -425,11 +447,11 @@
             }
         }
         match event {
-            Event::StoreArrives { from, life, call, request } => {
-                self.store_arrives(from, life, call, request);
+            Event::StoreArrives { from, incarnation, call, request } => {
+                self.store_arrives(from, incarnation, call, request);
             }
-            Event::StoreReplies { to, life, call, reply } => {
-                if self.routers[to].life == life {
+            Event::StoreReplies { to, incarnation, call, reply } => {
+                if self.routers[to].incarnation == incarnation {
                     self.routers[to].node.handle_store_reply(call, reply, self.now_ms);
                     self.carry_out(to);
                 }
@@ -442,7 +464,7 @@
                 self.routers[to].node.handle_gossip(&gossip, self.now_ms);
                 self.carry_out(to);
             }
-            Event::Served { at, life, slot } => self.served(at, life, slot),
+            Event::Served { at, incarnation, slot } => self.served(at, incarnation, slot),
             Event::VmGone { vm } => {
                 self.vms.retain(|listed| listed.vm != vm);
                 self.vms_index += 1;
@@ -450,9 +472,9 @@
         }
     }
 
-    fn served(&mut self, at: usize, life: ids::Incarnation, slot: ids::RequestSlot) {
-        let Some(place) = self.by_slot.get(&(life, slot)).copied() else { return };
-        if self.routers[at].life != life || !self.given[place].running {
+    fn served(&mut self, at: usize, incarnation: ids::Incarnation, slot: ids::RequestSlot) {
+        let Some(place) = self.by_slot.get(&(incarnation, slot)).copied() else { return };
+        if self.routers[at].incarnation != incarnation || !self.given[place].running {
             return;
         }
         let given = &mut self.given[place];
@@ -472,13 +494,15 @@
     }
 
     fn carry_out(&mut self, at: usize) {
-        let life = self.routers[at].life;
+        let incarnation = self.routers[at].incarnation;
         for action in self.routers[at].node.take_actions() {
             match action {
-                node::Action::Store { call, request } => self.call_store(at, life, call, request),
+                node::Action::Store { call, request } => {
+                    self.call_store(at, incarnation, call, request)
+                }
                 node::Action::Send { address, envelope } => self.send(at, &address, envelope),
                 node::Action::Gossip { address, gossip } => self.send_gossip(at, &address, gossip),
-                node::Action::Answer { slot, answer } => self.answer(at, life, slot, answer),
+                node::Action::Answer { slot, answer } => self.answer(at, incarnation, slot, answer),
                 node::Action::Notice(notice) => {
                     if let node::Notice::TerminatedHolderClosed { written_off_tokens, .. } = &notice
                     {
@@ -498,12 +522,12 @@
     fn answer(
         &mut self,
         at: usize,
-        life: ids::Incarnation,
+        incarnation: ids::Incarnation,
         slot: ids::RequestSlot,
         answer: node::Answer,
     ) {
         // A request that is refused inside `admit` is answered before its slot is known here.
-        let place = self.by_slot.get(&(life, slot)).copied().unwrap_or(self.given.len() - 1);
+        let place = self.by_slot.get(&(incarnation, slot)).copied().unwrap_or(self.given.len() - 1);
         let given = &mut self.given[place];
         match answer {
             node::Answer::Dispatch { .. } => {
@@ -516,7 +540,7 @@
                     assert_eq!(*times, 1, "unrepeatable request {} ran again", given.key);
                 }
                 let time_ms = self.serve_ms;
-                self.after(time_ms, Event::Served { at, life, slot });
+                self.after(time_ms, Event::Served { at, incarnation, slot });
             }
             node::Answer::Refuse { reason, retry_after_ms } => {
                 assert!(!given.dispatched, "refused as not run after it was dispatched");
--- a/core/tests/world/sample.rs
+++ b/core/tests/world/sample.rs
@@ -12,7 +12,7 @@
         failure_domain: "a".to_owned(),
         state: servers::VmState::Live,
         slots: 0,
-        life: Default::default(),
+        incarnation: Default::default(),
         cold_ms: 0,
     };
     (0..shape.servers).map(vm).collect()
--- a/soak/src/directives.rs
+++ b/soak/src/directives.rs
@@ -71,13 +71,13 @@
     next_change: Instant,
     is_leaving: bool,
     /// When each incarnation of the server began.
-    lives: Vec<Instant>,
+    incarnations: Vec<Instant>,
 }
 
 impl Server {
     /// The number of the incarnation that ran at this time, counted from 1.
-    fn life_at(&self, at: Instant) -> usize {
-        self.lives.iter().filter(|began| **began <= at).count()
+    fn incarnation_at(&self, at: Instant) -> usize {
+        self.incarnations.iter().filter(|began| **began <= at).count()
     }
 }
 
@@ -112,9 +112,10 @@
         let replies = Replies::new(Reply::served(Duration::ZERO));
         let backend = servers::start(script(replies.clone()))?;
         let next_change = Instant::now();
-        let server = Server { backend, replies, next_change, is_leaving: false, lives: Vec::new() };
+        let server =
+            Server { backend, replies, next_change, is_leaving: false, incarnations: Vec::new() };
         client.servers.push(server);
-        client.start_life(index);
+        client.start_incarnation(index);
     }
     Ok(thread::spawn(move || client.run()))
 }
@@ -136,12 +137,12 @@
         self.summary
     }
 
-    fn start_life(&mut self, index: usize) {
+    fn start_incarnation(&mut self, index: usize) {
         let server = &mut self.servers[index];
         server.replies.set(Reply::served(Duration::ZERO));
         server.is_leaving = false;
-        server.lives.push(Instant::now());
-        let started_ms = FIRST_START_MS + server.lives.len() as u64;
+        server.incarnations.push(Instant::now());
+        let started_ms = FIRST_START_MS + server.incarnations.len() as u64;
         let name = format!("i-outspoken-{index}");
         let service = fleet::DIRECTIVES_SERVICE;
         servers::record(&self.store, service, &name, &server.backend, started_ms);
@@ -153,7 +154,7 @@
             return;
         }
         if self.servers[index].is_leaving {
-            self.start_life(index);
+            self.start_incarnation(index);
         }
         let backoff_s = self.rng.random_range(0.2..5.0);
         let served = Reply::served(Duration::ZERO);
@@ -202,7 +203,7 @@
     fn check_leaving(&mut self, index: usize) {
         let mut announced: HashMap<(RouterProcess, usize), Instant> = HashMap::new();
         for (given, sent) in self.replies_with_requests(index) {
-            let key = (sent.router, self.servers[index].life_at(given.at));
+            let key = (sent.router, self.servers[index].incarnation_at(given.at));
             if announced
                 .get(&key)
                 .is_some_and(|announced_at| sent.at > *announced_at + LEAVING_GRACE)
@@ -230,10 +231,10 @@
             let Some(backoff_s) = value.and_then(|value| value.parse().ok()) else { continue };
             let backoff_period = backoff_reply.at + BACKOFF_GRACE
                 ..backoff_reply.at + Duration::from_secs_f64(backoff_s);
-            let life = server.life_at(backoff_reply.at);
+            let incarnation = server.incarnation_at(backoff_reply.at);
             let in_backoff = |(reply, sent): &&(SentReply, Sent)| {
                 let same_processes =
-                    sent.router == request.router && server.life_at(reply.at) == life;
+                    sent.router == request.router && server.incarnation_at(reply.at) == incarnation;
                 same_processes && backoff_period.contains(&reply.at)
             };
             let reached = replies.iter().filter(in_backoff).count();
--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -74,7 +74,7 @@
     folder: PathBuf,
     store: Arc<store::Store>,
     /// All server incarnations, by the number that their answers contain. Earlier incarnations still answer.
-    lives: Vec<backend::Backend>,
+    server_incarnations: Vec<backend::Backend>,
     routers: Vec<Router>,
     version: u64,
 }
@@ -96,7 +96,7 @@
             binary: binary.to_owned(),
             folder: folder.to_owned(),
             store: Arc::new(store),
-            lives: Vec::new(),
+            server_incarnations: Vec::new(),
             routers: Vec::new(),
             version: 0,
         };
@@ -112,11 +112,11 @@
     /// Starts a server, or another incarnation if one of this name was started before. Returns the number that its answers
     /// contain.
     pub fn start_server(&mut self, name: &str) -> Result<usize, Error> {
-        let number = self.lives.len();
+        let number = self.server_incarnations.len();
         let script: backend::Script =
             Box::new(move |_, _| vec![backend::response("200 OK", &format!("{number:04}"))]);
         let started = backend::Backend::start(script);
-        self.lives.push(started.context(IoSnafu { what: "start a backend server" })?);
+        self.server_incarnations.push(started.context(IoSnafu { what: "start a backend server" })?);
         self.record_server(name, number, "ready");
         Ok(number)
     }
@@ -125,7 +125,7 @@
     pub fn record_server(&self, name: &str, number: usize, state: &str) {
         let record = wire::Record {
             service: SERVICE,
-            address: self.lives[number].address(),
+            address: self.server_incarnations[number].address(),
             state,
             started_ms: FIRST_START_MS + number as u64,
         };
--- a/soak/src/observe.rs
+++ b/soak/src/observe.rs
@@ -23,7 +23,7 @@
     /// The status; `None` if there was no answer.
     pub status: Option<u16>,
     /// The number of the server incarnation that answered.
-    pub life: Option<usize>,
+    pub server_incarnation: Option<usize>,
 }
 
 /// The kind of a violation. Reports are sorted by the order of the variants.
@@ -128,8 +128,8 @@
     }
 
     /// Records that the store has acknowledged that a server incarnation has ended or is leaving.
-    pub fn end_server_life(&mut self, life: usize) {
-        self.ended_servers.entry(life).or_insert_with(Instant::now);
+    pub fn end_server_incarnation(&mut self, incarnation: usize) {
+        self.ended_servers.entry(incarnation).or_insert_with(Instant::now);
     }
 
     /// The newest configuration version that was acknowledged; 0 before the first.
@@ -168,8 +168,13 @@
 
     /// Records a violation that another client has found.
     pub fn record_violation(&mut self, kind: ViolationKind, router: usize, sent: Instant) {
-        let answer =
-            Answer { router, version: self.newest_acknowledged, sent, status: None, life: None };
+        let answer = Answer {
+            router,
+            version: self.newest_acknowledged,
+            sent,
+            status: None,
+            server_incarnation: None,
+        };
         let (after_ack, after_fault) = (Duration::ZERO, self.faults[router].1.elapsed());
         self.violations.push(Violation { kind, answer, after_ack, after_fault });
     }
@@ -185,7 +190,8 @@
         };
         let connected = active_faults == 0 && after_fault > RECONNECTION_TIME;
         let newest_served = self.newest_served[answer.router];
-        let ended = answer.life.and_then(|life| self.ended_servers.get(&life));
+        let ended =
+            answer.server_incarnation.and_then(|incarnation| self.ended_servers.get(&incarnation));
         let long_ended = ended.is_some_and(|ended| {
             answer.sent.saturating_duration_since(*ended) > CONFIGURATION_DEADLINE
         });
--- a/soak/src/prober.rs
+++ b/soak/src/prober.rs
@@ -61,7 +61,7 @@
                 )
                 .ok()
             };
-            let (status, life) = match answer {
+            let (status, server_incarnation) = match answer {
                 Some(answer) => (Some(answer.status), answer.body.parse().ok()),
                 None => (None, None),
             };
@@ -70,7 +70,7 @@
                 version,
                 sent,
                 status,
-                life,
+                server_incarnation,
             });
             thread::sleep(PROBE_INTERVAL.saturating_sub(sent.elapsed()));
         }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -59,7 +59,7 @@
 struct Run {
     fleet: fleet::Fleet,
     /// The number of the current incarnation of the second server.
-    second_server_life: usize,
+    second_server_incarnation: usize,
     shared: Arc<prober::Shared>,
     /// Backups by the numbers of the steps that restore them.
     backups: HashMap<usize, store::Backup>,
@@ -78,7 +78,8 @@
     // The first incarnations of the servers have the numbers 0 and 1.
     let rng = StdRng::seed_from_u64(*seed);
     let backups = HashMap::new();
-    let mut run = Run { fleet, second_server_life: 1, shared, backups, pending_rewrite: None, rng };
+    let mut run =
+        Run { fleet, second_server_incarnation: 1, shared, backups, pending_rewrite: None, rng };
     run.start_all()?;
     let probers: Vec<thread::JoinHandle<()>> = (0..*routers)
         .map(|index| prober::start(index, run.fleet.clients_address(index), run.shared.clone()))
@@ -194,17 +195,21 @@
             }
             Action::UnreadableEntries => self.fleet.put_bad_entries(),
             Action::ServerRestarts => {
-                let ended = self.second_server_life;
-                self.second_server_life = self.fleet.start_server(fleet::SECOND_SERVER)?;
-                self.shared.observations().end_server_life(ended);
+                let ended = self.second_server_incarnation;
+                self.second_server_incarnation = self.fleet.start_server(fleet::SECOND_SERVER)?;
+                self.shared.observations().end_server_incarnation(ended);
             }
             Action::ServerLeaves => {
-                self.fleet.record_server(fleet::SECOND_SERVER, self.second_server_life, "draining");
-                self.shared.observations().end_server_life(self.second_server_life);
+                self.fleet.record_server(
+                    fleet::SECOND_SERVER,
+                    self.second_server_incarnation,
+                    "draining",
+                );
+                self.shared.observations().end_server_incarnation(self.second_server_incarnation);
             }
             Action::ServerRecordCorrupted => {
                 self.fleet.corrupt_record(fleet::SECOND_SERVER);
-                self.shared.observations().end_server_life(self.second_server_life);
+                self.shared.observations().end_server_incarnation(self.second_server_incarnation);
             }
             Action::StoreConnectionsFail { routers, fault } => {
                 self.begin_fault(routers);
--- a/src/control.rs
+++ b/src/control.rs
@@ -142,8 +142,8 @@
                 node::Action::ConfigInForce { version, source } => {
                     self.publish_config(version, source)
                 }
-                node::Action::ServerRestarted { vm, life } => {
-                    self.published.publish_restart(vm, life);
+                node::Action::ServerRestarted { vm, incarnation } => {
+                    self.published.publish_restart(vm, incarnation);
                 }
                 node::Action::Notice(notice) => telemetry::log_notice(&notice),
             }
--- a/src/control/handlers.rs
+++ b/src/control/handlers.rs
@@ -68,7 +68,7 @@
     type Result = ();
 
     fn handle(&mut self, reported: messages::LoadReported, _: &mut Self::Context) {
-        self.node.report_load_of(&reported.vm, reported.life, reported.load);
+        self.node.report_load_of(&reported.vm, reported.incarnation, reported.load);
     }
 }
 
@@ -77,12 +77,13 @@
 
     fn handle(&mut self, reported: messages::DirectivesReported, context: &mut Self::Context) {
         let now_ms = self.now_ms();
-        let messages::DirectivesReported { vm, life, directives, sent_at, received_at } = reported;
+        let messages::DirectivesReported { vm, incarnation, directives, sent_at, received_at } =
+            reported;
         let age = servers::AnswerAge {
             sent_ms: sent_at.elapsed().as_millis() as u64,
             received_ms: received_at.elapsed().as_millis() as u64,
         };
-        self.node.report_directives(&vm, life, &directives, age, now_ms);
+        self.node.report_directives(&vm, incarnation, &directives, age, now_ms);
         self.perform_actions(context);
     }
 }
--- a/src/control/messages.rs
+++ b/src/control/messages.rs
@@ -42,7 +42,7 @@
     /// The server's VM.
     pub vm: String,
     /// The incarnation of the server that reported it.
-    pub life: ids::ServerLife,
+    pub incarnation: ids::ServerIncarnation,
     /// The load.
     pub load: servers::Load,
 }
@@ -54,7 +54,7 @@
     /// The server's VM.
     pub vm: String,
     /// The incarnation of the server that sent them.
-    pub life: ids::ServerLife,
+    pub incarnation: ids::ServerIncarnation,
 
     /// The directives.
     pub directives: servers::Directives,
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -145,7 +145,7 @@
         let load = servers::Load { running, queued, slots };
         context.control.do_send(control::LoadReported {
             vm: placement.vm.clone(),
-            life: placement.life,
+            incarnation: placement.incarnation,
             load,
         });
     }
--- a/src/gateway/backends.rs
+++ b/src/gateway/backends.rs
@@ -108,14 +108,14 @@
 struct Upstream {
     address: String,
     /// Part of the key because a connection is not valid for another incarnation of the server at the same address.
-    life: ids::ServerLife,
+    incarnation: ids::ServerIncarnation,
 }
 
 /// A connection that may be in use, with the means to abort it.
 #[derive(Debug)]
 struct Open {
     vm: String,
-    life: ids::ServerLife,
+    incarnation: ids::ServerIncarnation,
     established: Instant,
     abort_handle: socket::AbortHandle,
 }
@@ -156,7 +156,7 @@
         new_only: bool,
     ) -> Result<Connection, Error> {
         let address = &placement.address;
-        let upstream = Upstream { address: address.clone(), life: placement.life };
+        let upstream = Upstream { address: address.clone(), incarnation: placement.incarnation };
         while let Some(mut connection) = (!new_only).then(|| self.take_idle(&upstream)).flatten() {
             let ready = tokio::time::timeout(READY_TIMEOUT, connection.sender.ready()).await;
             if matches!(ready, Ok(Ok(()))) {
@@ -177,10 +177,11 @@
         socket: socket::Socket,
         placement: &upstream::Placement,
     ) -> Result<Connection, Error> {
-        let upstream = Upstream { address: placement.address.clone(), life: placement.life };
+        let upstream =
+            Upstream { address: placement.address.clone(), incarnation: placement.incarnation };
         self.open.borrow_mut().push(Open {
             vm: placement.vm.clone(),
-            life: placement.life,
+            incarnation: placement.incarnation,
             established: Instant::now(),
             abort_handle: socket.abort_handle(),
         });
@@ -198,7 +199,8 @@
         placement: &upstream::Placement,
         control: &Addr<control::Control>,
     ) -> probe::ProbeResult {
-        let upstream = Upstream { address: placement.address.clone(), life: placement.life };
+        let upstream =
+            Upstream { address: placement.address.clone(), incarnation: placement.incarnation };
         let shared = self.probes.borrow_mut().entry(upstream.clone()).or_default().clone();
         let result = *shared.get_or_init(|| self.run_probe(placement, control)).await;
         let mut probes = self.probes.borrow_mut();
@@ -239,7 +241,7 @@
     /// Whether a connection to the server that was established before `moment` is still in use.
     fn has_connection_before(&self, placement: &upstream::Placement, moment: Instant) -> bool {
         self.open.borrow().iter().any(|open| {
-            let same = open.vm == placement.vm && open.life == placement.life;
+            let same = open.vm == placement.vm && open.incarnation == placement.incarnation;
             same && open.established < moment && open.abort_handle.in_use()
         })
     }
@@ -258,7 +260,8 @@
 
     /// Closes the idle connections to a server.
     pub fn close_idle(&self, placement: &upstream::Placement) {
-        let upstream = Upstream { address: placement.address.clone(), life: placement.life };
+        let upstream =
+            Upstream { address: placement.address.clone(), incarnation: placement.incarnation };
         self.idle.borrow_mut().remove(&upstream);
     }
 
@@ -275,10 +278,11 @@
 
     /// Aborts the connections to earlier incarnations of servers. Requests on them end as if the server had crashed,
     /// also if its machine stopped responding and the connection would otherwise stay open.
-    pub fn abort_earlier_incarnations(&self, current: &snapshot::Lives) {
+    pub fn abort_earlier_incarnations(&self, current: &snapshot::ServerIncarnations) {
         for open in self.open.borrow().iter() {
-            let earlier =
-                current.get(&open.vm).is_some_and(|current_life| *current_life > open.life);
+            let earlier = current
+                .get(&open.vm)
+                .is_some_and(|current_incarnation| *current_incarnation > open.incarnation);
             if earlier && open.established.elapsed() >= NEW_INCARNATION_MARGIN {
                 open.abort_handle.abort();
             }
--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -78,7 +78,7 @@
     config_age_ms: AtomicU64,
     /// Head keys of the fingerprints of requests during which servers crashed.
     suspected: arc_swap::ArcSwap<collections::HashSet<u64>>,
-    restarted: watch::Sender<Lives>,
+    restarted: watch::Sender<ServerIncarnations>,
     any_limits: AtomicBool,
     ready: AtomicBool,
     draining: AtomicBool,
@@ -87,7 +87,7 @@
 }
 
 /// The current incarnations of servers that restarted, by VM.
-pub type Lives = collections::HashMap<String, ids::ServerLife>;
+pub type ServerIncarnations = collections::HashMap<String, ids::ServerIncarnation>;
 
 /// The number of restarted servers that are remembered. When there are more, all are forgotten, and requests that are
 /// still open at their earlier incarnations have to end by themselves.
@@ -102,7 +102,7 @@
             snapshot: Default::default(),
             config_age_ms: AtomicU64::new(AGE_UNKNOWN_MS),
             suspected: Default::default(),
-            restarted: watch::Sender::new(Lives::new()),
+            restarted: watch::Sender::new(ServerIncarnations::new()),
             any_limits: Default::default(),
             ready: Default::default(),
             draining: Default::default(),
@@ -156,17 +156,17 @@
     }
 
     /// Publishes the new incarnation of a server that restarted.
-    pub fn publish_restart(&self, vm: String, life: ids::ServerLife) {
-        self.restarted.send_modify(|lives| {
-            if lives.len() >= RESTARTED_SERVERS_MAX {
-                lives.clear();
+    pub fn publish_restart(&self, vm: String, incarnation: ids::ServerIncarnation) {
+        self.restarted.send_modify(|incarnations| {
+            if incarnations.len() >= RESTARTED_SERVERS_MAX {
+                incarnations.clear();
             }
-            lives.insert(vm, life);
+            incarnations.insert(vm, incarnation);
         });
     }
 
     /// Subscribes to the incarnations of restarted servers.
-    pub fn subscribe_restarts(&self) -> watch::Receiver<Lives> {
+    pub fn subscribe_restarts(&self) -> watch::Receiver<ServerIncarnations> {
         self.restarted.subscribe()
     }
 
--- a/src/telemetry/notices.rs
+++ b/src/telemetry/notices.rs
@@ -39,18 +39,18 @@
                 node::LimitSource::Expired => "lapsed".to_owned(),
             }
         ),
-        node::Notice::ServerLeaving { vm, life, service, source, from } => log::info!(
+        node::Notice::ServerLeaving { vm, incarnation, service, source, from } => log::info!(
             "event=server_leaving vm={vm} born_ms={} service={service} source={} from={}",
-            life.0,
+            incarnation.0,
             source.as_str(),
             from.map_or_else(|| "self".to_owned(), |peer| peer.to_string()),
         ),
-        node::Notice::ServerLeavingEnded { vm, life } => {
-            log::info!("event=server_leaving_ended vm={vm} born_ms={}", life.0);
+        node::Notice::ServerLeavingEnded { vm, incarnation } => {
+            log::info!("event=server_leaving_ended vm={vm} born_ms={}", incarnation.0);
         }
-        node::Notice::ServerBackoff { vm, life, service, for_ms } => log::info!(
+        node::Notice::ServerBackoff { vm, incarnation, service, for_ms } => log::info!(
             "event=server_backoff vm={vm} born_ms={} service={service} for_ms={for_ms}",
-            life.0,
+            incarnation.0,
         ),
         node::Notice::ServerBackoffEnded { vm, service } => {
             log::info!("event=server_backoff_ended vm={vm} service={service}");
@@ -97,11 +97,14 @@
         node::Notice::ServerRestarted(restarted) => log::info!(
             "event=server_restarted vm={} born_ms={} open_requests={}",
             restarted.vm,
-            restarted.life.0,
+            restarted.incarnation.0,
             restarted.open_requests,
         ),
-        node::Notice::ServerCrashed { vm, life, requests } => {
-            log::warn!("event=server_crashed vm={vm} born_ms={} requests={requests}", life.0);
+        node::Notice::ServerCrashed { vm, incarnation, requests } => {
+            log::warn!(
+                "event=server_crashed vm={vm} born_ms={} requests={requests}",
+                incarnation.0
+            );
         }
         node::Notice::RequestSuspected { request, crashes, source } => log::info!(
             "event=request_suspected fingerprint={request} crashes={crashes} source={}",
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -81,7 +81,7 @@
     /// The VM on which the server runs.
     pub vm: String,
     /// The server incarnation for which the request is meant.
-    pub life: ids::ServerLife,
+    pub incarnation: ids::ServerIncarnation,
     /// The id of this attempt.
     pub attempt: ids::AttemptId,
     /// The number of prompt tokens that the server is estimated not to have in its cache.
@@ -91,7 +91,7 @@
 impl Placement {
     /// The server's VM and incarnation.
     pub fn server(&self) -> quarantine::ServerInstance {
-        quarantine::ServerInstance { vm: self.vm.clone(), life: self.life }
+        quarantine::ServerInstance { vm: self.vm.clone(), incarnation: self.incarnation }
     }
 }
 
@@ -118,10 +118,10 @@
     if said.is_empty() && !published.any_limits() {
         return;
     }
-    let (vm, life, heard) = (placement.vm.clone(), placement.life, Instant::now());
+    let (vm, incarnation, heard) = (placement.vm.clone(), placement.incarnation, Instant::now());
     control.do_send(control::DirectivesReported {
         vm,
-        life,
+        incarnation,
         directives: said,
         sent_at: sent,
         received_at: heard,
@@ -183,8 +183,8 @@
 
 fn admission(slot: ids::RequestSlot, answer: Option<node::Answer>) -> Admission {
     match answer {
-        Some(node::Answer::Dispatch { address, vm, life, attempt, unread_tokens }) => {
-            Admission::Placed(Placement { slot, address, vm, life, attempt, unread_tokens })
+        Some(node::Answer::Dispatch { address, vm, incarnation, attempt, unread_tokens }) => {
+            Admission::Placed(Placement { slot, address, vm, incarnation, attempt, unread_tokens })
         }
         Some(node::Answer::Replay(outcome)) => Admission::Replay(outcome),
         Some(node::Answer::Refuse { reason, retry_after_ms }) => {
