--- a/core/src/grants/account.rs
+++ b/core/src/grants/account.rs
@@ -341,7 +341,9 @@
         self.rate_tokens_per_s().saturating_mul(SHARE_RATE_WINDOW_FIRST_MS) / 1_000
     }
 
-    /// Whether too few tokens are free. A draw exceeds this threshold, so that refills are infrequent.
+    /// Whether too few tokens are free. A draw goes above this threshold, so that refills are infrequent: without
+    /// `held_percent` the threshold is the target and a draw goes up to half above it; with `held_percent` it is seven
+    /// eighths of the target and a draw goes up to the target.
     pub fn needs_draw(&self) -> bool {
         if !self.holder && !self.draws_on_demand {
             return false;
--- a/core/src/leaving_servers.rs
+++ b/core/src/leaving_servers.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections;
 
-/// Time for which an entry from an answer is kept after the server's record is gone.
+/// Time for which an entry from an answer is kept after the server's record was removed.
 const UNLISTED_TTL_MS: u64 = 3_600_000;
 /// Maximum number of kept entries without a record.
 const UNLISTED_MAX: usize = 4_096;
@@ -57,7 +57,7 @@
 /// All servers that are leaving, by VM.
 #[derive(Debug, Default)]
 pub struct LeavingServers {
-    known: collections::BTreeMap<String, LeavingServer>,
+    by_vm: collections::BTreeMap<String, LeavingServer>,
     rotation: gossip_rotation::Rotation<String>,
 }
 
@@ -71,35 +71,35 @@
         source: Source,
     ) -> bool {
         let sends_left = if source == Source::Answer { gossip_rotation::TRANSMISSIONS } else { 0 };
-        let known = self.known.get(vm).map(|known| (known.incarnation, known.source));
-        if known.is_some_and(|known| known >= (incarnation, source)) {
+        let present = self.by_vm.get(vm).map(|leaving| (leaving.incarnation, leaving.source));
+        if present.is_some_and(|present| present >= (incarnation, source)) {
             return false;
         }
         let leaving = LeavingServer { incarnation, source, unlisted_since_ms: None, sends_left };
-        self.known.insert(vm.to_owned(), leaving);
+        self.by_vm.insert(vm.to_owned(), leaving);
         true
     }
 
     /// Whether an incarnation of a server is known to be leaving.
     pub fn contains(&self, vm: &str, incarnation: ids::ServerIncarnation) -> bool {
-        self.known.get(vm).is_some_and(|leaving| leaving.incarnation >= incarnation)
+        self.by_vm.get(vm).is_some_and(|leaving| leaving.incarnation >= incarnation)
     }
 
     /// Iterates over all leaving servers with their VMs.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &LeavingServer)> {
-        self.known.iter().map(|(vm, leaving)| (vm.as_str(), leaving))
+        self.by_vm.iter().map(|(vm, leaving)| (vm.as_str(), leaving))
     }
 
     /// Whether an update is queued that was not sent yet.
     pub fn has_unsent(&self) -> bool {
-        gossip_rotation::has_unsent(&self.known)
+        gossip_rotation::has_unsent(&self.by_vm)
     }
 
     /// Takes the updates for the next datagram.
     pub fn take_updates(&mut self) -> Vec<message::LeavingUpdate> {
-        let vms = self.rotation.take(&mut self.known, String::len);
+        let vms = self.rotation.take(&mut self.by_vm, String::len);
         let updates = vms.into_iter().filter_map(|vm| {
-            let LeavingServer { incarnation, source, .. } = *self.known.get(&vm)?;
+            let LeavingServer { incarnation, source, .. } = *self.by_vm.get(&vm)?;
             Some(message::LeavingUpdate { vm, incarnation, source })
         });
         updates.collect()
@@ -112,7 +112,7 @@
         incarnations: &collections::HashMap<&str, ids::ServerIncarnation>,
         now_ms: u64,
     ) -> Vec<(String, ids::ServerIncarnation)> {
-        for (vm, leaving) in &mut self.known {
+        for (vm, leaving) in &mut self.by_vm {
             let listed = incarnations.contains_key(vm.as_str());
             let since_ms = leaving.unlisted_since_ms.unwrap_or(now_ms);
             leaving.unlisted_since_ms = (!listed).then_some(since_ms);
@@ -125,13 +125,13 @@
                 leaving.source == Source::Answer && since_ms >= oldest_ms
             }
         };
-        let removed = self.known.extract_if(.., |vm, leaving| !holds(vm, leaving));
+        let removed = self.by_vm.extract_if(.., |vm, leaving| !holds(vm, leaving));
         removed.map(|(vm, leaving)| (vm, leaving.incarnation)).collect()
     }
 
     /// Earliest time of a record's disappearance for which an entry is kept.
     fn oldest_kept_ms(&self, now_ms: u64) -> u64 {
-        let unlisted = self.known.values().filter_map(|leaving| leaving.unlisted_since_ms);
+        let unlisted = self.by_vm.values().filter_map(|leaving| leaving.unlisted_since_ms);
         let mut unlisted_ms: Vec<u64> = unlisted.collect();
         unlisted_ms.sort_unstable_by(|one, other| other.cmp(one));
         let too_many_ms = unlisted_ms.get(UNLISTED_MAX).map_or(0, |since_ms| since_ms + 1);
--- a/core/src/ledger.rs
+++ b/core/src/ledger.rs
@@ -94,7 +94,7 @@
     }
 }
 
-/// One prepaid budget.
+/// The amounts of one prepaid budget of a workspace and the grants that routers have drawn from it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Budget {
     /// The total number of tokens paid in.
--- a/core/src/ledger_writer.rs
+++ b/core/src/ledger_writer.rs
@@ -22,7 +22,7 @@
 /// The state of the router that a writer needs.
 #[allow(missing_debug_implementations)]
 pub struct Context<'a> {
-    /// The current time.
+    /// The current time in milliseconds.
     pub now_ms: u64,
     /// This router's incarnation.
     pub holder: ids::Incarnation,
@@ -53,7 +53,7 @@
 pub struct Write {
     /// The index of the value to replace.
     pub expected_index: store::Position,
-    /// The new value.
+    /// The value to store under the shard's key.
     pub value: Vec<u8>,
     /// Whether the write also sets the marker of the store's era.
     pub sets_era_marker: bool,
@@ -70,7 +70,7 @@
     WrittenOff,
     /// The grants of a terminated holder were closed.
     TerminatedHolderClosed {
-        /// The terminated holder.
+        /// The router incarnation that held the grants.
         holder: ids::Incarnation,
         /// The tokens that count as spent although the holder has not reported them as consumed.
         written_off_tokens: u64,
--- a/core/src/log_index.rs
+++ b/core/src/log_index.rs
@@ -242,8 +242,12 @@
             return Some(ClaimVerdict::Taken);
         }
         let verdict = match self.find(claim.key)? {
-            IdState::Claimed(known) if known.attempt == claim.attempt => ClaimVerdict::Granted,
-            IdState::Claimed(known) if known.body_hash != claim.body_hash => ClaimVerdict::Conflict,
+            IdState::Claimed(existing) if existing.attempt == claim.attempt => {
+                ClaimVerdict::Granted
+            }
+            IdState::Claimed(existing) if existing.body_hash != claim.body_hash => {
+                ClaimVerdict::Conflict
+            }
             IdState::Claimed(_) => ClaimVerdict::Taken,
             IdState::Settled { body_hash, .. } if *body_hash != claim.body_hash => {
                 ClaimVerdict::Conflict
--- a/core/src/log_index/entries.rs
+++ b/core/src/log_index/entries.rs
@@ -92,7 +92,7 @@
 pub enum IdState {
     /// An attempt has claimed the id and may be running the request.
     Claimed(Claim),
-    /// The request ended.
+    /// The request has ended, and the log contains its settlement.
     Settled {
         /// The digest of the request's body.
         body_hash: u64,
--- a/core/src/log_writer.rs
+++ b/core/src/log_writer.rs
@@ -175,7 +175,7 @@
         };
         let mut same = self.pending.iter_mut().filter(|other| other.waiter == waiter);
         match same.find(|other| other.entry == entry) {
-            Some(known) => known.due_ms = known.due_ms.min(due_ms),
+            Some(existing) => existing.due_ms = existing.due_ms.min(due_ms),
             None => self.pending.push(Pending { entry, waiter, due_ms }),
         }
         None
--- a/core/src/log_writer/replies.rs
+++ b/core/src/log_writer/replies.rs
@@ -6,7 +6,7 @@
 
 impl Writer {
     /// Handles a reply of the store. Returns the entries that became durable.
-    pub fn reply(
+    pub fn handle_reply(
         &mut self,
         call: ids::CallId,
         reply: store::Reply,
--- a/core/src/members.rs
+++ b/core/src/members.rs
@@ -86,7 +86,8 @@
     seeds: Vec<String>,
     /// New addresses that have not been probed yet.
     unprobed: collections::VecDeque<String>,
-    round: Vec<ids::Incarnation>,
+    /// The members that are still to be probed in this round, the next one last.
+    probe_order: Vec<ids::Incarnation>,
     probing: Option<(ids::Incarnation, u64)>,
     next_probe_ms: u64,
     probes: u64,
@@ -107,7 +108,7 @@
             members: Default::default(),
             unprobed: seeds.iter().take(UNPROBED_MAX).cloned().collect(),
             seeds,
-            round: Vec::new(),
+            probe_order: Vec::new(),
             probing: None,
             next_probe_ms: 0,
             probes: 0,
@@ -270,7 +271,7 @@
         member.unanswered_probes += 1;
         if member.unanswered_probes < SUSPECT_AFTER_PROBES {
             // Probed again before all others, because a round through a large fleet takes long.
-            self.round.push(id);
+            self.probe_order.push(id);
         } else if member.record.health == Health::Alive {
             set_health(member, Health::Suspect, now_ms);
         }
@@ -290,21 +291,23 @@
     }
 
     fn probe_dead_or_seed(&mut self, rng: &mut rngs::StdRng) -> Option<Probe> {
-        let known: Vec<&str> = self.live().map(|record| record.address.as_str()).collect();
+        let live_addresses: Vec<&str> = self.live().map(|record| record.address.as_str()).collect();
         let dead = self.records().filter(|record| record.health == Health::Dead);
         let mut addresses: Vec<String> = dead.map(|record| record.address.clone()).collect();
-        addresses.extend(self.seeds.iter().filter(|seed| !known.contains(&seed.as_str())).cloned());
+        addresses.extend(
+            self.seeds.iter().filter(|seed| !live_addresses.contains(&seed.as_str())).cloned(),
+        );
         addresses.shuffle(rng);
         self.next_seed += 1;
         addresses.into_iter().next().map(|address| Probe { address })
     }
 
     fn probe_live(&mut self, now_ms: u64, rng: &mut rngs::StdRng) -> Option<Probe> {
-        if self.round.is_empty() {
-            self.round = self.live().map(|record| record.id).collect();
-            self.round.shuffle(rng);
+        if self.probe_order.is_empty() {
+            self.probe_order = self.live().map(|record| record.id).collect();
+            self.probe_order.shuffle(rng);
         }
-        let id = self.round.pop()?;
+        let id = self.probe_order.pop()?;
         let record = self.find(id)?;
         let address = record.address.clone();
         self.probing = Some((id, now_ms));
--- a/core/src/message.rs
+++ b/core/src/message.rs
@@ -111,7 +111,7 @@
     Vms {
         /// The position and age of the sender's copy; the position is the index of the list.
         copy_state: CopyState,
-        /// The listed VMs.
+        /// All VMs in the list.
         vms: Vec<servers::Vm>,
     },
     /// Requests the receiver's list of live routers.
@@ -124,9 +124,9 @@
         number: u64,
 
         /// The limit of the server as known to the requester.
-        known: servers::LimitUpdate,
+        limit_update: servers::LimitUpdate,
         /// The permits that the requester can use.
-        wanted: servers::PermitsRequested,
+        requested: servers::PermitsRequested,
     },
     /// The reply to [`Message::PermitRequest`].
     PermitReply {
--- a/core/src/message/ages.rs
+++ b/core/src/message/ages.rs
@@ -18,7 +18,7 @@
             Self::Config { copy_state, .. } | Self::Vms { copy_state, .. } => {
                 copy_state.add_age_ms(queued_ms)
             }
-            Self::PermitRequest { known, .. } => known.add_age_ms(queued_ms),
+            Self::PermitRequest { limit_update, .. } => limit_update.add_age_ms(queued_ms),
             _ => {}
         }
     }
--- a/core/src/node.rs
+++ b/core/src/node.rs
@@ -1,9 +1,8 @@
 //! One router's control state: tables, and the functions that process them on each tick.
 //!
-
 //! [`Node`] receives events as method calls and queues the effects as a list of [`Action`]s. Its functions are in the
 //! submodules: `admit` (from a request to its dispatch), `retries`, `tokens` and `queue` (waits for tokens and for
-//! servers), `limits` (rate limits of servers), `said` (what servers state in their answers), `settle` (ends of
+//! servers), `limits` (rate limits of servers), `directives` (what servers state in headers of their answers), `settle` (ends of
 //! requests), `platform` (calls to the store), `peers` (messages).
 
 mod admit;
@@ -79,7 +78,7 @@
     WaitingHandover,
 }
 
-/// An admitted request.
+/// A request that was submitted for admission and has not ended, with the state of its waits and attempts.
 #[derive(Debug)]
 struct Request {
     admission: AdmissionRequest,
@@ -87,7 +86,7 @@
     attempt: ids::AttemptId,
     stage: Stage,
     stage_since_ms: u64,
-    /// Servers that are not tried again.
+    /// Servers to which the request is not sent again.
     failed_servers: Vec<ids::ServerSlot>,
     /// The number of servers on which it may have run and failed.
     attempts: u32,
@@ -100,8 +99,8 @@
 struct TokenSearch {
     /// Peers that have not answered the last transfer request.
     unanswered: collections::BTreeSet<ids::Incarnation>,
-    /// When peers were last asked.
-    asked_ms: u64,
+    /// When transfer requests were last sent to peers.
+    requested_ms: u64,
     /// After an unsuccessful search: until then, requests of `refused_tokens` or more are refused at once.
     refused_until_ms: u64,
     refused_tokens: u64,
@@ -325,7 +324,7 @@
 
     /// Stores a load report of a server.
     pub fn report_load(&mut self, slot: ids::ServerSlot, load: servers::Load) {
-        self.servers.reported(slot, load);
+        self.servers.record_load(slot, load);
     }
 
     /// Handles the start of the answer to a dispatched request: the server has processed the prompt.
@@ -334,7 +333,7 @@
         let Stage::Running { server, sent_ms, .. } = &request.stage else { return };
         let tokens = std::mem::take(&mut request.unread_tokens);
         self.servers.has_read(*server, tokens);
-        self.servers.answered(*server, *sent_ms);
+        self.servers.record_answer(*server, *sent_ms);
     }
 
     /// Stores the load that a server reported on an answer, if it is the current incarnation of the server.
--- a/core/src/node/counters.rs
+++ b/core/src/node/counters.rs
@@ -53,7 +53,7 @@
     Forgotten,
     /// The store replied that it does not serve requests at present.
     Refused,
-    /// No answer arrived.
+    /// The poll ended without an answer.
     Silent,
     /// Another router's write was applied before it, so it was rejected as a conflict.
     Overtaken,
--- a/core/src/node/directives.rs
+++ b/core/src/node/directives.rs
@@ -38,7 +38,7 @@
         header: servers::Header,
     ) {
         let Some(slot) = self.servers.find_incarnation(vm, incarnation) else { return };
-        if self.servers.note_unreadable(slot, header) {
+        if self.servers.record_unreadable(slot, header) {
             let notice = Notice::HeaderUnreadable { vm: vm.to_owned(), header };
             self.actions.push(Action::Notice(notice));
         }
--- a/core/src/node/eras.rs
+++ b/core/src/node/eras.rs
@@ -7,7 +7,7 @@
 
 /// Time for routers to write their part of the ledger back to a restored store.
 const LEDGER_RECOVERY_MS: u64 = 1_000;
-/// Time for writers to repeat writes that a restore lost, and for the records of dead writers to expire: a record
+/// Time for writers to repeat writes that a restore lost, and for the records of terminated writers to expire: a record
 /// expires after three heartbeats of 1.2 s without a write.
 const REWRITE_WINDOW_MS: u64 = 5_000;
 /// How long evacuations of the lost history stay in effect, so that the operator can write them again.
--- a/core/src/node/holders.rs
+++ b/core/src/node/holders.rs
@@ -37,7 +37,7 @@
     number: u64,
     holder: ids::Incarnation,
     /// When the request was first sent to this holder.
-    asked_ms: u64,
+    requested_ms: u64,
     /// When the request was last sent to this holder.
     sent_ms: u64,
     /// The holders asked before.
@@ -88,8 +88,7 @@
                 .token_searches
                 .get(&budget)
                 .is_some_and(|search| now_ms < search.direct_draw_until_ms);
-            direct
-                || self.holders.received_requests.iter().any(|question| question.budget == budget)
+            direct || self.holders.received_requests.iter().any(|request| request.budget == budget)
         };
         self.grants.set_holders(routers, is_holder, draws);
     }
@@ -116,7 +115,7 @@
             } else {
                 ANSWER_TIMEOUT_MS
             };
-            now_ms >= pending.asked_ms + timeout_ms
+            now_ms >= pending.requested_ms + timeout_ms
         };
         let sent_requests = &self.holders.sent_requests;
         let timed_out: Vec<ids::BudgetSlot> = sent_requests
@@ -189,9 +188,9 @@
         };
         self.holders.last_number += 1;
         let number = self.holders.last_number;
-        let (asked_ms, sent_ms, waits) = (now_ms, now_ms, false);
+        let (requested_ms, sent_ms, waits) = (now_ms, now_ms, false);
         let pending =
-            PendingTransfer { number, holder, asked_ms, sent_ms, earlier, answered, waits };
+            PendingTransfer { number, holder, requested_ms, sent_ms, earlier, answered, waits };
         self.holders.sent_requests.insert(budget, pending);
         self.send_transfer_request(budget, now_ms);
     }
--- a/core/src/node/limits.rs
+++ b/core/src/node/limits.rs
@@ -222,8 +222,8 @@
                 return;
             }
             let permits = waiting - expected;
-            let wanted = servers::PermitsRequested { permits, within_ms, trial: false };
-            expected += self.request_permits_from(*slot, wanted, now_ms);
+            let requested = servers::PermitsRequested { permits, within_ms, trial: false };
+            expected += self.request_permits_from(*slot, requested, now_ms);
         }
     }
 
@@ -245,9 +245,9 @@
             if self.pacing_router(slot) != Some(own) && age_ms < others_after_ms {
                 continue;
             }
-            let wanted =
+            let requested =
                 servers::PermitsRequested { permits: 1, within_ms: TRIAL_VALID_MS, trial: true };
-            self.request_permits_from(slot, wanted, now_ms);
+            self.request_permits_from(slot, requested, now_ms);
         }
     }
 
@@ -269,7 +269,7 @@
     fn request_permits_from(
         &mut self,
         slot: ids::ServerSlot,
-        wanted: servers::PermitsRequested,
+        requested: servers::PermitsRequested,
         now_ms: u64,
     ) -> u64 {
         let limited = self.servers.limits().limited(slot);
@@ -278,30 +278,31 @@
         }
         let Some(router) = self.pacing_router(slot) else { return 0 };
         if router == self.settings.incarnation {
-            let granted = self.grant_permits(slot, wanted, now_ms);
+            let granted = self.grant_permits(slot, requested, now_ms);
             if let Some(limited) = self.servers.limits_mut().limited_mut(slot) {
-                limited.share.answered(None, granted, wanted.trial, now_ms);
+                limited.share.handle_reply(None, granted, requested.trial, now_ms);
             }
             return granted.permits;
         }
         let report = self.servers.limits().report(slot);
-        let Some(known) = report.and_then(|report| self.limit_update(slot, report, now_ms)) else {
+        let Some(limit_update) = report.and_then(|report| self.limit_update(slot, report, now_ms))
+        else {
             return 0;
         };
         self.limits.permit_request_count += 1;
         let number = self.limits.permit_request_count;
         if let Some(limited) = self.servers.limits_mut().limited_mut(slot) {
-            limited.share.record_request(number, wanted, now_ms);
+            limited.share.record_request(number, requested, now_ms);
         }
-        self.send(router, message::Message::PermitRequest { number, known, wanted });
-        wanted.permits
+        self.send(router, message::Message::PermitRequest { number, limit_update, requested });
+        requested.permits
     }
 
     /// Grants permits for a server.
     fn grant_permits(
         &mut self,
         slot: ids::ServerSlot,
-        wanted: servers::PermitsRequested,
+        requested: servers::PermitsRequested,
         now_ms: u64,
     ) -> servers::PermitsGranted {
         // A router that has just started has not discovered the routers with which the server is shared.
@@ -315,7 +316,7 @@
         let Some(limited) = self.servers.limits_mut().limited_mut(slot) else {
             // The requesting router missed the end of the limit: a trial will detect it.
             let trial = servers::PermitsGranted { permits: 1, in_ms: 0 };
-            return if wanted.trial {
+            return if requested.trial {
                 trial
             } else {
                 servers::PermitsGranted::none(NOT_PACER_RETRY_MS)
@@ -325,13 +326,13 @@
         let every_ms = servers::trial_interval_ms(limit_milli_per_s);
         let last_evidence_ms = limited.report.received_ms.max(limited.pacer.trial_ms());
         let trial_in_ms = (last_evidence_ms + every_ms).saturating_sub(now_ms);
-        if trial_in_ms > 0 && (wanted.trial || limit_milli_per_s == 0) {
+        if trial_in_ms > 0 && (requested.trial || limit_milli_per_s == 0) {
             return servers::PermitsGranted::none(trial_in_ms);
         }
         // Routers that are cut off from this one use a share of the server's rate as well.
         let share_milli_per_s =
             limit_milli_per_s.saturating_mul(routers.min(max_live_routers)) / max_live_routers;
-        limited.pacer.grant(share_milli_per_s, wanted, now_ms)
+        limited.pacer.grant(share_milli_per_s, requested, now_ms)
     }
 
     /// Handles a peer's request for permits.
@@ -339,17 +340,17 @@
         &mut self,
         from: ids::Incarnation,
         number: u64,
-        known: servers::LimitUpdate,
-        wanted: servers::PermitsRequested,
+        limit_update: servers::LimitUpdate,
+        requested: servers::PermitsRequested,
         now_ms: u64,
     ) {
-        self.merge_limits(std::slice::from_ref(&known), now_ms);
-        let servers::LimitUpdate { vm, incarnation, .. } = known;
+        self.merge_limits(std::slice::from_ref(&limit_update), now_ms);
+        let servers::LimitUpdate { vm, incarnation, .. } = limit_update;
         let granted = match self.servers.find_incarnation(&vm, incarnation) {
-            Some(slot) => self.grant_permits(slot, wanted, now_ms),
+            Some(slot) => self.grant_permits(slot, requested, now_ms),
             None => servers::PermitsGranted::none(NOT_PACER_RETRY_MS),
         };
-        let trial = wanted.trial;
+        let trial = requested.trial;
         self.send(from, message::Message::PermitReply { number, vm, incarnation, trial, granted });
     }
 
@@ -365,7 +366,7 @@
     ) {
         let Some(slot) = self.servers.find_incarnation(vm, incarnation) else { return };
         let Some(limited) = self.servers.limits_mut().limited_mut(slot) else { return };
-        limited.share.answered(Some(number), granted, trial, now_ms);
+        limited.share.handle_reply(Some(number), granted, trial, now_ms);
         let Some(server) = self.servers.get(slot) else { return };
         let service = server.vm.service.clone();
         if granted.permits == 0 {
--- a/core/src/node/notices.rs
+++ b/core/src/node/notices.rs
@@ -5,9 +5,9 @@
 /// Source from which a router received its configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigSource {
-    /// The platform's store.
+    /// It was read from the platform's store.
     Store,
-    /// Another router.
+    /// It was received from another router.
     Peer(ids::Incarnation),
 }
 
@@ -22,7 +22,7 @@
     Store,
     /// A run of the request succeeded on this router.
     SuccessfulRun,
-    /// An operator's command.
+    /// An operator released it by a command.
     Operator,
 }
 
@@ -55,7 +55,7 @@
 pub enum Notice {
     /// The grants of a terminated holder were closed.
     TerminatedHolderClosed {
-        /// The terminated holder.
+        /// The router incarnation that held the grants.
         holder: ids::Incarnation,
         /// Tokens that are counted as spent, as their use was not reported.
         written_off_tokens: u64,
@@ -70,7 +70,7 @@
         /// Era of the store.
         era: u64,
 
-        /// The decision.
+        /// What is done with the withheld tokens.
         verdict: ledger_writer::RecoveryDecision,
     },
     /// A server restarted under its name.
@@ -191,7 +191,7 @@
     RecordLapsed {
         /// VM of the server.
         vm: String,
-        /// Duration in milliseconds.
+        /// Time for which the record is kept, in milliseconds.
         kept_ms: u64,
     },
     /// The evacuation of a failure domain started or was cancelled.
@@ -222,7 +222,7 @@
     },
     /// The store was restored from a backup.
     StoreRestored {
-        /// The new era.
+        /// The era of the restored store.
         era: u64,
         /// The previous era as known to this router.
         previous: u64,
@@ -243,14 +243,14 @@
 
     /// This router's role in following the store changed.
     WatchRole {
-        /// The new role.
+        /// The role from now on.
         role: watch::Role,
     },
     /// A server failed several times in a row and gets no requests for some time.
     Ejected {
         /// VM of the server.
         vm: String,
-        /// Duration in milliseconds.
+        /// Time for which it gets no requests, in milliseconds.
         ejected_ms: u64,
     },
     /// A server reported more tokens than were reserved for the request.
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -57,8 +57,8 @@
             message::Message::Vms { copy_state, vms } => self.handle_vms(copy_state, vms, now_ms),
             message::Message::MembersRequest => self.send_members(from),
             message::Message::Members(records) => self.members.merge_all(records, now_ms),
-            message::Message::PermitRequest { number, known, wanted } => {
-                self.handle_permit_request(from, number, known, wanted, now_ms);
+            message::Message::PermitRequest { number, limit_update, requested } => {
+                self.handle_permit_request(from, number, limit_update, requested, now_ms);
             }
             message::Message::PermitReply { number, vm, incarnation, trial, granted } => {
                 self.handle_permit_reply(number, &vm, incarnation, trial, granted, now_ms);
@@ -257,8 +257,8 @@
         let gives_way = requester.id < self.settings.incarnation;
         let spare = slot.map_or(0, |slot| self.grants.account(slot).spare_tokens(gives_way));
         let sent_tokens = if ready { spare.min(*wanted_tokens) } else { 0 };
-        let known = self.members.find(requester.id).is_some();
-        match slot.filter(|_| sent_tokens > 0 && known) {
+        let is_member = self.members.find(requester.id).is_some();
+        match slot.filter(|_| sent_tokens > 0 && is_member) {
             Some(slot) => self.send_tokens(requester.id, slot, sent_tokens, *number, now_ms),
             None => {
                 let (number, budget) = (*number, budget.clone());
--- a/core/src/node/platform.rs
+++ b/core/src/node/platform.rs
@@ -53,8 +53,8 @@
             _ => {}
         }
         match completed.purpose {
-            Purpose::Ledger(shard) => self.ledger_reply(shard, call, reply, now_ms),
-            Purpose::Log(shard) => self.log_reply(shard, call, reply, now_ms),
+            Purpose::Ledger(shard) => self.handle_ledger_reply(shard, call, reply, now_ms),
+            Purpose::Log(shard) => self.handle_log_reply(shard, call, reply, now_ms),
             Purpose::Quarantine => self.handle_record_reply(reply, now_ms),
             Purpose::EraRecord => self.handle_era_record_reply(reply, now_ms),
         }
@@ -112,8 +112,8 @@
     fn start_ledger_sync(&mut self, shard: usize, now_ms: u64) {
         let call = self.register_call(Purpose::Ledger(shard));
         let description = self.ledger_holder();
-        let gone = self.gone();
-        let context = self.ledger_context(&description, &gone, now_ms);
+        let is_terminated = self.termination_check();
+        let context = self.ledger_context(&description, &is_terminated, now_ms);
         let request = self.ledgers[shard].start(call, &mut self.grants, &context);
         if request.is_write() {
             self.write_limiter.try_take(now_ms);
@@ -124,7 +124,7 @@
     /// Returns a predicate for holders that have certainly terminated: the VM was listed and is missing from a list
     /// that is not older, or this process has bound the holder's address. An expired lease or missing messages do not
     /// prove it.
-    fn gone(&self) -> impl Fn(ids::Incarnation, &ledger::Holder) -> bool + use<> {
+    fn termination_check(&self) -> impl Fn(ids::Incarnation, &ledger::Holder) -> bool + use<> {
         let vms = self.vms.clone();
         let address = self.settings.address.clone();
         let vms_index = self.vms_index;
@@ -133,8 +133,8 @@
             // A list of another era may lack a VM that was listed in the history which a restore lost.
             let was_listed =
                 listed.revision > 0 && listed <= vms_index && listed.era == vms_index.era;
-            let gone = was_listed && !vms.is_empty() && !vms.contains_key(&holder.vm);
-            holder.address == address || gone
+            let was_removed = was_listed && !vms.is_empty() && !vms.contains_key(&holder.vm);
+            holder.address == address || was_removed
         }
     }
 
@@ -178,10 +178,16 @@
         matches!(self.lifecycle, Lifecycle::Stopping | Lifecycle::Stopped)
     }
 
-    fn ledger_reply(&mut self, shard: usize, call: ids::CallId, reply: store::Reply, now_ms: u64) {
+    fn handle_ledger_reply(
+        &mut self,
+        shard: usize,
+        call: ids::CallId,
+        reply: store::Reply,
+        now_ms: u64,
+    ) {
         let description = self.ledger_holder();
-        let gone = self.gone();
-        let context = self.ledger_context(&description, &gone, now_ms);
+        let is_terminated = self.termination_check();
+        let context = self.ledger_context(&description, &is_terminated, now_ms);
         let (write, events) = self.ledgers[shard].handle_reply(
             call,
             reply,
@@ -259,8 +265,15 @@
         }
     }
 
-    fn log_reply(&mut self, shard: usize, call: ids::CallId, reply: store::Reply, now_ms: u64) {
-        let done = self.logs[shard].reply(call, reply.without_details(), now_ms, &mut self.rng);
+    fn handle_log_reply(
+        &mut self,
+        shard: usize,
+        call: ids::CallId,
+        reply: store::Reply,
+        now_ms: u64,
+    ) {
+        let done =
+            self.logs[shard].handle_reply(call, reply.without_details(), now_ms, &mut self.rng);
         for appended in done {
             self.handle_appended(appended, now_ms);
         }
--- a/core/src/node/quarantine.rs
+++ b/core/src/node/quarantine.rs
@@ -90,7 +90,7 @@
 
     /// Records that a server accepts connections after a run broke off.
     pub fn connection_accepted(&mut self, server: &quarantine::ServerInstance) {
-        self.quarantine.runs.accepted(server);
+        self.quarantine.runs.record_accepted(server);
     }
 
     /// Records that a run of a request succeeded, so that the request does not crash servers.
@@ -143,7 +143,7 @@
                 vm: server.vm.vm.clone(),
                 incarnation: server.vm.incarnation,
             };
-            self.quarantine.runs.answered(&server, sent_ms);
+            self.quarantine.runs.record_answer(&server, sent_ms);
         }
     }
 
@@ -244,12 +244,12 @@
     }
 
     /// Merges the reports of a peer; returns whether its table differs from this router's.
-    pub(super) fn merge_quarantine(&mut self, news: &quarantine::Updates, now_ms: u64) -> bool {
-        for report in &news.reports {
+    pub(super) fn merge_quarantine(&mut self, updates: &quarantine::Updates, now_ms: u64) -> bool {
+        for report in &updates.reports {
             let change = self.quarantine.table.merge_report(report, now_ms);
             self.report_change(report.request, change, QuarantineSource::Peer, now_ms);
         }
-        news.summary != self.quarantine.table.summary()
+        updates.summary != self.quarantine.table.summary()
     }
 
     /// Pushes new reports to peers, removes expired ones, and starts the calls for the record in the store.
@@ -292,7 +292,7 @@
     }
 
     pub(super) fn handle_record_reply(&mut self, reply: store::Reply, now_ms: u64) {
-        let fault = match self.quarantine.record_sync.reply(reply, now_ms, &mut self.rng) {
+        let fault = match self.quarantine.record_sync.handle_reply(reply, now_ms, &mut self.rng) {
             quarantine::Reply::Nothing => return,
             quarantine::Reply::Undecodable => "the value is not encoded".to_owned(),
             quarantine::Reply::Value(value) => match quarantine::Record::decode(&value) {
--- a/core/src/node/relay.rs
+++ b/core/src/node/relay.rs
@@ -132,10 +132,11 @@
         if !self.accepts_era(reported.era) || reported.era < self.vms_index.era {
             return;
         }
-        let known = self.vms_index;
-        let continues_copy = known != store::Position::START && known.era == reported.era;
-        if reported > known && continues_copy && digest.changes_after <= known {
-            let changes = digest.changes.iter().filter(|change| change.position > known);
+        let own_position = self.vms_index;
+        let continues_copy =
+            own_position != store::Position::START && own_position.era == reported.era;
+        if reported > own_position && continues_copy && digest.changes_after <= own_position {
+            let changes = digest.changes.iter().filter(|change| change.position > own_position);
             let missed_updates = self
                 .watching
                 .as_ref()
@@ -175,8 +176,10 @@
             return;
         }
         let reported = digest.configuration.position;
-        let known = self.watching.as_ref().map(|watching| watching.configuration.position());
-        if !self.accepts_era(reported.era) || known.is_some_and(|known| reported.era < known.era) {
+        let own_position = self.watching.as_ref().map(|watching| watching.configuration.position());
+        if !self.accepts_era(reported.era)
+            || own_position.is_some_and(|own_position| reported.era < own_position.era)
+        {
             return;
         }
         let same = digest.config_version == self.config_version();
@@ -242,8 +245,8 @@
     }
 
     fn request_members(&mut self, from: ids::Incarnation, routers: u64, now_ms: u64) {
-        let known = self.members.live_count();
-        let more = routers > known + (known / MEMBERS_TOLERANCE_DIVISOR).max(1);
+        let live_count = self.members.live_count();
+        let more = routers > live_count + (live_count / MEMBERS_TOLERANCE_DIVISOR).max(1);
         if more
             && may_request(
                 &mut self.relay.members_requested_ms,
@@ -270,7 +273,8 @@
     pub(super) fn send_config(&mut self, to: ids::Incarnation, now_ms: u64) {
         let Some(published) = &self.config else { return };
         let version = published.version;
-        let kept = self.relay.encoded.take().filter(|(known, _)| *known == version);
+        let kept =
+            self.relay.encoded.take().filter(|(encoded_version, _)| *encoded_version == version);
         let value = match kept {
             Some((_, value)) => value,
             None => match postcard::to_stdvec(published) {
--- a/core/src/node/settle.rs
+++ b/core/src/node/settle.rs
@@ -40,7 +40,7 @@
         self.servers.has_read(server, unread_tokens);
         if healthy && !cancelled {
             self.record_full_answer(server, sent_ms);
-            self.servers.answered(server, sent_ms);
+            self.servers.record_answer(server, sent_ms);
         }
         if !cancelled {
             self.queue_drains.entry(service.clone()).or_default().ended += 1;
--- a/core/src/node/tokens.rs
+++ b/core/src/node/tokens.rs
@@ -34,9 +34,9 @@
         self.update_shortages();
         let Some(request) = self.requests.get(slot) else { return };
         let (budget, bound) = (request.budget, request.admission.bound_tokens);
-        let ask = self.token_searches.entry(budget).or_default();
-        if now_ms < ask.refused_until_ms && bound >= ask.refused_tokens {
-            let reason = ask.refused_reason.unwrap_or(Reason::BudgetExhausted);
+        let search = self.token_searches.entry(budget).or_default();
+        if now_ms < search.refused_until_ms && bound >= search.refused_tokens {
+            let reason = search.refused_reason.unwrap_or(Reason::BudgetExhausted);
             self.refuse(slot, reason, now_ms);
             return;
         }
@@ -84,8 +84,8 @@
         let bound = request.admission.bound_tokens;
         let deadline_ms = request.admission.deadline_ms;
         let waited_ms = now_ms.saturating_sub(since_ms);
-        let ask = self.token_searches.entry(budget).or_default();
-        let read = ask.synced_ms >= since_ms && ask.synced_ms > 0;
+        let search = self.token_searches.entry(budget).or_default();
+        let read = search.synced_ms >= since_ms && search.synced_ms > 0;
         let account = self.grants.account(budget);
         let left_tokens = account.remaining_tokens.unwrap_or(0);
         let sufficient = left_tokens.saturating_add(account.free_or_locked_tokens()) >= bound;
@@ -99,9 +99,11 @@
         // Holders get no tokens from one another, and other routers have none of the budget to spare, so a single holder
         // sends no requests to peers.
         let single_holder = account.settings.holders == 1;
-        let requested = single_holder || (ask.asked_ms >= since_ms && ask.asked_ms > 0);
+        let requested =
+            single_holder || (search.requested_ms >= since_ms && search.requested_ms > 0);
         let answered = requested
-            && (ask.unanswered.is_empty() || now_ms >= ask.asked_ms + PEER_REPLY_TIMEOUT_MS);
+            && (search.unanswered.is_empty()
+                || now_ms >= search.requested_ms + PEER_REPLY_TIMEOUT_MS);
         if !requested && (known_insufficient || waited_ms >= PEER_REQUEST_DELAY_MS) {
             self.request_transfers(budget, now_ms);
         } else if known_insufficient && answered {
@@ -127,10 +129,10 @@
         reason: Reason,
         now_ms: u64,
     ) {
-        let ask = self.token_searches.entry(budget).or_default();
-        ask.refused_until_ms = now_ms + EXHAUSTED_REFUSAL_MS;
-        ask.refused_tokens = tokens;
-        ask.refused_reason = Some(reason);
+        let search = self.token_searches.entry(budget).or_default();
+        search.refused_until_ms = now_ms + EXHAUSTED_REFUSAL_MS;
+        search.refused_tokens = tokens;
+        search.refused_reason = Some(reason);
     }
 
     fn request_transfers(&mut self, budget: ids::BudgetSlot, now_ms: u64) {
@@ -140,17 +142,17 @@
         let live: Vec<ids::Incarnation> = self.members.live().map(|record| record.id).collect();
         let requested: Vec<ids::Incarnation> =
             live.sample(&mut self.rng, TRANSFER_PEERS_MAX).copied().collect();
-        let ask = self.token_searches.entry(budget).or_default();
-        ask.asked_ms = now_ms.max(1);
-        ask.unanswered = requested.iter().copied().collect();
-        let asker = self.members.own().clone();
+        let search = self.token_searches.entry(budget).or_default();
+        search.requested_ms = now_ms.max(1);
+        search.unanswered = requested.iter().copied().collect();
+        let requester = self.members.own().clone();
         for peer in requested {
             let message = message::Message::TransferRequest {
                 number: 0,
                 budget: name.clone(),
                 needed_tokens: 1,
                 wanted_tokens: missing_tokens,
-                requester: asker.clone(),
+                requester: requester.clone(),
             };
             self.send(peer, message);
         }
--- a/core/src/node/transfer_requests.rs
+++ b/core/src/node/transfer_requests.rs
@@ -130,7 +130,7 @@
         since_ms: u64,
         now_ms: u64,
     ) -> bool {
-        let synced_ms = self.token_searches.get(&budget).map_or(0, |ask| ask.synced_ms);
+        let synced_ms = self.token_searches.get(&budget).map_or(0, |search| search.synced_ms);
         if synced_ms == 0 {
             return false;
         }
--- a/core/src/node/types.rs
+++ b/core/src/node/types.rs
@@ -45,7 +45,7 @@
 pub enum Lifecycle {
     /// It has no configuration yet.
     Starting,
-    /// It accepts requests.
+    /// The router accepts requests.
     Ready,
     /// Another router wrote off its grants as those of a terminated router: it accepts no new requests and must be
     /// restarted.
@@ -190,8 +190,8 @@
 }
 
 impl From<servers::Unavailable> for Reason {
-    fn from(lack: servers::Unavailable) -> Self {
-        match lack {
+    fn from(unavailable: servers::Unavailable) -> Self {
+        match unavailable {
             servers::Unavailable::Full => Self::Overloaded,
             servers::Unavailable::Limited => Self::Limited,
             servers::Unavailable::Backoff => Self::Backoff,
@@ -271,9 +271,9 @@
     },
     /// Sends the decision about a request to its traffic thread.
     Answer {
-        /// Identifies the request.
+        /// The slot of the request in the table of requests.
         slot: ids::RequestSlot,
-        /// The decision.
+        /// What was decided: a dispatch, or a refusal with its reason.
         answer: Answer,
     },
     /// Reports that a new configuration is in force.
--- a/core/src/outbox.rs
+++ b/core/src/outbox.rs
@@ -41,7 +41,7 @@
 /// A transfer of tokens from this router's account that the receiver has not acknowledged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingTransfer {
-    /// The receiving router.
+    /// The router incarnation that receives the tokens.
     pub to: ids::Incarnation,
     /// The budget, as `workspace/budget`.
     pub budget: String,
--- a/core/src/quarantine.rs
+++ b/core/src/quarantine.rs
@@ -77,7 +77,7 @@
 /// A server crash during a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// Server that crashed.
+    /// Identity of the server that crashed.
     pub server: Server,
     /// Time since the crash, in milliseconds.
     pub age_ms: u64,
@@ -120,7 +120,7 @@
 /// Change of the crashes that count against a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// No relevant change.
+    /// The crashes that count against the request are the same as before.
     None,
     /// One more crash counts against the request.
     Suspected {
--- a/core/src/quarantine/record_sync.rs
+++ b/core/src/quarantine/record_sync.rs
@@ -17,7 +17,7 @@
 /// Outcome of a reply of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// The stored value.
+    /// The value that the store returned for the record.
     Value(Vec<u8>),
     /// The stored value does not have the encoding that the store uses for values.
     Undecodable,
@@ -86,8 +86,8 @@
 
     /// Whether a call is due.
     pub fn due(&self, now_ms: u64) -> bool {
-        let wanted = self.read_needed || self.write_needed;
-        wanted && !self.call_in_flight && now_ms >= self.not_before_ms
+        let needed = self.read_needed || self.write_needed;
+        needed && !self.call_in_flight && now_ms >= self.not_before_ms
     }
 
     /// Starts the due call: returns the index for a conditional write, or `None` for a read.
@@ -101,7 +101,12 @@
     }
 
     /// Handles the reply to a call.
-    pub fn reply(&mut self, reply: store::Reply, now_ms: u64, rng: &mut rngs::StdRng) -> Reply {
+    pub fn handle_reply(
+        &mut self,
+        reply: store::Reply,
+        now_ms: u64,
+        rng: &mut rngs::StdRng,
+    ) -> Reply {
         self.call_in_flight = false;
         match reply {
             store::Reply::Found { index, value } => {
--- a/core/src/quarantine/runs.rs
+++ b/core/src/quarantine/runs.rs
@@ -100,7 +100,7 @@
 
     /// Records that a server accepts connections: its runs were most likely not interrupted by a
     /// crash.
-    pub fn accepted(&mut self, server: &ServerInstance) {
+    pub fn record_accepted(&mut self, server: &ServerInstance) {
         let Some(runs) = self.instances.get_mut(server) else { return };
         for run in &mut runs.interrupted {
             run.kept_until_ms = run.kept_until_ms.min(run.at_ms + ACCEPTED_RUN_TTL_MS);
@@ -154,7 +154,7 @@
 
     /// Records that a server completely answered a request that was sent at `sent_ms`: it did not
     /// crash before.
-    pub fn answered(&mut self, server: &ServerInstance, sent_ms: u64) {
+    pub fn record_answer(&mut self, server: &ServerInstance, sent_ms: u64) {
         if let Some(runs) = self.instances.get_mut(server) {
             runs.interrupted.retain(|run| run.at_ms >= sent_ms);
         }
--- a/core/src/servers.rs
+++ b/core/src/servers.rs
@@ -274,7 +274,7 @@
     }
 
     /// Records that a header of a server was unreadable; returns whether this is the first time.
-    pub fn note_unreadable(&mut self, slot: ids::ServerSlot, header: Header) -> bool {
+    pub fn record_unreadable(&mut self, slot: ids::ServerSlot, header: Header) -> bool {
         self.servers.get_mut(slot).is_some_and(|server| server.unreadable_headers.insert(header))
     }
 
@@ -286,7 +286,7 @@
     }
 
     /// Records a load report of a server.
-    pub fn reported(&mut self, slot: ids::ServerSlot, load: Load) {
+    pub fn record_load(&mut self, slot: ids::ServerSlot, load: Load) {
         if let Some(server) = self.servers.get_mut(slot) {
             server.load = Some(load);
             server.total_load_milli =
--- a/core/src/servers/backoff.rs
+++ b/core/src/servers/backoff.rs
@@ -72,7 +72,7 @@
     }
 
     /// Counts an answer. Answers to requests from before the end of the backoff are ignored.
-    fn answered(&mut self, sent_ms: u64) {
+    fn record_answer(&mut self, sent_ms: u64) {
         if sent_ms >= self.resumes_ms {
             self.sends_left += SENDS_PER_ANSWER;
         }
@@ -158,9 +158,9 @@
 
     /// Counts a successful answer of a server, complete or just begun, for the return from its
     /// backoff.
-    pub fn answered(&mut self, slot: ids::ServerSlot, sent_ms: u64) {
+    pub fn record_answer(&mut self, slot: ids::ServerSlot, sent_ms: u64) {
         if let Some(backoff) = self.servers.get_mut(slot).and_then(|found| found.backoff.as_mut()) {
-            backoff.answered(sent_ms);
+            backoff.record_answer(sent_ms);
         }
     }
 
--- a/core/src/servers/limits.rs
+++ b/core/src/servers/limits.rs
@@ -219,7 +219,7 @@
         change
     }
 
-    /// Removes limits that no answer confirmed in time and forgets those that ended long ago;
+    /// Removes limits that no answer confirmed in time, and the records of those that ended long ago;
     /// returns the servers of the former.
     pub fn expire(&mut self, now_ms: u64) -> Vec<ids::ServerSlot> {
         let mut expired = Vec::new();
--- a/core/src/servers/permits.rs
+++ b/core/src/servers/permits.rs
@@ -95,7 +95,7 @@
     /// Number of permits that are granted or requested.
     pub fn expected(&self, now_ms: u64) -> u64 {
         let available = if now_ms < self.expires_ms { self.permits } else { 0 };
-        available + self.pending_request(now_ms).map_or(0, |wanted| wanted.permits)
+        available + self.pending_request(now_ms).map_or(0, |requested| requested.permits)
     }
 
     /// Whether permits may be requested now.
@@ -109,14 +109,14 @@
     }
 
     /// Records a permit request that was sent.
-    pub fn record_request(&mut self, number: u64, wanted: PermitsRequested, now_ms: u64) {
-        self.pending = Some((number, now_ms, wanted));
+    pub fn record_request(&mut self, number: u64, requested: PermitsRequested, now_ms: u64) {
+        self.pending = Some((number, now_ms, requested));
     }
 
     /// Applies a reply to a permit request; `number` is `None` for permits that this router grants
     /// itself. The reply of another router is not trusted: permits are capped at the requested
     /// number and delays at the maximum interval of trials.
-    pub fn answered(
+    pub fn handle_reply(
         &mut self,
         number: Option<u64>,
         granted: PermitsGranted,
@@ -134,7 +134,7 @@
             self.refused_until_ms = now_ms + in_ms;
             return;
         }
-        let most = pending.map_or(granted.permits, |(_, _, wanted)| wanted.permits);
+        let most = pending.map_or(granted.permits, |(_, _, requested)| requested.permits);
         let ttl_ms = if trial { TRIAL_TTL_MS } else { PERMIT_TTL_MS };
         self.permits = granted.permits.min(most);
         self.valid_from_ms = now_ms + in_ms;
@@ -143,8 +143,8 @@
     }
 
     fn pending_request(&self, now_ms: u64) -> Option<PermitsRequested> {
-        let (_, requested_ms, wanted) = self.pending?;
-        (now_ms < requested_ms + REPLY_TIMEOUT_MS).then_some(wanted)
+        let (_, requested_ms, requested) = self.pending?;
+        (now_ms < requested_ms + REPLY_TIMEOUT_MS).then_some(requested)
     }
 }
 
@@ -183,20 +183,20 @@
     pub fn grant(
         &mut self,
         milli_per_s: u64,
-        wanted: PermitsRequested,
+        requested: PermitsRequested,
         now_ms: u64,
     ) -> PermitsGranted {
         let now_us = now_ms * US_PER_MS;
         let interval_us = interval_us(milli_per_s);
         let next_us = self.next_us.max(now_us.saturating_sub((BURST_PERMITS - 1) * interval_us));
         let in_ms = next_us.saturating_sub(now_us).div_ceil(US_PER_MS);
-        if in_ms >= wanted.within_ms.max(1) {
-            return PermitsGranted::none((in_ms - wanted.within_ms / 2).max(1));
+        if in_ms >= requested.within_ms.max(1) {
+            return PermitsGranted::none((in_ms - requested.within_ms / 2).max(1));
         }
         let batch = (BATCH_MAX_MS * US_PER_MS / interval_us).max(1);
-        let permits = wanted.permits.clamp(1, batch);
+        let permits = requested.permits.clamp(1, batch);
         self.next_us = next_us + permits * interval_us;
-        if wanted.trial {
+        if requested.trial {
             self.trial_ms = now_ms;
         }
         PermitsGranted { permits, in_ms }
--- a/core/src/servers/restarts.rs
+++ b/core/src/servers/restarts.rs
@@ -1,5 +1,5 @@
 //! Restarts of servers under the same name. Each incarnation has its own slot, so that nothing that
-//! was learned about one is attributed to another.
+//! was recorded about one is attributed to another.
 
 use super::{Server, Table, Vm, VmState};
 use crate::ids;
@@ -46,7 +46,7 @@
     }
 
     /// Ends an incarnation of a server. The next one gets its own slot, because nothing that was
-    /// learned about this one applies to it.
+    /// recorded about this one applies to it.
     fn end_incarnation(&mut self, slot: ids::ServerSlot, next: ids::ServerIncarnation) {
         let server = &mut self.servers[slot];
         server.superseded = true;
--- a/core/src/servers/vm.rs
+++ b/core/src/servers/vm.rs
@@ -12,11 +12,11 @@
     pub service: String,
     /// Network address of the service.
     pub address: String,
-    /// Hardware class.
+    /// Hardware class of the VM.
     pub class: String,
     /// Failure domain of the VM.
     pub failure_domain: String,
-    /// Lifecycle state.
+    /// Lifecycle state of the VM.
     pub state: VmState,
     /// Number of requests that its server processes at once; 0 if unknown.
     #[serde(default)]
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// Accepts new requests.
+    /// The server on it accepts new requests.
     Live,
     /// Is about to stop and receives no new requests.
     Leaving,
--- a/core/src/store.rs
+++ b/core/src/store.rs
@@ -36,7 +36,7 @@
 /// A call to the store. Every call counts against the platform's rate limits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Request {
-    /// Reads one key.
+    /// Reads the value of one key.
     Read {
         /// The key to read.
         key: String,
@@ -48,7 +48,7 @@
         key: String,
         /// The index of the value when it was read.
         expected_index: Position,
-        /// The new value.
+        /// The value to store.
         value: Vec<u8>,
         /// Also sets the marker of the era of `expected_index`, so that pending writes of earlier eras are refused.
         sets_era_marker: bool,
@@ -93,7 +93,7 @@
 /// The reply to a call, or that there was none.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// The key exists.
+    /// The key exists, and its value was read.
     Found {
         /// The modification index of the value.
         index: Position,
@@ -102,12 +102,12 @@
     },
     /// The key is absent.
     Missing {
-        /// The store's era.
+        /// The era of the store when it replied.
         era: u64,
     },
     /// The compare-and-swap took effect.
     Written {
-        /// The store's era.
+        /// The era of the store when it replied.
         era: u64,
     },
     /// The compare-and-swap took effect, and the value now has this index.
--- a/core/tests/arbitrary_messages.rs
+++ b/core/tests/arbitrary_messages.rs
@@ -64,7 +64,7 @@
         received_age_ms: 20,
     };
     let messages = [
-        message::Message::PermitRequest { number: 1, known, wanted },
+        message::Message::PermitRequest { number: 1, limit_update: known, requested: wanted },
         message::Message::PermitReply { number: 1, vm, incarnation, trial: false, granted },
     ];
     let envelopes = messages.map(|message| message::Envelope { from: id(0), to: id(1), message });
--- a/core/tests/broken_runs.rs
+++ b/core/tests/broken_runs.rs
@@ -57,16 +57,16 @@
 #[test]
 fn a_server_that_answers_a_later_request_has_not_crashed() {
     let mut runs = broken(1);
-    runs.answered(&server(1), NOW_MS - 1);
+    runs.record_answer(&server(1), NOW_MS - 1);
     assert_eq!(runs.open().count(), 1, "it was sent before");
-    runs.answered(&server(1), NOW_MS + 1);
+    runs.record_answer(&server(1), NOW_MS + 1);
     assert!(runs.crashed(&server(1), NOW_MS + 2).is_empty());
 }
 
 #[test]
 fn a_server_that_takes_connections_must_be_recorded_anew_soon() {
     let mut runs = broken(1);
-    runs.accepted(&server(1));
+    runs.record_accepted(&server(1));
     runs.forget_old(NOW_MS + 2_900);
     assert_eq!(runs.open().count(), 1);
     runs.forget_old(NOW_MS + 3_100);
--- a/core/tests/limit_schedules.rs
+++ b/core/tests/limit_schedules.rs
@@ -530,7 +530,8 @@
         received_age_ms: 50,
     };
     let wanted = servers::PermitsRequested { permits: 1, within_ms: 400, trial: false };
-    let message = message::Message::PermitRequest { number: 1, known, wanted };
+    let message =
+        message::Message::PermitRequest { number: 1, limit_update: known, requested: wanted };
     let envelope = message::Envelope { from: id(asker), to: id(place), message };
     let now_ms = fleet.now_ms;
     let node = &mut fleet.routers[place].node;
@@ -669,7 +670,7 @@
         let actions = node.take_actions().into_iter();
         let asks = actions.filter_map(|action| match action {
             node::Action::Send { envelope, .. } => match envelope.message {
-                message::Message::PermitRequest { known, .. } => Some(known.vm),
+                message::Message::PermitRequest { limit_update, .. } => Some(limit_update.vm),
                 _ => None,
             },
             _ => None,
--- a/core/tests/log.rs
+++ b/core/tests/log.rs
@@ -95,7 +95,7 @@
         call: ids::CallId,
         reply: store::Reply,
     ) -> Vec<log_writer::Completed> {
-        self.writers[at].reply(call, reply, 0, &mut self.rng)
+        self.writers[at].handle_reply(call, reply, 0, &mut self.rng)
     }
 
     /// One call that works.
--- a/core/tests/server_lives.rs
+++ b/core/tests/server_lives.rs
@@ -105,7 +105,7 @@
         bench.choose(&[]).unwrap();
     }
     let slot = bench.table.find("one").unwrap();
-    bench.table.reported(slot, servers::Load { running: 4, queued: 9, slots: 4 });
+    bench.table.record_load(slot, servers::Load { running: 4, queued: 9, slots: 4 });
     assert_eq!(bench.choose(&[]).unwrap_err(), servers::Unavailable::Full);
     bench.restart();
     assert_eq!((bench.present().load, bench.present().in_flight), (None, 0));
@@ -139,7 +139,7 @@
         }]
     );
     let later = bench.choose(&[]).unwrap().slot;
-    bench.table.reported(earlier, servers::Load { running: 9, queued: 9, slots: 1 });
+    bench.table.record_load(earlier, servers::Load { running: 9, queued: 9, slots: 1 });
     bench.table.failed(earlier, NOW_MS);
     bench.table.ended(earlier);
     assert_eq!((bench.present().in_flight, bench.present().load), (1, None));
--- a/core/tests/servers.rs
+++ b/core/tests/servers.rs
@@ -131,7 +131,7 @@
         bench.table.ended(slot);
     }
     for _ in 0..40 {
-        bench.table.reported(first, servers::Load { running: 7, queued: 0, slots: 8 });
+        bench.table.record_load(first, servers::Load { running: 7, queued: 0, slots: 8 });
     }
     assert_ne!(bench.choose_for(&[], Some(9), &[]).unwrap(), first);
 }
@@ -276,7 +276,7 @@
         (0..6).filter(|_| bench.choose_for(&[], None, &not) == Ok(one)).count()
     };
     assert_eq!(sent(&mut bench), 1);
-    bench.table.answered(one, bench.now_ms);
+    bench.table.record_answer(one, bench.now_ms);
     assert_eq!(sent(&mut bench), 2, "two follow an answer");
     bench.now_ms += 1_000;
     assert_eq!(sent(&mut bench), 1, "one is tried though none is answered");
@@ -302,7 +302,7 @@
     let mut bench = Bench::two();
     let one = bench.table.find("one").unwrap();
     bench.table.back_off(one, bench.now_ms + 1_000, bench.now_ms, &mut bench.rng);
-    (0..20).for_each(|_| bench.table.answered(one, bench.now_ms));
+    (0..20).for_each(|_| bench.table.record_answer(one, bench.now_ms));
     bench.now_ms += 2_000;
     bench.table.end_backoffs(bench.now_ms);
     assert_eq!(bench.table.backing_off().count(), 1);
--- a/core/tests/wire_format.rs
+++ b/core/tests/wire_format.rs
@@ -196,8 +196,8 @@
     members_keeps_its_bytes: message::Message::Members(vec![member()]) => "0101021001010161016201630201";
     permit_ask_keeps_its_bytes: message::Message::PermitRequest {
         number: 1,
-        known: limit(),
-        wanted: servers::PermitsRequested { permits: 2, within_ms: 3, trial: true },
+        limit_update: limit(),
+        requested: servers::PermitsRequested { permits: 2, within_ms: 3, trial: true },
     } => "0101021101016101010203040506020301";
     permits_keeps_its_bytes: message::Message::PermitReply {
         number: 1,
--- a/src/control/messages.rs
+++ b/src/control/messages.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Message)]
 #[rtype(result = "Reply")]
 pub struct Finish {
-    /// The request.
+    /// The slot of the request in the control thread.
     pub slot: ids::RequestSlot,
 
     /// The outcome of the request.
@@ -28,7 +28,7 @@
 #[derive(Debug, Message)]
 #[rtype(result = "Reply")]
 pub struct Retry {
-    /// The request.
+    /// The slot of the request in the control thread.
     pub slot: ids::RequestSlot,
 
     /// How the attempt failed.
@@ -39,11 +39,11 @@
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct LoadReported {
-    /// The server's VM.
+    /// The VM that runs the server.
     pub vm: String,
     /// The incarnation of the server that reported it.
     pub incarnation: ids::ServerIncarnation,
-    /// The load.
+    /// The reported load.
     pub load: servers::Load,
 }
 
@@ -51,12 +51,12 @@
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct DirectivesReported {
-    /// The server's VM.
+    /// The VM that runs the server.
     pub vm: String,
     /// The incarnation of the server that sent them.
     pub incarnation: ids::ServerIncarnation,
 
-    /// The directives.
+    /// The directives that were read from the headers.
     pub directives: servers::Directives,
     /// The time at which the request was sent.
     pub sent_at: Instant,
@@ -88,7 +88,7 @@
 #[derive(Debug, Message)]
 #[rtype(result = "usize")]
 pub struct Release {
-    /// The request.
+    /// The fingerprint of the quarantined request.
     pub request: ids::Fingerprint,
     /// Only counts the crashes, without a release.
     pub dry_run: bool,
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -156,7 +156,7 @@
     if applies_to_server {
         upstream::report_head(context.control, context.published, placement, head.directives, sent);
     }
-    connection.note_keep_alive(answer.headers());
+    connection.record_keep_alive(answer.headers());
     if applies_to_server && head.directives.is_leaving == servers::Directive::Value(true) {
         connection.close_after_exchange();
         context.backends.close_idle(placement);
--- a/src/gateway/backends.rs
+++ b/src/gateway/backends.rs
@@ -62,7 +62,7 @@
 /// A connection that is used for one exchange at a time. Dropping it closes it.
 #[derive(Debug)]
 pub struct Connection {
-    /// Sends the request.
+    /// The sending side of the HTTP/1 connection.
     pub sender: http1::SendRequest<RequestBody>,
     driver: task::JoinHandle<()>,
     upstream: Upstream,
@@ -85,7 +85,7 @@
     }
 
     /// Reads from the headers of an answer how long the server keeps the connection open.
-    pub fn note_keep_alive(&mut self, headers: &HeaderMap) {
+    pub fn record_keep_alive(&mut self, headers: &HeaderMap) {
         let closes = headers
             .get(header::CONNECTION)
             .and_then(|value| value.to_str().ok())
@@ -265,7 +265,7 @@
         self.idle.borrow_mut().remove(&upstream);
     }
 
-    /// Closes idle connections that have expired, and forgets connections that are no longer in use.
+    /// Closes idle connections that have expired, and removes records of connections that are no longer in use.
     pub fn close_expired(&self) {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -256,7 +256,7 @@
             let sending = attempt::send(self.attempts(), &call, &placement, None);
             let outcome = time::timeout_at(early_retry_at.unwrap_or(deadline), sending).await;
             log_outcome(&call, &placement, &outcome);
-            let tried = match outcome {
+            let failure = match outcome {
                 Err(_) if early_retry_at.is_some() => {
                     early_retry_at = None;
                     node::AttemptFailure::MayHaveRun
@@ -309,12 +309,12 @@
                 Ok(attempt::Outcome::Rejected) => node::AttemptFailure::Rejected,
                 Ok(attempt::Outcome::NotSent) => node::AttemptFailure::NotSent,
             };
-            may_have_run |= tried == node::AttemptFailure::MayHaveRun;
+            may_have_run |= failure == node::AttemptFailure::MayHaveRun;
             if may_have_run && !repeatable {
                 ticket.finish_unknown();
                 return Err(refusal::outcome_unknown());
             }
-            match ticket.retry(tried).await {
+            match ticket.retry(failure).await {
                 upstream::Admission::Placed(next) => {
                     let id = &call.parameters.id;
                     log::info!("event=placed_again id={id} vm={} after={}", next.vm, placement.vm);
--- a/src/gateway/streaming.rs
+++ b/src/gateway/streaming.rs
@@ -128,9 +128,9 @@
     /// resumes it before the deadline.
     async fn resume(&mut self, last_id: Option<&str>) -> Option<Incoming> {
         let deadline = time::Instant::from_std(self.call.deadline);
-        let mut tried = node::AttemptFailure::MayHaveRun;
+        let mut failure = node::AttemptFailure::MayHaveRun;
         loop {
-            let upstream::Admission::Placed(placement) = self.ticket.retry(tried).await else {
+            let upstream::Admission::Placed(placement) = self.ticket.retry(failure).await else {
                 return None;
             };
             let gateway = &self.gateway;
@@ -148,13 +148,13 @@
                     self.placement = placement;
                     return Some(answer.into_body());
                 }
-                Ok(attempt::Outcome::NotSent) => tried = node::AttemptFailure::NotSent,
-                Ok(attempt::Outcome::Rejected) => tried = node::AttemptFailure::Rejected,
+                Ok(attempt::Outcome::NotSent) => failure = node::AttemptFailure::NotSent,
+                Ok(attempt::Outcome::Rejected) => failure = node::AttemptFailure::Rejected,
                 Ok(attempt::Outcome::ConnectionLost) => {
-                    tried = node::AttemptFailure::MayHaveRun;
+                    failure = node::AttemptFailure::MayHaveRun;
                     gateway.report_connection_lost(&self.call, &placement).await;
                 }
-                Ok(_) => tried = node::AttemptFailure::MayHaveRun,
+                Ok(_) => failure = node::AttemptFailure::MayHaveRun,
                 Err(_) => return None,
             }
         }
--- a/src/gateway/ticket.rs
+++ b/src/gateway/ticket.rs
@@ -58,8 +58,8 @@
     }
 
     /// Requests another server from the control thread after an attempt failed.
-    pub async fn retry(&self, tried: node::AttemptFailure) -> upstream::Admission {
-        upstream::retry(&self.control, self.slot, tried).await
+    pub async fn retry(&self, failure: node::AttemptFailure) -> upstream::Admission {
+        upstream::retry(&self.control, self.slot, failure).await
     }
 
     /// Reports that the answer has started.
@@ -83,9 +83,9 @@
         self.finish(node::RequestOutcome::Unknown);
     }
 
-    fn finish(&mut self, ending: node::RequestOutcome) {
+    fn finish(&mut self, request_outcome: node::RequestOutcome) {
         self.unfinished = false;
-        let (outcome, tokens) = match &ending {
+        let (outcome, tokens) = match &request_outcome {
             node::RequestOutcome::NotRun => ("not_run", 0),
             node::RequestOutcome::Ran { consumed_tokens, healthy: true, .. } => {
                 ("ran", *consumed_tokens)
@@ -105,7 +105,7 @@
             self.event_gaps.first_event_ms(),
             self.event_gaps.longest_gap_ms(),
         );
-        self.control.do_send(control::Finish { slot: self.slot, outcome: ending });
+        self.control.do_send(control::Finish { slot: self.slot, outcome: request_outcome });
     }
 }
 
--- a/src/model.rs
+++ b/src/model.rs
@@ -111,7 +111,7 @@
         let mut progress = Progress::default();
         loop {
             let end = self.attempt_engine(&placement, &mut progress, &pieces).await;
-            let tried = match end {
+            let failure = match end {
                 AttemptEnd::Complete => {
                     self.reports.report_success();
                     self.settle(slot, &progress, true).await;
@@ -146,14 +146,14 @@
                 AttemptEnd::NotRun => node::AttemptFailure::Rejected,
                 AttemptEnd::NotSent => node::AttemptFailure::NotSent,
             };
-            progress.may_have_run |= tried == node::AttemptFailure::MayHaveRun;
+            progress.may_have_run |= failure == node::AttemptFailure::MayHaveRun;
             log::info!(
                 "event=engine_failed vm={} attempt={} delivered_tokens={}",
                 placement.vm,
                 placement.attempt.0,
                 progress.delivered_tokens
             );
-            match upstream::retry(&self.control, slot, tried).await {
+            match upstream::retry(&self.control, slot, failure).await {
                 upstream::Admission::Placed(next) => placement = next,
                 upstream::Admission::Refused(error) => {
                     return self.fail(slot, &progress, error).await;
@@ -262,12 +262,12 @@
         progress: &Progress,
         healthy: bool,
     ) {
-        let ending = node::RequestOutcome::Ran {
+        let outcome = node::RequestOutcome::Ran {
             consumed_tokens: progress.consumed_tokens(),
             outcome: None,
             healthy,
         };
-        upstream::finish(&self.control, slot, ending).await;
+        upstream::finish(&self.control, slot, outcome).await;
     }
 
     /// Settles a request without a complete answer and returns the error for its caller.
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -4,7 +4,7 @@
 use crate::{auth, control, front, telemetry};
 use actix_web::{HttpRequest, HttpResponse, web};
 
-/// Registers the routes.
+/// Registers the routes of the operators' API.
 pub fn routes(config: &mut web::ServiceConfig, shared: front::Shared) {
     config
         .app_data(web::Data::new(shared))
--- a/src/plain.rs
+++ b/src/plain.rs
@@ -44,7 +44,7 @@
 
 /// How an attempt at one server ended.
 enum AttemptEnd {
-    /// The server answered.
+    /// The server answered, and its answer was read in full.
     Answered { status: StatusCode, content_type: String, body: bytes::Bytes },
     /// Nothing was sent to the server.
     NotSent,
@@ -67,7 +67,7 @@
             if matches!(end, AttemptEnd::ConnectionLost) {
                 self.reports.report_connection_lost(&placement, &self.id).await;
             }
-            let tried = match end {
+            let failure = match end {
                 AttemptEnd::Answered { status, content_type, body } => {
                     if status.is_success() {
                         self.reports.report_success();
@@ -76,8 +76,9 @@
                         self.unrepeatable.then(|| recorded_outcome(status, &content_type, &body));
                     let consumed_tokens = self.call_tokens;
                     let healthy = !status.is_server_error();
-                    let ending = node::RequestOutcome::Ran { consumed_tokens, outcome, healthy };
-                    upstream::finish(&self.control, slot, ending).await;
+                    let request_outcome =
+                        node::RequestOutcome::Ran { consumed_tokens, outcome, healthy };
+                    upstream::finish(&self.control, slot, request_outcome).await;
                     let mut response = HttpResponseBuilder::new(status);
                     return response.insert_header(("Content-Type", content_type)).body(body);
                 }
@@ -91,9 +92,9 @@
                     node::AttemptFailure::MayHaveRun
                 }
             };
-            may_have_run |= tried == node::AttemptFailure::MayHaveRun;
+            may_have_run |= failure == node::AttemptFailure::MayHaveRun;
             log::info!("event=server_failed vm={} attempt={}", placement.vm, placement.attempt.0);
-            let mut error = match upstream::retry(&self.control, slot, tried).await {
+            let mut error = match upstream::retry(&self.control, slot, failure).await {
                 upstream::Admission::Placed(next) if Instant::now() < self.deadline => {
                     placement = next;
                     continue;
@@ -101,11 +102,11 @@
                 upstream::Admission::Refused(error) => error,
                 _ => api_error::ApiError::closing(),
             };
-            let ending = match may_have_run {
+            let request_outcome = match may_have_run {
                 true => node::RequestOutcome::Unknown,
                 false => node::RequestOutcome::NotRun,
             };
-            upstream::finish(&self.control, slot, ending).await;
+            upstream::finish(&self.control, slot, request_outcome).await;
             if may_have_run {
                 error.execution = api_error::Execution::Unknown;
             }
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -33,11 +33,11 @@
 /// A value under its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// The key.
+    /// The key in the platform's key-value store.
     pub key: String,
-    /// The modification index.
+    /// The modification index, which grows with each change.
     pub index: u64,
-    /// The value.
+    /// The value as it is stored.
     pub value: Vec<u8>,
 }
 
@@ -46,7 +46,7 @@
 pub struct VmList {
     /// The modification index, which grows with each change.
     pub index: u64,
-    /// The VMs.
+    /// The listed VMs with their services and states.
     pub vms: Vec<servers::Vm>,
 }
 
@@ -102,7 +102,7 @@
         reply.unwrap_or(store::Reply::Unknown)
     }
 
-    /// Reads one key.
+    /// Reads the value of one key; `None` if the key is absent.
     pub async fn read(&self, key: &str) -> Result<Option<Entry>, Error> {
         let rows = self.get_rows(&format!("/v1/kv/{key}"), self.inner.timeout).await?;
         Ok(rows.into_iter().next())
--- a/src/publish.rs
+++ b/src/publish.rs
@@ -39,7 +39,7 @@
 pub struct Current {
     /// The modification index; 0 before the first publish.
     pub index: u64,
-    /// The configuration.
+    /// The published configuration; `None` if there is none.
     pub published: Option<config::Published>,
 }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -105,7 +105,7 @@
     }
 }
 
-/// The platform's service.
+/// Settings of the calls to the platform's service.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Platform {
--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -8,9 +8,9 @@
 /// A compiled configuration with indexes for lookups.
 #[derive(Debug)]
 pub struct Snapshot {
-    /// The version.
+    /// The version of the configuration.
     pub version: u64,
-    /// The document.
+    /// The configuration document that it was compiled from.
     pub document: config::Document,
     /// Digests and workspace indexes by the first bytes of the digest; the digests are compared in constant time.
     keys: collections::HashMap<[u8; 8], Vec<(auth::KeyDigest, usize)>>,
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -46,8 +46,8 @@
         sent: Instant,
     ) {
         let values = |name| headers.get_all(name).map(HeaderValue::as_bytes);
-        let said = answers::directives(status.as_u16(), values);
-        report_head(&self.control, &self.published, placement, said, sent);
+        let directives = answers::directives(status.as_u16(), values);
+        report_head(&self.control, &self.published, placement, directives, sent);
     }
 
     /// Reports that the connection to a server ended while the server ran the request, and probes whether the server
@@ -111,26 +111,27 @@
     control: &Addr<control::Control>,
     published: &snapshot::Published,
     placement: &Placement,
-    said: servers::Directives,
+    directives: servers::Directives,
     sent: Instant,
 ) {
     // While limits are in force, an answer without directives matters too.
-    if said.is_empty() && !published.any_limits() {
+    if directives.is_empty() && !published.any_limits() {
         return;
     }
-    let (vm, incarnation, heard) = (placement.vm.clone(), placement.incarnation, Instant::now());
+    let (vm, incarnation, received_at) =
+        (placement.vm.clone(), placement.incarnation, Instant::now());
     control.do_send(control::DirectivesReported {
         vm,
         incarnation,
-        directives: said,
+        directives,
         sent_at: sent,
-        received_at: heard,
+        received_at,
     });
 }
 
 /// Submits a request for admission and waits for the decision.
-pub async fn admit(control: &Addr<control::Control>, wanted: node::AdmissionRequest) -> Admission {
-    let Ok((slot, reply)) = control.send(control::Admit { request: wanted }).await else {
+pub async fn admit(control: &Addr<control::Control>, request: node::AdmissionRequest) -> Admission {
+    let Ok((slot, reply)) = control.send(control::Admit { request }).await else {
         return Admission::Refused(api_error::ApiError::closing());
     };
     admission(slot, control::await_answer(Ok(reply)).await)
@@ -140,9 +141,9 @@
 pub async fn retry(
     control: &Addr<control::Control>,
     slot: ids::RequestSlot,
-    tried: node::AttemptFailure,
+    failure: node::AttemptFailure,
 ) -> Admission {
-    let reply = control.send(control::Retry { slot, failure: tried }).await;
+    let reply = control.send(control::Retry { slot, failure }).await;
     admission(slot, control::await_answer(reply).await)
 }
 
@@ -150,9 +151,9 @@
 pub async fn finish(
     control: &Addr<control::Control>,
     slot: ids::RequestSlot,
-    ending: node::RequestOutcome,
+    outcome: node::RequestOutcome,
 ) {
-    let reply = control.send(control::Finish { slot, outcome: ending }).await;
+    let reply = control.send(control::Finish { slot, outcome }).await;
     control::await_answer(reply).await;
 }
 
