--- a/benches/capacity/quarantine.rs
+++ b/benches/capacity/quarantine.rs
@@ -32,7 +32,7 @@
     for number in 0..ENTRIES {
         for crash in 0..crashes {
             let server = quarantine::Server::new("vm", ids::ServerIncarnation(1 + crash));
-            table.crashed(request(number), server, NOW_MS + crash * 1_000);
+            table.record_crash(request(number), server, NOW_MS + crash * 1_000);
         }
     }
     table
--- a/core/src/leaving_servers.rs
+++ b/core/src/leaving_servers.rs
@@ -107,7 +107,7 @@
 
     /// Removes entries that no longer apply, given the incarnations of all servers with a known
     /// record; returns the VMs and incarnations of the removed entries.
-    pub fn forget(
+    pub fn remove_outdated(
         &mut self,
         incarnations: &collections::HashMap<&str, ids::ServerIncarnation>,
         now_ms: u64,
--- a/core/src/node.rs
+++ b/core/src/node.rs
@@ -2,8 +2,8 @@
 //!
 //! [`Node`] receives events as method calls and queues the effects as a list of [`Action`]s. Its functions are in the
 //! submodules: `admit` (from a request to its dispatch), `retries`, `tokens` and `queue` (waits for tokens and for
-//! servers), `limits` (rate limits of servers), `directives` (what servers state in headers of their answers), `settle` (ends of
-//! requests), `platform` (calls to the store), `peers` (messages).
+//! servers), `limits` (rate limits of servers), `directives` (what servers state in headers of their answers), `settle`
+//! (ends of requests), `platform` (calls to the store), `peers` (messages).
 
 mod admit;
 mod config_and_vms;
--- a/core/src/node/admit.rs
+++ b/core/src/node/admit.rs
@@ -278,7 +278,7 @@
         if let Stage::WaitingClaim { server, .. } = &mut request.stage {
             *server = choice.slot;
         }
-        self.servers.ended(server);
+        self.servers.record_end(server);
         self.servers.has_read(server, unread_tokens);
         Ok(())
     }
@@ -303,7 +303,7 @@
             }
             Stage::WaitingClaim { reservation, server, .. } => {
                 self.grants.release(reservation);
-                self.servers.ended(server);
+                self.servers.record_end(server);
                 self.servers.has_read(server, request.unread_tokens);
                 if !matches!(answer, Answer::Replay(_)) {
                     self.release_claim(slot, key, request.attempt, now_ms);
--- a/core/src/node/config_and_vms.rs
+++ b/core/src/node/config_and_vms.rs
@@ -174,7 +174,7 @@
         let vms = self.vms.values().chain(&self.lapsed);
         let incarnations: collections::HashMap<&str, ids::ServerIncarnation> =
             vms.map(|vm| (vm.vm.as_str(), vm.incarnation)).collect();
-        for (vm, incarnation) in self.leaving_servers.forget(&incarnations, now_ms) {
+        for (vm, incarnation) in self.leaving_servers.remove_outdated(&incarnations, now_ms) {
             self.actions.push(Action::Notice(Notice::ServerLeavingEnded { vm, incarnation }));
         }
     }
--- a/core/src/node/confirmations.rs
+++ b/core/src/node/confirmations.rs
@@ -64,13 +64,13 @@
         let others = self.other_router_addresses();
         let replies_final = now_ms > self.confirmations.since_ms + REPLIES_FINAL_MS;
         for (shard, since_era) in shards {
-            let Some(verdict) = self.recovery_decision(shard, since_era, &others, replies_final)
+            let Some(decision) = self.recovery_decision(shard, since_era, &others, replies_final)
             else {
                 continue;
             };
-            if self.ledgers[shard as usize].recovery_decision(era) != Some(verdict) {
-                self.ledgers[shard as usize].set_recovery_decision(era, verdict);
-                self.actions.push(Action::Notice(Notice::RecoveryDecided { shard, era, verdict }));
+            if self.ledgers[shard as usize].recovery_decision(era) != Some(decision) {
+                self.ledgers[shard as usize].set_recovery_decision(era, decision);
+                self.actions.push(Action::Notice(Notice::RecoveryDecided { shard, era, decision }));
             }
         }
     }
@@ -228,8 +228,8 @@
         }
     }
 
-    /// Whether this router read the shard after it discovered the router `incarnation`, and before draws may have been lost.
-    /// Then it has read all draws of earlier incarnations at that address.
+    /// Whether this router read the shard after it discovered the router `incarnation`, and before draws may have been
+    /// lost. Then it has read all draws of earlier incarnations at that address.
     fn covers_earlier_incarnations(&self, shard: u32, incarnation: ids::Incarnation) -> bool {
         let discovered_ms = self.members.added_ms(incarnation);
         let ledger = self.ledgers.get(shard as usize);
--- a/core/src/node/dump.rs
+++ b/core/src/node/dump.rs
@@ -92,11 +92,11 @@
     }
 
     fn dump_leaving_servers(&self) -> serde_json::Value {
-        let leavings = self.leaving_servers.iter().map(|(vm, leaving)| {
+        let leaving_servers = self.leaving_servers.iter().map(|(vm, leaving)| {
             let figures = json!({ "life": leaving.incarnation.0, "source": leaving.source });
             (vm.to_owned(), figures)
         });
-        leavings.collect::<serde_json::Map<_, _>>().into()
+        leaving_servers.collect::<serde_json::Map<_, _>>().into()
     }
 
     fn dump_backing_off_servers(&self, now_ms: u64) -> serde_json::Value {
--- a/core/src/node/eras.rs
+++ b/core/src/node/eras.rs
@@ -146,7 +146,7 @@
                 .and_then(|watching| watching.servers.last_current_or_failed_ms());
             self.eras.restored_after_ms = before_ms.unwrap_or(now_ms);
             self.restart_polls(now_ms);
-            self.quarantine.store_restored(now_ms, &mut self.rng);
+            self.quarantine.handle_store_restored(now_ms, &mut self.rng);
             self.eras.restored_ms = Some(now_ms);
             let grants = &self.grants;
             self.ledgers.iter_mut().for_each(|ledger| ledger.reset_after_restore(era, grants));
--- a/core/src/node/holders.rs
+++ b/core/src/node/holders.rs
@@ -126,7 +126,7 @@
         for budget in timed_out {
             let Some(pending) = self.holders.sent_requests.remove(&budget) else { continue };
             self.skip_holder(pending.holder, budget, now_ms);
-            self.ask_next_holder(budget, pending, false, now_ms);
+            self.request_from_next_holder(budget, pending, false, now_ms);
         }
         let repeated: Vec<ids::BudgetSlot> = self
             .holders
@@ -176,7 +176,7 @@
         budget: ids::BudgetSlot,
         now_ms: u64,
     ) {
-        let Some(holder) = self.holder_to_ask(budget, &earlier) else {
+        let Some(holder) = self.next_holder(budget, &earlier) else {
             // In this router's view of the membership, it is the first holder itself.
             let is_first = earlier.is_empty();
             self.grants.account_mut(budget).holder |= is_first;
@@ -210,7 +210,7 @@
         let Some(pending) = self.holders.sent_requests.remove(&budget) else { return };
         match certain {
             true => self.refuse_waiting_requests(budget, Reason::BudgetExhausted, now_ms),
-            false => self.ask_next_holder(budget, pending, true, now_ms),
+            false => self.request_from_next_holder(budget, pending, true, now_ms),
         }
     }
 
@@ -232,7 +232,7 @@
     }
 
     /// Asks the next holder if requests still wait for the budget.
-    fn ask_next_holder(
+    fn request_from_next_holder(
         &mut self,
         budget: ids::BudgetSlot,
         pending: PendingTransfer,
@@ -314,7 +314,7 @@
     }
 
     /// The next holder of a budget to ask; `None` if enough were asked, none is left, or it is this router.
-    fn holder_to_ask(
+    fn next_holder(
         &self,
         budget: ids::BudgetSlot,
         earlier: &[ids::Incarnation],
@@ -359,7 +359,7 @@
             .filter_map(|(slot, account)| Some((slot, excess_tokens(account, stopping)?)))
             .collect();
         for (budget, tokens) in returned {
-            if let Some(holder) = self.holder_to_ask(budget, &[]) {
+            if let Some(holder) = self.next_holder(budget, &[]) {
                 self.send_tokens(holder, budget, tokens, 0, now_ms);
                 self.grants.account_mut(budget).record_sent_to_holder(tokens);
             }
--- a/core/src/node/notices.rs
+++ b/core/src/node/notices.rs
@@ -71,7 +71,7 @@
         era: u64,
 
         /// What is done with the withheld tokens.
-        verdict: ledger_writer::RecoveryDecision,
+        decision: ledger_writer::RecoveryDecision,
     },
     /// A server restarted under its name.
     ServerRestarted(servers::Restarted),
--- a/core/src/node/quarantine.rs
+++ b/core/src/node/quarantine.rs
@@ -40,9 +40,9 @@
 
 impl Quarantine {
     /// Schedules a read of the record after a restore of the store, and a write if it lacks a quarantined request.
-    pub(super) fn store_restored(&mut self, now_ms: u64, rng: &mut rngs::StdRng) {
+    pub(super) fn handle_store_restored(&mut self, now_ms: u64, rng: &mut rngs::StdRng) {
         let quarantines_any = !self.table.reports_of_quarantined(now_ms).is_empty();
-        self.record_sync.store_restored(quarantines_any, now_ms, rng);
+        self.record_sync.handle_store_restored(quarantines_any, now_ms, rng);
     }
 }
 
@@ -79,11 +79,11 @@
     /// Records that a server's address refuses connections, so that the process that listened there has ended.
     pub fn connection_refused(&mut self, server: &quarantine::ServerInstance, now_ms: u64) {
         if let Some(slot) = self.servers.find_incarnation(&server.vm, server.incarnation) {
-            self.servers.refused(slot, now_ms);
+            self.servers.record_refused(slot, now_ms);
         }
         // A server that leaves ends as planned.
         if !self.is_leaving(server) {
-            let broken = self.quarantine.runs.refused(server, now_ms);
+            let broken = self.quarantine.runs.record_refused(server, now_ms);
             self.record_server_crash(server, broken, now_ms);
         }
     }
@@ -95,7 +95,7 @@
 
     /// Records that a run of a request succeeded, so that the request does not crash servers.
     pub fn run_succeeded(&mut self, request: ids::Fingerprint, now_ms: u64) {
-        self.quarantine.runs.ended_well(request);
+        self.quarantine.runs.record_success(request);
         let change = self.quarantine.table.clear(request, now_ms);
         self.report_change(request, change, QuarantineSource::SuccessfulRun, now_ms);
     }
@@ -155,7 +155,7 @@
             .map(|(server, _)| server.clone())
             .collect();
         for server in ended {
-            let broken = self.quarantine.runs.crashed(&server, now_ms);
+            let broken = self.quarantine.runs.record_crash(&server, now_ms);
             self.record_server_crash(&server, broken, now_ms);
         }
     }
@@ -208,7 +208,7 @@
         at_ms: u64,
     ) {
         let digest = quarantine::Server::new(&server.vm, server.incarnation);
-        let change = self.quarantine.table.crashed(request, digest, at_ms);
+        let change = self.quarantine.table.record_crash(request, digest, at_ms);
         if change == quarantine::Change::Quarantined {
             self.quarantine.record_sync.schedule_write();
         }
@@ -257,7 +257,7 @@
         if now_ms >= self.quarantine.last_expiry_ms + EXPIRY_INTERVAL_MS {
             self.quarantine.last_expiry_ms = now_ms;
             self.quarantine.table.expire(now_ms);
-            self.quarantine.runs.forget_old(now_ms);
+            self.quarantine.runs.remove_expired(now_ms);
         }
         let due = match self.quarantine.table.urgency() {
             None => false,
--- a/core/src/node/retries.rs
+++ b/core/src/node/retries.rs
@@ -62,7 +62,7 @@
                 return;
             }
         };
-        self.servers.ended(server);
+        self.servers.record_end(server);
         if let Some(request) = self.requests.get_mut(slot) {
             request.unread_tokens = unread_tokens;
             if let Stage::Running { server, sent_ms, .. } = &mut request.stage {
--- a/core/src/node/settle.rs
+++ b/core/src/node/settle.rs
@@ -36,7 +36,7 @@
         self.record_overrun(slot, consumed_tokens - charged_tokens);
         self.grants.settle(reservation, charged_tokens);
         self.counters.consumed_tokens += charged_tokens;
-        self.servers.ended(server);
+        self.servers.record_end(server);
         self.servers.has_read(server, unread_tokens);
         if healthy && !cancelled {
             self.record_full_answer(server, sent_ms);
@@ -135,7 +135,7 @@
         took_ms: u64,
         now_ms: u64,
     ) {
-        self.servers.succeeded(server, took_ms, now_ms);
+        self.servers.record_success(server, took_ms, now_ms);
         let routers = self.max_live_routers;
         self.retries.entry(service.to_owned()).or_default().earn(routers);
     }
@@ -144,7 +144,7 @@
     /// backs off.
     pub(super) fn record_server_failure(&mut self, slot: ids::ServerSlot, now_ms: u64) {
         if !self.leaves_or_backs_off(slot, now_ms) {
-            let ejected_ms = self.servers.failed(slot, now_ms);
+            let ejected_ms = self.servers.record_failure(slot, now_ms);
             self.report_ejection(slot, ejected_ms);
         }
     }
@@ -153,7 +153,7 @@
     /// one.
     pub(super) fn record_rejection(&mut self, slot: ids::ServerSlot, sent_ms: u64, now_ms: u64) {
         if !self.leaves_or_backs_off(slot, now_ms) {
-            let ejected_ms = self.servers.rejected(slot, sent_ms, now_ms);
+            let ejected_ms = self.servers.record_rejection(slot, sent_ms, now_ms);
             self.report_ejection(slot, ejected_ms);
         }
     }
@@ -237,7 +237,7 @@
         let Some(unsettled) = self.outbox.settlements.get(&attempt) else { return };
         let settlement = unsettled.settlement.clone();
         let (tries, safe) = (unsettled.tries, unsettled.safe);
-        let overdue = now_ms.saturating_sub(unsettled.since_ms) >= OWN_APPEND_AFTER_MS;
+        let append_due = now_ms.saturating_sub(unsettled.since_ms) >= OWN_APPEND_AFTER_MS;
         let committer = self.committer(settlement.key, if safe { 0 } else { tries });
         if let Some(unsettled) = self.outbox.settlements.get_mut(&attempt) {
             unsettled.sent_ms = now_ms;
@@ -247,7 +247,7 @@
             self.send(peer, message::Message::Settle(settlement.clone()));
         }
         let not_stored = !safe && tries >= HANDOVERS_BEFORE_OWN_APPEND;
-        if committer.is_none() || not_stored || overdue {
+        if committer.is_none() || not_stored || append_due {
             let entry = log_index::Entry::Settle(settlement);
             let urgency = match safe {
                 true => log_writer::Urgency::Batched,
--- a/core/src/quarantine.rs
+++ b/core/src/quarantine.rs
@@ -147,7 +147,12 @@
 
 impl Table {
     /// Records a crash that this router observed.
-    pub fn crashed(&mut self, request: ids::Fingerprint, server: Server, at_ms: u64) -> Change {
+    pub fn record_crash(
+        &mut self,
+        request: ids::Fingerprint,
+        server: Server,
+        at_ms: u64,
+    ) -> Change {
         self.evict_for(request);
         let entry = self.entries.entry(request).or_default();
         let added = entry.add(server, signed(at_ms));
--- a/core/src/quarantine/record_sync.rs
+++ b/core/src/quarantine/record_sync.rs
@@ -67,7 +67,12 @@
 
     /// Schedules a read of the record after a restore of the store, and a write if this router
     /// quarantines requests that the record lacks. A random delay lets one router write for all.
-    pub fn store_restored(&mut self, quarantines_any: bool, now_ms: u64, rng: &mut rngs::StdRng) {
+    pub fn handle_store_restored(
+        &mut self,
+        quarantines_any: bool,
+        now_ms: u64,
+        rng: &mut rngs::StdRng,
+    ) {
         self.index = None;
         self.call_in_flight = false;
         if quarantines_any {
--- a/core/src/quarantine/runs.rs
+++ b/core/src/quarantine/runs.rs
@@ -109,12 +109,12 @@
 
     /// Records that a server's address refuses connections; returns the requests that its crash
     /// interrupted, with the times of the interruptions.
-    pub fn refused(
+    pub fn record_refused(
         &mut self,
         server: &ServerInstance,
         now_ms: u64,
     ) -> Vec<(ids::Fingerprint, u64)> {
-        let interrupted = self.crashed(server, now_ms);
+        let interrupted = self.record_crash(server, now_ms);
         let recent =
             interrupted.into_iter().filter(|(_, at_ms)| now_ms < at_ms + REFUSAL_WINDOW_MS);
         recent.collect()
@@ -122,7 +122,7 @@
 
     /// Records that a server crashed; returns the requests that the crash may have interrupted,
     /// with the times of the interruptions.
-    pub fn crashed(
+    pub fn record_crash(
         &mut self,
         server: &ServerInstance,
         now_ms: u64,
@@ -135,7 +135,7 @@
 
     /// Records that a run of a request succeeded: the request did not cause the interruption of its
     /// earlier runs.
-    pub fn ended_well(&mut self, request: ids::Fingerprint) {
+    pub fn record_success(&mut self, request: ids::Fingerprint) {
         for runs in self.instances.values_mut() {
             runs.interrupted.retain(|run| run.request != request);
         }
@@ -172,7 +172,7 @@
     }
 
     /// Removes runs that are too old to be attributed to a crash.
-    pub fn forget_old(&mut self, now_ms: u64) {
+    pub fn remove_expired(&mut self, now_ms: u64) {
         for runs in self.instances.values_mut() {
             runs.interrupted.retain(|run| now_ms < run.kept_until_ms);
         }
--- a/core/src/servers.rs
+++ b/core/src/servers.rs
@@ -279,7 +279,7 @@
     }
 
     /// Counts a request on a server as ended.
-    pub fn ended(&mut self, slot: ids::ServerSlot) {
+    pub fn record_end(&mut self, slot: ids::ServerSlot) {
         if let Some(server) = self.servers.get_mut(slot) {
             server.in_flight = server.in_flight.saturating_sub(1);
         }
--- a/core/src/servers/health.rs
+++ b/core/src/servers/health.rs
@@ -27,7 +27,7 @@
 
 impl Table {
     /// Records a complete answer of a server and the time it took.
-    pub fn succeeded(&mut self, slot: ids::ServerSlot, took_ms: u64, now_ms: u64) {
+    pub fn record_success(&mut self, slot: ids::ServerSlot, took_ms: u64, now_ms: u64) {
         let Some(server) = self.servers.get_mut(slot) else { return };
         server.failures = 0;
         server.probing = false;
@@ -39,17 +39,22 @@
     /// Records that a server rejected a request that was sent at `sent_ms`; returns how long the
     /// server is ejected, if it is. Of requests that were in flight together only the first
     /// rejection counts, so that a server that is full for a moment is not ejected.
-    pub fn rejected(&mut self, slot: ids::ServerSlot, sent_ms: u64, now_ms: u64) -> Option<u64> {
+    pub fn record_rejection(
+        &mut self,
+        slot: ids::ServerSlot,
+        sent_ms: u64,
+        now_ms: u64,
+    ) -> Option<u64> {
         let server = self.servers.get_mut(slot)?;
         if server.rejected_ms.is_some_and(|at_ms| sent_ms <= at_ms) {
             return None;
         }
         server.rejected_ms = Some(now_ms);
-        self.failed(slot, now_ms)
+        self.record_failure(slot, now_ms)
     }
 
     /// Records a failure of a server; returns how long the server is ejected, if it is.
-    pub fn failed(&mut self, slot: ids::ServerSlot, now_ms: u64) -> Option<u64> {
+    pub fn record_failure(&mut self, slot: ids::ServerSlot, now_ms: u64) -> Option<u64> {
         let server = self.servers.get_mut(slot)?;
         server.failures = server.failures.saturating_add(1);
         server.probing = false;
@@ -61,7 +66,7 @@
 
     /// Records that a server's address refuses connections. The server is ejected at once and again
     /// with its next failure, because each send to it would fail.
-    pub fn refused(&mut self, slot: ids::ServerSlot, now_ms: u64) {
+    pub fn record_refused(&mut self, slot: ids::ServerSlot, now_ms: u64) {
         if let Some(server) = self.servers.get_mut(slot) {
             server.failures = server.failures.max(FAILURES_TO_EJECT);
             server.probing = false;
--- a/core/src/servers/limits.rs
+++ b/core/src/servers/limits.rs
@@ -121,34 +121,34 @@
 /// Limits of all servers.
 #[derive(Debug, Default)]
 pub struct Limits {
-    known: collections::BTreeMap<ids::ServerSlot, KnownLimit>,
+    by_slot: collections::BTreeMap<ids::ServerSlot, KnownLimit>,
     rotation: gossip_rotation::Rotation<ids::ServerSlot>,
 }
 
 impl Limits {
     /// Whether no limits are known, also none that ended.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.by_slot.is_empty()
     }
 
     /// Current report on a server, which may be that its limit ended.
     pub fn report(&self, slot: ids::ServerSlot) -> Option<LimitReport> {
-        self.known.get(&slot).map(|known| known.report)
+        self.by_slot.get(&slot).map(|known| known.report)
     }
 
     /// State of a server that is limited.
     pub fn limited(&self, slot: ids::ServerSlot) -> Option<&KnownLimit> {
-        self.known.get(&slot).filter(|known| known.report.limit_milli_per_s.is_some())
+        self.by_slot.get(&slot).filter(|known| known.report.limit_milli_per_s.is_some())
     }
 
     /// Mutable state of a server that is limited.
     pub fn limited_mut(&mut self, slot: ids::ServerSlot) -> Option<&mut KnownLimit> {
-        self.known.get_mut(&slot).filter(|known| known.report.limit_milli_per_s.is_some())
+        self.by_slot.get_mut(&slot).filter(|known| known.report.limit_milli_per_s.is_some())
     }
 
     /// Iterates over the servers that are limited.
     pub fn iter_limited(&self) -> impl Iterator<Item = (ids::ServerSlot, &KnownLimit)> {
-        let known = self.known.iter().map(|(slot, known)| (*slot, known));
+        let known = self.by_slot.iter().map(|(slot, known)| (*slot, known));
         known.filter(|(_, known)| known.report.limit_milli_per_s.is_some())
     }
 
@@ -171,7 +171,7 @@
         report: LimitReport,
         now_ms: u64,
     ) -> LimitChange {
-        let Some(known) = self.known.get_mut(&slot) else {
+        let Some(known) = self.by_slot.get_mut(&slot) else {
             return self.start_limit(slot, report, now_ms);
         };
         if known.report.answer == report.answer {
@@ -215,7 +215,7 @@
             pacer: permits::Pacer::new(limit_milli_per_s, now_ms),
         };
         let change = known.enqueue_if_changed();
-        self.known.insert(slot, known);
+        self.by_slot.insert(slot, known);
         change
     }
 
@@ -223,7 +223,7 @@
     /// returns the servers of the former.
     pub fn expire(&mut self, now_ms: u64) -> Vec<ids::ServerSlot> {
         let mut expired = Vec::new();
-        self.known.retain(|slot, known| {
+        self.by_slot.retain(|slot, known| {
             let age_ms = now_ms.saturating_sub(known.report.received_ms);
             let limited = known.report.limit_milli_per_s.is_some();
             if limited && age_ms >= LIMIT_TTL_MS {
@@ -234,19 +234,19 @@
         expired
     }
 
-    /// Forgets the limit of a server whose incarnation has ended.
-    pub fn forget(&mut self, slot: ids::ServerSlot) {
-        self.known.remove(&slot);
+    /// Removes the limit of a server whose incarnation has ended.
+    pub fn remove(&mut self, slot: ids::ServerSlot) {
+        self.by_slot.remove(&slot);
     }
 
-    /// Forgets the limits of removed servers.
+    /// Removes the limits of removed servers.
     pub fn retain(&mut self, stays: impl Fn(ids::ServerSlot) -> bool) {
-        self.known.retain(|slot, _| stays(*slot));
+        self.by_slot.retain(|slot, _| stays(*slot));
     }
 
     /// Whether an update is queued that was not sent yet.
     pub fn has_unsent(&self) -> bool {
-        gossip_rotation::has_unsent(&self.known)
+        gossip_rotation::has_unsent(&self.by_slot)
     }
 
     /// Takes the reports for the next datagram; `name_bytes` is the length of a server's name.
@@ -254,8 +254,8 @@
         &mut self,
         name_bytes: impl Fn(ids::ServerSlot) -> usize,
     ) -> Vec<(ids::ServerSlot, LimitReport)> {
-        let slots = self.rotation.take(&mut self.known, |slot| name_bytes(*slot));
-        slots.into_iter().filter_map(|slot| Some((slot, self.known.get(&slot)?.report))).collect()
+        let slots = self.rotation.take(&mut self.by_slot, |slot| name_bytes(*slot));
+        slots.into_iter().filter_map(|slot| Some((slot, self.by_slot.get(&slot)?.report))).collect()
     }
 }
 
--- a/core/src/servers/restarts.rs
+++ b/core/src/servers/restarts.rs
@@ -52,7 +52,7 @@
         server.superseded = true;
         let (vm, open_requests) = (server.vm.vm.clone(), server.in_flight);
         self.restarted.push(Restarted { vm, incarnation: next, open_requests });
-        self.limits.forget(slot);
+        self.limits.remove(slot);
         for slots in self.by_service.values_mut() {
             slots.retain(|other| *other != slot);
         }
--- a/core/tests/broken_runs.rs
+++ b/core/tests/broken_runs.rs
@@ -28,20 +28,20 @@
 
 #[test]
 fn a_refused_connection_tells_of_the_last_second_only() {
-    assert_eq!(requests(broken(1).refused(&server(1), NOW_MS + 900)), [request(1)]);
-    assert!(broken(1).refused(&server(1), NOW_MS + 1_100).is_empty());
+    assert_eq!(requests(broken(1).record_refused(&server(1), NOW_MS + 900)), [request(1)]);
+    assert!(broken(1).record_refused(&server(1), NOW_MS + 1_100).is_empty());
 }
 
 #[test]
 fn another_life_s_end_tells_nothing() {
-    assert!(broken(1).refused(&server(2), NOW_MS).is_empty());
-    assert!(broken(1).crashed(&server(2), NOW_MS).is_empty());
+    assert!(broken(1).record_refused(&server(2), NOW_MS).is_empty());
+    assert!(broken(1).record_crash(&server(2), NOW_MS).is_empty());
 }
 
 #[test]
 fn a_run_that_breaks_after_the_crash_was_seen_counts_at_once() {
     let mut runs = broken(1);
-    runs.refused(&server(1), NOW_MS);
+    runs.record_refused(&server(1), NOW_MS);
     assert!(runs.record_interrupted(&server(1), "10.0.0.1:1", request(2), NOW_MS + 5_000));
 }
 
@@ -49,7 +49,7 @@
 fn lives_without_names_are_told_apart_by_time() {
     let unknown = ids::ServerIncarnation::UNKNOWN.0;
     let mut runs = broken(unknown);
-    runs.refused(&server(unknown), NOW_MS);
+    runs.record_refused(&server(unknown), NOW_MS);
     assert!(runs.record_interrupted(&server(unknown), "10.0.0.1:1", request(2), NOW_MS + 300));
     assert!(!runs.record_interrupted(&server(unknown), "10.0.0.1:1", request(2), NOW_MS + 5_000));
 }
@@ -60,16 +60,16 @@
     runs.record_answer(&server(1), NOW_MS - 1);
     assert_eq!(runs.open().count(), 1, "it was sent before");
     runs.record_answer(&server(1), NOW_MS + 1);
-    assert!(runs.crashed(&server(1), NOW_MS + 2).is_empty());
+    assert!(runs.record_crash(&server(1), NOW_MS + 2).is_empty());
 }
 
 #[test]
 fn a_server_that_takes_connections_must_be_recorded_anew_soon() {
     let mut runs = broken(1);
     runs.record_accepted(&server(1));
-    runs.forget_old(NOW_MS + 2_900);
+    runs.remove_expired(NOW_MS + 2_900);
     assert_eq!(runs.open().count(), 1);
-    runs.forget_old(NOW_MS + 3_100);
+    runs.remove_expired(NOW_MS + 3_100);
     assert_eq!(runs.open().count(), 0);
 }
 
@@ -77,8 +77,8 @@
 fn a_good_end_of_a_request_drops_its_broken_runs_only() {
     let mut runs = broken(1);
     runs.record_interrupted(&server(1), "10.0.0.1:1", request(2), NOW_MS);
-    runs.ended_well(request(1));
-    assert_eq!(requests(runs.crashed(&server(1), NOW_MS)), [request(2)]);
+    runs.record_success(request(1));
+    assert_eq!(requests(runs.record_crash(&server(1), NOW_MS)), [request(2)]);
 }
 
 #[test]
@@ -93,6 +93,6 @@
     }
     assert!(runs.open().count() <= 256);
     assert!(runs.heads().count() <= 256 * 256);
-    runs.forget_old(NOW_MS + 60_000);
+    runs.remove_expired(NOW_MS + 60_000);
     assert!(runs.is_empty());
 }
--- a/core/tests/cold_servers.rs
+++ b/core/tests/cold_servers.rs
@@ -69,7 +69,7 @@
         let mut running: Vec<(u64, usize, ids::ServerSlot)> = Vec::new();
         for now_ms in (from_ms..to_ms).step_by(TICK_MS as usize) {
             for (_, at, slot) in running.extract_if(.., |(end_ms, ..)| *end_ms <= now_ms) {
-                self.tables[at].ended(slot);
+                self.tables[at].record_end(slot);
             }
             for _ in 0..per_s * TICK_MS / 1_000 {
                 let at = self.rng.random_range(0..self.tables.len());
--- a/core/tests/fair_parts.rs
+++ b/core/tests/fair_parts.rs
@@ -145,14 +145,14 @@
             }
             let run = entry.remove();
             let table = &mut self.tables[run.router];
-            table.ended(run.slot);
+            table.record_end(run.slot);
             if run.fails || self.servers[run.server].incarnation != run.incarnation {
-                table.failed(run.slot, self.now_ms);
+                table.record_failure(run.slot, self.now_ms);
                 continue;
             }
             let took_ms = self.now_ms - run.sent_ms;
             self.took_ms.push(took_ms);
-            table.succeeded(run.slot, took_ms, self.now_ms);
+            table.record_success(run.slot, took_ms, self.now_ms);
         }
     }
 
@@ -186,7 +186,9 @@
             Trouble::Crashes => {
                 self.servers[0].incarnation += 1;
                 let tables = self.tables.iter_mut();
-                tables.for_each(|table| table.refused(table.find("vm-0").unwrap(), self.now_ms));
+                tables.for_each(|table| {
+                    table.record_refused(table.find("vm-0").unwrap(), self.now_ms)
+                });
             }
             Trouble::Pause => self.per_s = 0,
         }
@@ -201,7 +203,7 @@
     fn turn_away_ten(&mut self, router: usize) {
         let slot = self.tables[router].find("vm-0").unwrap();
         for _ in 0..10 {
-            self.tables[router].rejected(slot, self.now_ms - 5, self.now_ms);
+            self.tables[router].record_rejection(slot, self.now_ms - 5, self.now_ms);
         }
     }
 }
--- a/core/tests/quarantine.rs
+++ b/core/tests/quarantine.rs
@@ -23,7 +23,7 @@
 /// Three crashes under a request, a second apart.
 fn quarantine(table: &mut Table, number: u64) {
     for crash in 0..3 {
-        table.crashed(request(number), server(crash), NOW_MS + crash * 1_000);
+        table.record_crash(request(number), server(crash), NOW_MS + crash * 1_000);
     }
 }
 
@@ -34,12 +34,12 @@
 #[test]
 fn three_crashes_of_different_lives_keep_a_request_from_servers_and_two_do_not() {
     let mut table = Table::default();
-    assert_eq!(table.crashed(request(1), server(1), NOW_MS), Change::Suspected { crashes: 1 });
-    assert_eq!(table.crashed(request(1), server(1), NOW_MS + 2_000), Change::None);
-    let second = table.crashed(request(1), server(2), NOW_MS + 2_000);
+    assert_eq!(table.record_crash(request(1), server(1), NOW_MS), Change::Suspected { crashes: 1 });
+    assert_eq!(table.record_crash(request(1), server(1), NOW_MS + 2_000), Change::None);
+    let second = table.record_crash(request(1), server(2), NOW_MS + 2_000);
     assert_eq!(second, Change::Suspected { crashes: 2 });
     assert_eq!(table.quarantined_ms(&request(1), NOW_MS + 2_000), None);
-    assert_eq!(table.crashed(request(1), server(3), NOW_MS + 4_000), Change::Quarantined);
+    assert_eq!(table.record_crash(request(1), server(3), NOW_MS + 4_000), Change::Quarantined);
     let left_ms = table.quarantined_ms(&request(1), NOW_MS + 4_000);
     assert_eq!(left_ms, Some(quarantine::QUARANTINE_MS as u64));
     assert_eq!(table.quarantined_ms(&request(2), NOW_MS + 4_000), None);
@@ -49,10 +49,14 @@
 fn a_vm_whose_lives_have_no_names_crashes_again_after_a_while() {
     let vm = Server::new("vm", ids::ServerIncarnation::UNKNOWN);
     let mut table = Table::default();
-    table.crashed(request(1), vm, NOW_MS);
-    assert_eq!(table.crashed(request(1), vm, NOW_MS + 300), Change::None, "seen by another router");
-    table.crashed(request(1), vm, NOW_MS + 3_000);
-    assert_eq!(table.crashed(request(1), vm, NOW_MS + 6_000), Change::Quarantined);
+    table.record_crash(request(1), vm, NOW_MS);
+    assert_eq!(
+        table.record_crash(request(1), vm, NOW_MS + 300),
+        Change::None,
+        "seen by another router"
+    );
+    table.record_crash(request(1), vm, NOW_MS + 3_000);
+    assert_eq!(table.record_crash(request(1), vm, NOW_MS + 6_000), Change::Quarantined);
 }
 
 #[test]
@@ -62,7 +66,7 @@
     let over_ms = NOW_MS + 2_000 + quarantine::QUARANTINE_MS as u64;
     assert_eq!(table.quarantined_ms(&request(1), over_ms), None);
     table.expire(over_ms);
-    assert_eq!(table.crashed(request(1), server(9), over_ms), Change::Quarantined);
+    assert_eq!(table.record_crash(request(1), server(9), over_ms), Change::Quarantined);
 }
 
 #[test]
@@ -71,8 +75,12 @@
     quarantine(&mut table, 1);
     assert_eq!(table.clear(request(1), NOW_MS + 5_000), Change::Cleared { crashes: 3 });
     assert_eq!(table.quarantined_ms(&request(1), NOW_MS + 5_000), None);
-    assert_eq!(table.crashed(request(1), server(7), NOW_MS + 4_000), Change::None, "late news");
-    let after = table.crashed(request(1), server(8), NOW_MS + 6_000);
+    assert_eq!(
+        table.record_crash(request(1), server(7), NOW_MS + 4_000),
+        Change::None,
+        "late news"
+    );
+    let after = table.record_crash(request(1), server(8), NOW_MS + 6_000);
     assert_eq!(after, Change::Suspected { crashes: 1 });
 }
 
@@ -85,7 +93,7 @@
     for crash in 0..rng.random_range(1..9) {
         let at_ms = NOW_MS + crash * 1_000;
         let table = tables.choose_mut_in(&mut rng);
-        table.crashed(request(1), server(crash), at_ms);
+        table.record_crash(request(1), server(crash), at_ms);
         if rng.random_range(0..6) == 0 {
             table.clear(request(1), at_ms + 500);
         }
@@ -135,7 +143,7 @@
     let mut table = Table::default();
     quarantine(&mut table, 1);
     for number in 0..20_000 {
-        table.crashed(request(100 + number), server(number), NOW_MS + 10 + number);
+        table.record_crash(request(100 + number), server(number), NOW_MS + 10 + number);
     }
     assert!(table.quarantined_ms(&request(1), NOW_MS + 30_000).is_some());
     assert!(table.suspected() <= 2_048, "{} entries", table.suspected());
@@ -166,7 +174,7 @@
     let mut table = Table::default();
     assert_eq!(table.next_updates(false, NOW_MS), quarantine::Updates::default());
     assert_eq!(table.urgency(), None);
-    table.crashed(request(1), server(1), NOW_MS);
+    table.record_crash(request(1), server(1), NOW_MS);
     while table.urgency().is_some() {
         assert_eq!(table.next_updates(false, NOW_MS).reports.len(), 1);
     }
@@ -194,7 +202,7 @@
 fn what_the_store_keeps_is_the_same_for_the_next_life() {
     let mut table = Table::default();
     quarantine(&mut table, 1);
-    table.crashed(request(2), server(1), NOW_MS);
+    table.record_crash(request(2), server(1), NOW_MS);
     let now_ms = NOW_MS + 10_000;
     let unix_ms = 1_796_000_000_000;
     let record = quarantine::Record::new(table.reports_of_quarantined(now_ms), unix_ms);
--- a/core/tests/server_lives.rs
+++ b/core/tests/server_lives.rs
@@ -91,11 +91,11 @@
 fn an_ejection_is_forgotten() {
     let mut bench = Bench::new();
     let slot = bench.table.find("one").unwrap();
-    let ejected = (0..5).filter_map(|_| bench.table.failed(slot, NOW_MS)).count();
+    let ejected = (0..5).filter_map(|_| bench.table.record_failure(slot, NOW_MS)).count();
     assert!(ejected > 0);
     bench.restart();
     let slot = bench.table.find("one").unwrap();
-    assert_eq!(bench.table.failed(slot, NOW_MS), None, "failures are counted anew");
+    assert_eq!(bench.table.record_failure(slot, NOW_MS), None, "failures are counted anew");
 }
 
 #[test]
@@ -140,8 +140,8 @@
     );
     let later = bench.choose(&[]).unwrap().slot;
     bench.table.record_load(earlier, servers::Load { running: 9, queued: 9, slots: 1 });
-    bench.table.failed(earlier, NOW_MS);
-    bench.table.ended(earlier);
+    bench.table.record_failure(earlier, NOW_MS);
+    bench.table.record_end(earlier);
     assert_eq!((bench.present().in_flight, bench.present().load), (1, None));
     bench.table.apply_list(&[live(6)], NOW_MS);
     assert!(bench.table.get(earlier).is_none(), "nothing keeps it");
@@ -155,7 +155,7 @@
     bench.restart();
     bench.table.apply_list(&[live(6)], NOW_MS);
     assert!(bench.table.get(earlier).is_some(), "a request is open there");
-    bench.table.ended(earlier);
+    bench.table.record_end(earlier);
     bench.table.apply_list(&[], NOW_MS);
     assert_eq!(bench.table.iter().count(), 0);
 }
--- a/core/tests/servers.rs
+++ b/core/tests/servers.rs
@@ -65,7 +65,7 @@
     for _ in 0..8 {
         let slot = bench.choose_for(&["old".to_owned()], None, &[]).unwrap();
         assert_eq!(bench.name(slot), "two");
-        bench.table.ended(slot);
+        bench.table.record_end(slot);
     }
     let none = bench.choose_for(&["other".to_owned()], None, &[]);
     assert_eq!(none, Err(servers::Unavailable::None));
@@ -98,7 +98,7 @@
     let mut bench = Bench::two();
     let bad = bench.choose().unwrap();
     for _ in 0..3 {
-        bench.table.failed(bad, bench.now_ms);
+        bench.table.record_failure(bad, bench.now_ms);
     }
     for _ in 0..5 {
         assert_ne!(bench.choose().unwrap(), bad);
@@ -106,7 +106,7 @@
     bench.now_ms += 60_000;
     let tries = (0..12).filter(|_| bench.choose() == Ok(bad)).count();
     assert_eq!(tries, 1);
-    bench.table.succeeded(bad, 10, 0);
+    bench.table.record_success(bad, 10, 0);
     let tries = (0..4).filter(|_| bench.choose() == Ok(bad)).count();
     assert!(tries > 0);
 }
@@ -124,11 +124,11 @@
 fn a_prefix_goes_where_it_went_unless_that_server_is_much_busier() {
     let mut bench = Bench::two();
     let first = bench.choose_for(&[], Some(9), &[]).unwrap();
-    bench.table.ended(first);
+    bench.table.record_end(first);
     for _ in 0..6 {
         let slot = bench.choose_for(&[], Some(9), &[]).unwrap();
         assert_eq!(slot, first);
-        bench.table.ended(slot);
+        bench.table.record_end(slot);
     }
     for _ in 0..40 {
         bench.table.record_load(first, servers::Load { running: 7, queued: 0, slots: 8 });
@@ -181,8 +181,8 @@
         assert_eq!(one.name(first), other.name(second));
         one.table.has_read(first, u64::MAX);
         other.table.has_read(second, u64::MAX);
-        one.table.ended(first);
-        other.table.ended(second);
+        one.table.record_end(first);
+        other.table.record_end(second);
     }
 }
 
@@ -196,8 +196,8 @@
         assert!(home == "d" || home == less.name(after));
         whole.table.has_read(before, u64::MAX);
         less.table.has_read(after, u64::MAX);
-        whole.table.ended(before);
-        less.table.ended(after);
+        whole.table.record_end(before);
+        less.table.record_end(after);
     }
 }
 
@@ -227,11 +227,11 @@
     for _ in 0..3 {
         for _ in 0..2 {
             let slot = bench.choose().unwrap();
-            bench.table.ended(slot);
+            bench.table.record_end(slot);
         }
         let slots: Vec<ids::ServerSlot> = bench.table.iter().map(|(slot, _)| slot).collect();
         for slot in slots {
-            bench.table.failed(slot, bench.now_ms);
+            bench.table.record_failure(slot, bench.now_ms);
         }
     }
     assert!(bench.choose().is_ok(), "both failed lately, and nobody else is there");
--- a/src/telemetry/notices.rs
+++ b/src/telemetry/notices.rs
@@ -78,8 +78,8 @@
             known.era,
             known.revision,
         ),
-        node::Notice::RecoveryDecided { shard, era, verdict } => {
-            log::info!("event=withheld_tokens_decided shard={shard} era={era} verdict={verdict}");
+        node::Notice::RecoveryDecided { shard, era, decision } => {
+            log::info!("event=withheld_tokens_decided shard={shard} era={era} verdict={decision}");
         }
         node::Notice::StoreRestored { era, previous } => {
             log::warn!("event=store_restored era={era} previous={previous}");
