--- a/core/src/members.rs
+++ b/core/src/members.rs
@@ -32,7 +32,7 @@
 /// How often a changed record is sent.
 const RECORD_TRANSMISSIONS: u32 = 6;
 
-/// A router's record, as it is passed on to other routers.
+/// A router's record, as it is gossiped to other routers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// The router's incarnation.
--- a/core/src/node/confirmations.rs
+++ b/core/src/node/confirmations.rs
@@ -13,7 +13,7 @@
 const REQUEST_INTERVAL_MS: u64 = 300;
 /// Time after which the replies of routers are considered final.
 const REPLIES_FINAL_MS: u64 = 3_000;
-/// Maximum number of routers that are asked at once.
+/// Maximum number of routers to which recovery requests are sent at once.
 const ASKED_MAX: usize = 32;
 
 /// The replies of other routers in an era.
--- a/core/src/node/holders.rs
+++ b/core/src/node/holders.rs
@@ -8,13 +8,13 @@
 use super::{Action, Lifecycle, Node, Notice, Reason, Request, Stage, transfer_requests};
 use crate::{grants, ids, members, message, rendezvous};
 
-/// Time after which the next holder is asked if a holder has not answered.
+/// Time after which a request is sent to the next holder if a holder has not answered.
 const ANSWER_TIMEOUT_MS: u64 = 120;
 /// Time after which an unanswered transfer request is sent again, since messages may be lost.
 const RESEND_INTERVAL_MS: u64 = 40;
 /// How long a holder that did not answer is skipped.
 const SKIP_MS: u64 = 2_000;
-/// Number of holders that are asked, one after the other, before this router draws from the ledger itself.
+/// Number of holders that are sent a request, one after the other, before this router draws from the ledger itself.
 const HOLDERS_ASKED_MAX: usize = 2;
 /// How long a router draws from the ledger itself after no holder answered.
 const DIRECT_DRAW_MS: u64 = 2_000;
@@ -40,7 +40,7 @@
     requested_ms: u64,
     /// When the request was last sent to this holder.
     sent_ms: u64,
-    /// The holders asked before.
+    /// The holders to which requests were sent before.
     earlier: Vec<ids::Incarnation>,
     /// Whether one of the earlier holders answered, even if it could not determine whether tokens are left.
     answered: bool,
@@ -93,7 +93,8 @@
         self.grants.set_holders(routers, is_holder, draws);
     }
 
-    /// Continues the search for a waiting request's tokens: asks a holder, or refuses the request after its wait.
+    /// Continues the search for a waiting request's tokens: requests a transfer from a holder, or refuses the request
+    /// after its wait.
     pub(super) fn continue_holder_search(&mut self, slot: ids::RequestSlot, now_ms: u64) {
         let Some(request) = self.requests.get(slot) else { return };
         let budget = request.budget;
@@ -105,8 +106,8 @@
         }
     }
 
-    /// Repeats unanswered requests, asks the next holder after a timeout, answers the requests of other routers, and
-    /// returns excess tokens.
+    /// Repeats unanswered requests, sends one to the next holder after a timeout, answers the requests of other routers,
+    /// and returns excess tokens.
     pub(super) fn tick_holders(&mut self, now_ms: u64) {
         self.holders.skipped_until_ms.retain(|_, until_ms| now_ms < *until_ms);
         let timed_out = |pending: &PendingTransfer| {
@@ -313,7 +314,8 @@
         }
     }
 
-    /// The next holder of a budget to ask; `None` if enough were asked, none is left, or it is this router.
+    /// The next holder of a budget to send a request to; `None` if enough were tried, none is left, or it is this
+    /// router.
     fn next_holder(
         &self,
         budget: ids::BudgetSlot,
--- a/core/src/node/limits.rs
+++ b/core/src/node/limits.rs
@@ -3,7 +3,7 @@
 //!
 //! The pacer is one router for each limited server. Rendezvous hashing over the live routers determines it, which needs
 //! no message. Other routers request permits from it when requests wait, and from time to time a trial, so that the end
-//! of a limit is noticed.
+//! of a limit is detected.
 
 use super::{Action, LimitSource, Node, Notice, Reason};
 use crate::{ids, message, rendezvous, servers};
@@ -18,7 +18,7 @@
 const TRIAL_SPREAD_MS: u64 = 2_000;
 /// Validity of a granted trial: a request that arrives within this time uses it.
 const TRIAL_VALID_MS: u64 = 1_000;
-/// Time after which a router that is not the pacer of a server, and replied so, is asked again.
+/// Time after which a router that is not the pacer of a server, and replied so, gets another permit request.
 const NOT_PACER_RETRY_MS: u64 = 300;
 /// Minimum time over which the retries of refused callers are spread.
 const RETRY_SPREAD_MIN_MS: u64 = 500;
--- a/core/src/node/notices.rs
+++ b/core/src/node/notices.rs
@@ -11,7 +11,7 @@
     Peer(ids::Incarnation),
 }
 
-/// Source from which a router learned that a request crashes servers, or that it no longer does.
+/// Source from which a router received that a request crashes servers, or that it no longer does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineSource {
     /// It detected the crash itself.
@@ -39,7 +39,7 @@
     }
 }
 
-/// Source from which a router learned the rate limit of a server.
+/// Source from which a router received the rate limit of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitSource {
     /// An answer of the server to this router.
@@ -162,11 +162,11 @@
         /// The incarnation that left.
         incarnation: ids::ServerIncarnation,
     },
-    /// A server asked this router to send it no requests for some time.
+    /// A server requested a backoff: this router sends it no requests for some time.
     ServerBackoff {
         /// VM of the server.
         vm: String,
-        /// The incarnation that asked.
+        /// The incarnation that requested the backoff.
         incarnation: ids::ServerIncarnation,
         /// Service of the server.
         service: String,
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -3,7 +3,7 @@
 use super::{Action, Node};
 use crate::{ids, log_index, log_writer, members, message, outbox};
 
-/// Time without a list of VMs from the platform after which peers are asked for theirs.
+/// Time without a list of VMs from the platform after which peers are requested to send theirs.
 const VMS_MISSING_MS: u64 = 3_000;
 
 impl Node {
--- a/core/src/node/types.rs
+++ b/core/src/node/types.rs
@@ -160,7 +160,7 @@
     Suspended,
     /// All matching servers limit their request rate, and none of them has room for it in time.
     Limited,
-    /// All matching servers asked this router to send no requests for some time.
+    /// All matching servers requested a backoff, in which this router sends them no requests.
     Backoff,
 }
 
--- a/core/src/servers/limits.rs
+++ b/core/src/servers/limits.rs
@@ -15,7 +15,7 @@
 const LIMIT_TTL_MS: u64 = 120_000;
 /// Time for which an ended limit is remembered, so that delayed updates do not start it again.
 const ENDED_LIMIT_TTL_MS: u64 = 10_000;
-/// Maximum age of updates from peers: the end of an older limit may already be forgotten here.
+/// Maximum age of updates from peers: the end of an older limit may already be removed here.
 const UPDATE_AGE_MAX_MS: u64 = ENDED_LIMIT_TTL_MS;
 /// Changes of a limit by at most one part in this many are not sent to peers.
 const NOTABLE_CHANGE_DIVISOR: u64 = 10;
--- a/src/feed/unreadable.rs
+++ b/src/feed/unreadable.rs
@@ -7,8 +7,8 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Entries that are remembered as reported. When there are more, all are forgotten, and some are reported again.
-const REMEMBERED_ENTRIES_MAX: usize = 1_024;
+/// Entries that are recorded as reported. When there are more, all are removed, and some are reported again.
+const REPORTED_ENTRIES_MAX: usize = 1_024;
 
 /// The entries that were reported, by key, with the position of the revision.
 #[derive(Clone, Debug, Default)]
@@ -21,7 +21,7 @@
         if reported.get(&change.key) == Some(&change.position) {
             return;
         }
-        if reported.len() >= REMEMBERED_ENTRIES_MAX {
+        if reported.len() >= REPORTED_ENTRIES_MAX {
             reported.clear();
         }
         reported.insert(change.key.clone(), change.position);
--- a/src/model.rs
+++ b/src/model.rs
@@ -1,7 +1,7 @@
 //! Runs one model request: sends it to an engine, forwards the engine's stream, and resumes at another engine if the
 //! first one fails.
 //!
-//! Engines are always asked for a stream, so that the router can count the tokens that the caller has received and
+//! Requests to engines are always for a stream, so that the router can count the tokens that the caller has received and
 //! resume after them. The caller gets one complete answer without repeated tokens.
 
 use crate::{answers, api_error, completion, control, upstream};
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -65,7 +65,7 @@
 pub struct Gateway {
     /// The address to listen on.
     pub listen: net::SocketAddr,
-    /// How long a planned stop still accepts connections, in milliseconds, until the balancer has noticed it.
+    /// How long a planned stop still accepts connections, in milliseconds, until the balancer has detected it.
     #[serde(default = "default_drain_ms")]
     pub drain_ms: u64,
 }
--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -89,7 +89,7 @@
 /// The current incarnations of servers that restarted, by VM.
 pub type ServerIncarnations = collections::HashMap<String, ids::ServerIncarnation>;
 
-/// The number of restarted servers that are remembered. When there are more, all are forgotten, and requests that are
+/// The number of restarted servers that are recorded. When there are more, all are removed, and requests that are
 /// still open at their earlier incarnations have to end by themselves.
 const RESTARTED_SERVERS_MAX: usize = 4_096;
 
