--- a/benches/capacity/limits.rs
+++ b/benches/capacity/limits.rs
@@ -15,7 +15,7 @@
     for server in 0..servers {
         let directive = servers::Directive::Value(1_100 + server as u64);
         let vm = format!("server-{server}");
-        node.report_limit(&vm, ids::ServerLife::UNKNOWN, directive, 5, now_ms);
+        node.report_limit(&vm, ids::ServerIncarnation::UNKNOWN, directive, 5, now_ms);
     }
     node.take_actions();
 }
--- a/core/src/leaving_servers.rs
+++ b/core/src/leaving_servers.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections;
 
-/// Time for which an entry from an answer is kept after the server's record is gone.
+/// Time for which an entry from an answer is kept after the server's record was removed.
 const UNLISTED_TTL_MS: u64 = 3_600_000;
 /// Maximum number of kept entries without a record.
 const UNLISTED_MAX: usize = 4_096;
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug)]
 pub struct LeavingServer {
     /// Incarnation that is leaving.
-    pub life: ids::ServerLife,
+    pub incarnation: ids::ServerIncarnation,
     /// Source of the information.
     pub source: Source,
     /// Time since which no record of the server is known.
@@ -57,76 +57,81 @@
 /// All servers that are leaving, by VM.
 #[derive(Debug, Default)]
 pub struct LeavingServers {
-    known: collections::BTreeMap<String, LeavingServer>,
+    by_vm: collections::BTreeMap<String, LeavingServer>,
     rotation: gossip_rotation::Rotation<String>,
 }
 
 impl LeavingServers {
     /// Records that an incarnation of a server is leaving; returns whether this is new or from a
     /// source that is kept longer.
-    pub fn record(&mut self, vm: &str, life: ids::ServerLife, source: Source) -> bool {
+    pub fn record(
+        &mut self,
+        vm: &str,
+        incarnation: ids::ServerIncarnation,
+        source: Source,
+    ) -> bool {
         let sends_left = if source == Source::Answer { gossip_rotation::TRANSMISSIONS } else { 0 };
-        let known = self.known.get(vm).map(|known| (known.life, known.source));
-        if known.is_some_and(|known| known >= (life, source)) {
+        let present = self.by_vm.get(vm).map(|leaving| (leaving.incarnation, leaving.source));
+        if present.is_some_and(|present| present >= (incarnation, source)) {
             return false;
         }
-        let leaving = LeavingServer { life, source, unlisted_since_ms: None, sends_left };
-        self.known.insert(vm.to_owned(), leaving);
+        let leaving = LeavingServer { incarnation, source, unlisted_since_ms: None, sends_left };
+        self.by_vm.insert(vm.to_owned(), leaving);
         true
     }
 
     /// Whether an incarnation of a server is known to be leaving.
-    pub fn contains(&self, vm: &str, life: ids::ServerLife) -> bool {
-        self.known.get(vm).is_some_and(|leaving| leaving.life >= life)
+    pub fn contains(&self, vm: &str, incarnation: ids::ServerIncarnation) -> bool {
+        self.by_vm.get(vm).is_some_and(|leaving| leaving.incarnation >= incarnation)
     }
 
     /// Iterates over all leaving servers with their VMs.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &LeavingServer)> {
-        self.known.iter().map(|(vm, leaving)| (vm.as_str(), leaving))
+        self.by_vm.iter().map(|(vm, leaving)| (vm.as_str(), leaving))
     }
 
     /// Whether an update is queued that was not sent yet.
     pub fn has_unsent(&self) -> bool {
-        gossip_rotation::has_unsent(&self.known)
+        gossip_rotation::has_unsent(&self.by_vm)
     }
 
     /// Takes the updates for the next datagram.
     pub fn take_updates(&mut self) -> Vec<message::LeavingUpdate> {
-        let vms = self.rotation.take(&mut self.known, String::len);
+        let vms = self.rotation.take(&mut self.by_vm, String::len);
         let updates = vms.into_iter().filter_map(|vm| {
-            let LeavingServer { life, source, .. } = *self.known.get(&vm)?;
-            Some(message::LeavingUpdate { vm, life, source })
+            let LeavingServer { incarnation, source, .. } = *self.by_vm.get(&vm)?;
+            Some(message::LeavingUpdate { vm, incarnation, source })
         });
         updates.collect()
     }
 
     /// Removes entries that no longer apply, given the incarnations of all servers with a known
     /// record; returns the VMs and incarnations of the removed entries.
-    pub fn forget(
+    pub fn remove_outdated(
         &mut self,
-        lives: &collections::HashMap<&str, ids::ServerLife>,
+        incarnations: &collections::HashMap<&str, ids::ServerIncarnation>,
         now_ms: u64,
-    ) -> Vec<(String, ids::ServerLife)> {
-        for (vm, leaving) in &mut self.known {
-            let listed = lives.contains_key(vm.as_str());
+    ) -> Vec<(String, ids::ServerIncarnation)> {
+        for (vm, leaving) in &mut self.by_vm {
+            let listed = incarnations.contains_key(vm.as_str());
             let since_ms = leaving.unlisted_since_ms.unwrap_or(now_ms);
             leaving.unlisted_since_ms = (!listed).then_some(since_ms);
         }
         let oldest_ms = self.oldest_kept_ms(now_ms);
-        let holds = |vm: &str, leaving: &LeavingServer| match lives.get(vm) {
-            Some(present) => *present <= leaving.life,
+        let holds = |vm: &str, leaving: &LeavingServer| match incarnations.get(vm) {
+            Some(present) => *present <= leaving.incarnation,
             None => {
                 let since_ms = leaving.unlisted_since_ms.unwrap_or(now_ms);
                 leaving.source == Source::Answer && since_ms >= oldest_ms
             }
         };
-        let removed = self.known.extract_if(.., |vm, leaving| !holds(vm, leaving));
-        removed.map(|(vm, leaving)| (vm, leaving.life)).collect()
+        let removed = self.by_vm.extract_if(.., |vm, leaving| !holds(vm, leaving));
+        removed.map(|(vm, leaving)| (vm, leaving.incarnation)).collect()
     }
 
     /// Earliest time of a record's disappearance for which an entry is kept.
     fn oldest_kept_ms(&self, now_ms: u64) -> u64 {
-        let unlisted = self.known.values().filter_map(|leaving| leaving.unlisted_since_ms);
+        let unlisted = self.by_vm.values().filter_map(|leaving| leaving.unlisted_since_ms);
         let mut unlisted_ms: Vec<u64> = unlisted.collect();
         unlisted_ms.sort_unstable_by(|one, other| other.cmp(one));
         let too_many_ms = unlisted_ms.get(UNLISTED_MAX).map_or(0, |since_ms| since_ms + 1);
--- a/core/src/message.rs
+++ b/core/src/message.rs
@@ -111,7 +111,7 @@
     Vms {
         /// The position and age of the sender's copy; the position is the index of the list.
         copy_state: CopyState,
-        /// The listed VMs.
+        /// All VMs in the list.
         vms: Vec<servers::Vm>,
     },
     /// Requests the receiver's list of live routers.
@@ -124,9 +124,9 @@
         number: u64,
 
         /// The limit of the server as known to the requester.
-        known: servers::LimitUpdate,
+        limit_update: servers::LimitUpdate,
         /// The permits that the requester can use.
-        wanted: servers::PermitsRequested,
+        requested: servers::PermitsRequested,
     },
     /// The reply to [`Message::PermitRequest`].
     PermitReply {
@@ -135,7 +135,7 @@
         /// The VM that runs the server.
         vm: String,
         /// The server incarnation that the permits are for.
-        life: ids::ServerLife,
+        incarnation: ids::ServerIncarnation,
         /// Whether the permits are for trial requests.
         trial: bool,
         /// The permits, or when to send the next request.
@@ -290,7 +290,7 @@
     /// The name of the VM.
     pub vm: String,
     /// The server incarnation that is leaving.
-    pub life: ids::ServerLife,
+    pub incarnation: ids::ServerIncarnation,
 
     /// Where the update comes from.
     pub source: leaving_servers::Source,
--- a/core/src/node/admit.rs
+++ b/core/src/node/admit.rs
@@ -278,7 +278,7 @@
         if let Stage::WaitingClaim { server, .. } = &mut request.stage {
             *server = choice.slot;
         }
-        self.servers.ended(server);
+        self.servers.record_end(server);
         self.servers.has_read(server, unread_tokens);
         Ok(())
     }
@@ -288,8 +288,8 @@
         let Some(request) = self.requests.get(slot) else { return };
         let (attempt, unread_tokens) = (request.attempt, request.unread_tokens);
         let Some(server) = self.servers.get(server) else { return };
-        let servers::Vm { address, vm, life, .. } = server.vm.clone();
-        self.answer(slot, Answer::Dispatch { address, vm, life, attempt, unread_tokens });
+        let servers::Vm { address, vm, incarnation, .. } = server.vm.clone();
+        self.answer(slot, Answer::Dispatch { address, vm, incarnation, attempt, unread_tokens });
     }
 
     /// Ends a request that was not sent to any server, and releases its tokens, its place at a server and its claim.
@@ -303,7 +303,7 @@
             }
             Stage::WaitingClaim { reservation, server, .. } => {
                 self.grants.release(reservation);
-                self.servers.ended(server);
+                self.servers.record_end(server);
                 self.servers.has_read(server, request.unread_tokens);
                 if !matches!(answer, Answer::Replay(_)) {
                     self.release_claim(slot, key, request.attempt, now_ms);
--- a/core/src/node/confirmations.rs
+++ b/core/src/node/confirmations.rs
@@ -13,7 +13,7 @@
 const REQUEST_INTERVAL_MS: u64 = 300;
 /// Time after which the replies of routers are considered final.
 const REPLIES_FINAL_MS: u64 = 3_000;
-/// Maximum number of routers that are asked at once.
+/// Maximum number of routers to which recovery requests are sent at once.
 const ASKED_MAX: usize = 32;
 
 /// The replies of other routers in an era.
@@ -64,13 +64,13 @@
         let others = self.other_router_addresses();
         let replies_final = now_ms > self.confirmations.since_ms + REPLIES_FINAL_MS;
         for (shard, since_era) in shards {
-            let Some(verdict) = self.recovery_decision(shard, since_era, &others, replies_final)
+            let Some(decision) = self.recovery_decision(shard, since_era, &others, replies_final)
             else {
                 continue;
             };
-            if self.ledgers[shard as usize].recovery_decision(era) != Some(verdict) {
-                self.ledgers[shard as usize].set_recovery_decision(era, verdict);
-                self.actions.push(Action::Notice(Notice::RecoveryDecided { shard, era, verdict }));
+            if self.ledgers[shard as usize].recovery_decision(era) != Some(decision) {
+                self.ledgers[shard as usize].set_recovery_decision(era, decision);
+                self.actions.push(Action::Notice(Notice::RecoveryDecided { shard, era, decision }));
             }
         }
     }
@@ -228,10 +228,10 @@
         }
     }
 
-    /// Whether this router read the shard after it discovered the router `life`, and before draws may have been lost.
-    /// Then it has read all draws of earlier incarnations at that address.
-    fn covers_earlier_incarnations(&self, shard: u32, life: ids::Incarnation) -> bool {
-        let discovered_ms = self.members.added_ms(life);
+    /// Whether this router read the shard after it discovered the router `incarnation`, and before draws may have been
+    /// lost. Then it has read all draws of earlier incarnations at that address.
+    fn covers_earlier_incarnations(&self, shard: u32, incarnation: ids::Incarnation) -> bool {
+        let discovered_ms = self.members.added_ms(incarnation);
         let ledger = self.ledgers.get(shard as usize);
         let read_ms = ledger.and_then(|ledger| {
             ledger.read_before_ms(ledger.unconfirmed_since_era(self.store_era())?)
--- a/core/src/node/eras.rs
+++ b/core/src/node/eras.rs
@@ -7,7 +7,7 @@
 
 /// Time for routers to write their part of the ledger back to a restored store.
 const LEDGER_RECOVERY_MS: u64 = 1_000;
-/// Time for writers to repeat writes that a restore lost, and for the records of dead writers to expire: a record
+/// Time for writers to repeat writes that a restore lost, and for the records of terminated writers to expire: a record
 /// expires after three heartbeats of 1.2 s without a write.
 const REWRITE_WINDOW_MS: u64 = 5_000;
 /// How long evacuations of the lost history stay in effect, so that the operator can write them again.
@@ -37,7 +37,7 @@
 /// A server whose record was removed.
 #[derive(Clone, Copy, Debug)]
 struct Removed {
-    life: ids::ServerLife,
+    incarnation: ids::ServerIncarnation,
     /// The revision of the record; an upper bound if it is not known.
     revision: u64,
     at_ms: u64,
@@ -92,7 +92,7 @@
     pub(super) fn record_removal(
         &mut self,
         vm: &str,
-        life: ids::ServerLife,
+        incarnation: ids::ServerIncarnation,
         listed: store::Position,
         now_ms: u64,
     ) {
@@ -103,7 +103,7 @@
                 self.removed.remove(&oldest);
             }
         }
-        self.removed.insert(vm.to_owned(), Removed { life, revision, at_ms: now_ms });
+        self.removed.insert(vm.to_owned(), Removed { incarnation, revision, at_ms: now_ms });
     }
 
     /// Failure domains that stay evacuated although the restored store does not list them.
@@ -146,7 +146,7 @@
                 .and_then(|watching| watching.servers.last_current_or_failed_ms());
             self.eras.restored_after_ms = before_ms.unwrap_or(now_ms);
             self.restart_polls(now_ms);
-            self.quarantine.store_restored(now_ms, &mut self.rng);
+            self.quarantine.handle_store_restored(now_ms, &mut self.rng);
             self.eras.restored_ms = Some(now_ms);
             let grants = &self.grants;
             self.ledgers.iter_mut().for_each(|ledger| ledger.reset_after_restore(era, grants));
@@ -202,9 +202,11 @@
         for change in &digest.changes {
             let watch::ServerRecord::Listed(vm) = &change.record else { continue };
             let leaves = vm.state == servers::VmState::Leaving;
-            if leaves && self.vms.get(&vm.vm).is_some_and(|listed| listed.life == vm.life) {
+            if leaves
+                && self.vms.get(&vm.vm).is_some_and(|listed| listed.incarnation == vm.incarnation)
+            {
                 let source = crate::leaving_servers::Source::Record;
-                self.record_leaving(&vm.vm, vm.life, source, Some(from));
+                self.record_leaving(&vm.vm, vm.incarnation, source, Some(from));
             }
         }
         let era = digest.era.max(digest.servers.position.era);
@@ -252,8 +254,9 @@
         eras.removed.retain(|_, removed| now_ms < removed.at_ms + REMOVED_TTL_MS);
         for vm in &all.listed {
             let revision = all.revisions.get(&vm.vm).copied().unwrap_or(0);
-            let as_before =
-                |removed: &Removed| vm.life <= removed.life && revision <= removed.revision;
+            let as_before = |removed: &Removed| {
+                vm.incarnation <= removed.incarnation && revision <= removed.revision
+            };
             if eras.removed.get(&vm.vm).is_some_and(as_before) {
                 eras.held_back_until_ms.insert(vm.vm.clone(), until_ms);
                 let notice =
--- a/core/src/node/holders.rs
+++ b/core/src/node/holders.rs
@@ -8,13 +8,13 @@
 use super::{Action, Lifecycle, Node, Notice, Reason, Request, Stage, transfer_requests};
 use crate::{grants, ids, members, message, rendezvous};
 
-/// Time after which the next holder is asked if a holder has not answered.
+/// Time after which a request is sent to the next holder if a holder has not answered.
 const ANSWER_TIMEOUT_MS: u64 = 120;
 /// Time after which an unanswered transfer request is sent again, since messages may be lost.
 const RESEND_INTERVAL_MS: u64 = 40;
 /// How long a holder that did not answer is skipped.
 const SKIP_MS: u64 = 2_000;
-/// Number of holders that are asked, one after the other, before this router draws from the ledger itself.
+/// Number of holders that are sent a request, one after the other, before this router draws from the ledger itself.
 const HOLDERS_ASKED_MAX: usize = 2;
 /// How long a router draws from the ledger itself after no holder answered.
 const DIRECT_DRAW_MS: u64 = 2_000;
@@ -37,10 +37,10 @@
     number: u64,
     holder: ids::Incarnation,
     /// When the request was first sent to this holder.
-    asked_ms: u64,
+    requested_ms: u64,
     /// When the request was last sent to this holder.
     sent_ms: u64,
-    /// The holders asked before.
+    /// The holders to which requests were sent before.
     earlier: Vec<ids::Incarnation>,
     /// Whether one of the earlier holders answered, even if it could not determine whether tokens are left.
     answered: bool,
@@ -88,13 +88,13 @@
                 .token_searches
                 .get(&budget)
                 .is_some_and(|search| now_ms < search.direct_draw_until_ms);
-            direct
-                || self.holders.received_requests.iter().any(|question| question.budget == budget)
+            direct || self.holders.received_requests.iter().any(|request| request.budget == budget)
         };
         self.grants.set_holders(routers, is_holder, draws);
     }
 
-    /// Continues the search for a waiting request's tokens: asks a holder, or refuses the request after its wait.
+    /// Continues the search for a waiting request's tokens: requests a transfer from a holder, or refuses the request
+    /// after its wait.
     pub(super) fn continue_holder_search(&mut self, slot: ids::RequestSlot, now_ms: u64) {
         let Some(request) = self.requests.get(slot) else { return };
         let budget = request.budget;
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Repeats unanswered requests, asks the next holder after a timeout, answers the requests of other routers, and
-    /// returns excess tokens.
+    /// Repeats unanswered requests, sends one to the next holder after a timeout, answers the requests of other routers,
+    /// and returns excess tokens.
     pub(super) fn tick_holders(&mut self, now_ms: u64) {
         self.holders.skipped_until_ms.retain(|_, until_ms| now_ms < *until_ms);
         let timed_out = |pending: &PendingTransfer| {
@@ -116,7 +116,7 @@
             } else {
                 ANSWER_TIMEOUT_MS
             };
-            now_ms >= pending.asked_ms + timeout_ms
+            now_ms >= pending.requested_ms + timeout_ms
         };
         let sent_requests = &self.holders.sent_requests;
         let timed_out: Vec<ids::BudgetSlot> = sent_requests
@@ -127,7 +127,7 @@
         for budget in timed_out {
             let Some(pending) = self.holders.sent_requests.remove(&budget) else { continue };
             self.skip_holder(pending.holder, budget, now_ms);
-            self.ask_next_holder(budget, pending, false, now_ms);
+            self.request_from_next_holder(budget, pending, false, now_ms);
         }
         let repeated: Vec<ids::BudgetSlot> = self
             .holders
@@ -177,7 +177,7 @@
         budget: ids::BudgetSlot,
         now_ms: u64,
     ) {
-        let Some(holder) = self.holder_to_ask(budget, &earlier) else {
+        let Some(holder) = self.next_holder(budget, &earlier) else {
             // In this router's view of the membership, it is the first holder itself.
             let is_first = earlier.is_empty();
             self.grants.account_mut(budget).holder |= is_first;
@@ -189,9 +189,9 @@
         };
         self.holders.last_number += 1;
         let number = self.holders.last_number;
-        let (asked_ms, sent_ms, waits) = (now_ms, now_ms, false);
+        let (requested_ms, sent_ms, waits) = (now_ms, now_ms, false);
         let pending =
-            PendingTransfer { number, holder, asked_ms, sent_ms, earlier, answered, waits };
+            PendingTransfer { number, holder, requested_ms, sent_ms, earlier, answered, waits };
         self.holders.sent_requests.insert(budget, pending);
         self.send_transfer_request(budget, now_ms);
     }
@@ -211,7 +211,7 @@
         let Some(pending) = self.holders.sent_requests.remove(&budget) else { return };
         match certain {
             true => self.refuse_waiting_requests(budget, Reason::BudgetExhausted, now_ms),
-            false => self.ask_next_holder(budget, pending, true, now_ms),
+            false => self.request_from_next_holder(budget, pending, true, now_ms),
         }
     }
 
@@ -233,7 +233,7 @@
     }
 
     /// Asks the next holder if requests still wait for the budget.
-    fn ask_next_holder(
+    fn request_from_next_holder(
         &mut self,
         budget: ids::BudgetSlot,
         pending: PendingTransfer,
@@ -314,8 +314,9 @@
         }
     }
 
-    /// The next holder of a budget to ask; `None` if enough were asked, none is left, or it is this router.
-    fn holder_to_ask(
+    /// The next holder of a budget to send a request to; `None` if enough were tried, none is left, or it is this
+    /// router.
+    fn next_holder(
         &self,
         budget: ids::BudgetSlot,
         earlier: &[ids::Incarnation],
@@ -360,7 +361,7 @@
             .filter_map(|(slot, account)| Some((slot, excess_tokens(account, stopping)?)))
             .collect();
         for (budget, tokens) in returned {
-            if let Some(holder) = self.holder_to_ask(budget, &[]) {
+            if let Some(holder) = self.next_holder(budget, &[]) {
                 self.send_tokens(holder, budget, tokens, 0, now_ms);
                 self.grants.account_mut(budget).record_sent_to_holder(tokens);
             }
--- a/core/src/node/limits.rs
+++ b/core/src/node/limits.rs
@@ -3,7 +3,7 @@
 //!
 //! The pacer is one router for each limited server. Rendezvous hashing over the live routers determines it, which needs
 //! no message. Other routers request permits from it when requests wait, and from time to time a trial, so that the end
-//! of a limit is noticed.
+//! of a limit is detected.
 
 use super::{Action, LimitSource, Node, Notice, Reason};
 use crate::{ids, message, rendezvous, servers};
@@ -18,7 +18,7 @@
 const TRIAL_SPREAD_MS: u64 = 2_000;
 /// Validity of a granted trial: a request that arrives within this time uses it.
 const TRIAL_VALID_MS: u64 = 1_000;
-/// Time after which a router that is not the pacer of a server, and replied so, is asked again.
+/// Time after which a router that is not the pacer of a server, and replied so, gets another permit request.
 const NOT_PACER_RETRY_MS: u64 = 300;
 /// Minimum time over which the retries of refused callers are spread.
 const RETRY_SPREAD_MIN_MS: u64 = 500;
@@ -77,12 +77,12 @@
     pub fn report_limit(
         &mut self,
         vm: &str,
-        life: ids::ServerLife,
+        server_incarnation: ids::ServerIncarnation,
         directive: servers::Directive<u64>,
         took_ms: u64,
         now_ms: u64,
     ) {
-        let Some(slot) = self.servers.find_life(vm, life) else { return };
+        let Some(slot) = self.servers.find_incarnation(vm, server_incarnation) else { return };
         let limit_milli_per_s = match directive {
             servers::Directive::Value(limit) => Some(limit),
             servers::Directive::Absent => None,
@@ -105,7 +105,7 @@
     /// Merges the limits reported by a peer.
     pub(super) fn merge_limits(&mut self, updates: &[servers::LimitUpdate], now_ms: u64) {
         for update in updates {
-            let slot = self.servers.find_life(&update.vm, update.life);
+            let slot = self.servers.find_incarnation(&update.vm, update.incarnation);
             if let (Some(slot), Some(report)) = (slot, update.report(now_ms)) {
                 let source = LimitSource::Peer(update.answer.router);
                 self.apply_limit_report(slot, report, source, now_ms);
@@ -172,7 +172,7 @@
         let server = self.servers.get(slot)?;
         Some(servers::LimitUpdate {
             vm: server.vm.vm.clone(),
-            life: server.vm.life,
+            incarnation: server.vm.incarnation,
             limit_milli_per_s: report.limit_milli_per_s,
             answer: report.answer,
             sent_age_ms: now_ms.saturating_sub(report.sent_ms),
@@ -222,8 +222,8 @@
                 return;
             }
             let permits = waiting - expected;
-            let wanted = servers::PermitsRequested { permits, within_ms, trial: false };
-            expected += self.request_permits_from(*slot, wanted, now_ms);
+            let requested = servers::PermitsRequested { permits, within_ms, trial: false };
+            expected += self.request_permits_from(*slot, requested, now_ms);
         }
     }
 
@@ -245,9 +245,9 @@
             if self.pacing_router(slot) != Some(own) && age_ms < others_after_ms {
                 continue;
             }
-            let wanted =
+            let requested =
                 servers::PermitsRequested { permits: 1, within_ms: TRIAL_VALID_MS, trial: true };
-            self.request_permits_from(slot, wanted, now_ms);
+            self.request_permits_from(slot, requested, now_ms);
         }
     }
 
@@ -269,7 +269,7 @@
     fn request_permits_from(
         &mut self,
         slot: ids::ServerSlot,
-        wanted: servers::PermitsRequested,
+        requested: servers::PermitsRequested,
         now_ms: u64,
     ) -> u64 {
         let limited = self.servers.limits().limited(slot);
@@ -278,30 +278,31 @@
         }
         let Some(router) = self.pacing_router(slot) else { return 0 };
         if router == self.settings.incarnation {
-            let granted = self.grant_permits(slot, wanted, now_ms);
+            let granted = self.grant_permits(slot, requested, now_ms);
             if let Some(limited) = self.servers.limits_mut().limited_mut(slot) {
-                limited.share.answered(None, granted, wanted.trial, now_ms);
+                limited.share.handle_reply(None, granted, requested.trial, now_ms);
             }
             return granted.permits;
         }
         let report = self.servers.limits().report(slot);
-        let Some(known) = report.and_then(|report| self.limit_update(slot, report, now_ms)) else {
+        let Some(limit_update) = report.and_then(|report| self.limit_update(slot, report, now_ms))
+        else {
             return 0;
         };
         self.limits.permit_request_count += 1;
         let number = self.limits.permit_request_count;
         if let Some(limited) = self.servers.limits_mut().limited_mut(slot) {
-            limited.share.record_request(number, wanted, now_ms);
+            limited.share.record_request(number, requested, now_ms);
         }
-        self.send(router, message::Message::PermitRequest { number, known, wanted });
-        wanted.permits
+        self.send(router, message::Message::PermitRequest { number, limit_update, requested });
+        requested.permits
     }
 
     /// Grants permits for a server.
     fn grant_permits(
         &mut self,
         slot: ids::ServerSlot,
-        wanted: servers::PermitsRequested,
+        requested: servers::PermitsRequested,
         now_ms: u64,
     ) -> servers::PermitsGranted {
         // A router that has just started has not discovered the routers with which the server is shared.
@@ -315,7 +316,7 @@
         let Some(limited) = self.servers.limits_mut().limited_mut(slot) else {
             // The requesting router missed the end of the limit: a trial will detect it.
             let trial = servers::PermitsGranted { permits: 1, in_ms: 0 };
-            return if wanted.trial {
+            return if requested.trial {
                 trial
             } else {
                 servers::PermitsGranted::none(NOT_PACER_RETRY_MS)
@@ -325,13 +326,13 @@
         let every_ms = servers::trial_interval_ms(limit_milli_per_s);
         let last_evidence_ms = limited.report.received_ms.max(limited.pacer.trial_ms());
         let trial_in_ms = (last_evidence_ms + every_ms).saturating_sub(now_ms);
-        if trial_in_ms > 0 && (wanted.trial || limit_milli_per_s == 0) {
+        if trial_in_ms > 0 && (requested.trial || limit_milli_per_s == 0) {
             return servers::PermitsGranted::none(trial_in_ms);
         }
         // Routers that are cut off from this one use a share of the server's rate as well.
         let share_milli_per_s =
             limit_milli_per_s.saturating_mul(routers.min(max_live_routers)) / max_live_routers;
-        limited.pacer.grant(share_milli_per_s, wanted, now_ms)
+        limited.pacer.grant(share_milli_per_s, requested, now_ms)
     }
 
     /// Handles a peer's request for permits.
@@ -339,18 +340,18 @@
         &mut self,
         from: ids::Incarnation,
         number: u64,
-        known: servers::LimitUpdate,
-        wanted: servers::PermitsRequested,
+        limit_update: servers::LimitUpdate,
+        requested: servers::PermitsRequested,
         now_ms: u64,
     ) {
-        self.merge_limits(std::slice::from_ref(&known), now_ms);
-        let servers::LimitUpdate { vm, life, .. } = known;
-        let granted = match self.servers.find_life(&vm, life) {
-            Some(slot) => self.grant_permits(slot, wanted, now_ms),
+        self.merge_limits(std::slice::from_ref(&limit_update), now_ms);
+        let servers::LimitUpdate { vm, incarnation, .. } = limit_update;
+        let granted = match self.servers.find_incarnation(&vm, incarnation) {
+            Some(slot) => self.grant_permits(slot, requested, now_ms),
             None => servers::PermitsGranted::none(NOT_PACER_RETRY_MS),
         };
-        let trial = wanted.trial;
-        self.send(from, message::Message::PermitReply { number, vm, life, trial, granted });
+        let trial = requested.trial;
+        self.send(from, message::Message::PermitReply { number, vm, incarnation, trial, granted });
     }
 
     /// Handles a pacer's reply to a request for permits.
@@ -358,14 +359,14 @@
         &mut self,
         number: u64,
         vm: &str,
-        life: ids::ServerLife,
+        incarnation: ids::ServerIncarnation,
         trial: bool,
         granted: servers::PermitsGranted,
         now_ms: u64,
     ) {
-        let Some(slot) = self.servers.find_life(vm, life) else { return };
+        let Some(slot) = self.servers.find_incarnation(vm, incarnation) else { return };
         let Some(limited) = self.servers.limits_mut().limited_mut(slot) else { return };
-        limited.share.answered(Some(number), granted, trial, now_ms);
+        limited.share.handle_reply(Some(number), granted, trial, now_ms);
         let Some(server) = self.servers.get(slot) else { return };
         let service = server.vm.service.clone();
         if granted.permits == 0 {
--- a/core/src/node/notices.rs
+++ b/core/src/node/notices.rs
@@ -5,13 +5,13 @@
 /// Source from which a router received its configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigSource {
-    /// The platform's store.
+    /// It was read from the platform's store.
     Store,
-    /// Another router.
+    /// It was received from another router.
     Peer(ids::Incarnation),
 }
 
-/// Source from which a router learned that a request crashes servers, or that it no longer does.
+/// Source from which a router received that a request crashes servers, or that it no longer does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineSource {
     /// It detected the crash itself.
@@ -22,7 +22,7 @@
     Store,
     /// A run of the request succeeded on this router.
     SuccessfulRun,
-    /// An operator's command.
+    /// An operator released it by a command.
     Operator,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// Source from which a router learned the rate limit of a server.
+/// Source from which a router received the rate limit of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitSource {
     /// An answer of the server to this router.
@@ -55,7 +55,7 @@
 pub enum Notice {
     /// The grants of a terminated holder were closed.
     TerminatedHolderClosed {
-        /// The terminated holder.
+        /// The router incarnation that held the grants.
         holder: ids::Incarnation,
         /// Tokens that are counted as spent, as their use was not reported.
         written_off_tokens: u64,
@@ -70,8 +70,8 @@
         /// Era of the store.
         era: u64,
 
-        /// The decision.
-        verdict: ledger_writer::RecoveryDecision,
+        /// What is done with the withheld tokens.
+        decision: ledger_writer::RecoveryDecision,
     },
     /// A server restarted under its name.
     ServerRestarted(servers::Restarted),
@@ -80,7 +80,7 @@
         /// VM of the server.
         vm: String,
         /// The incarnation that ended.
-        life: ids::ServerLife,
+        incarnation: ids::ServerIncarnation,
         /// Number of requests that broke off.
         requests: usize,
     },
@@ -146,7 +146,7 @@
         /// VM of the server.
         vm: String,
         /// The incarnation that leaves.
-        life: ids::ServerLife,
+        incarnation: ids::ServerIncarnation,
         /// Service of the server; empty if unknown.
         service: String,
 
@@ -160,14 +160,14 @@
         /// VM of the server.
         vm: String,
         /// The incarnation that left.
-        life: ids::ServerLife,
+        incarnation: ids::ServerIncarnation,
     },
-    /// A server asked this router to send it no requests for some time.
+    /// A server requested a backoff: this router sends it no requests for some time.
     ServerBackoff {
         /// VM of the server.
         vm: String,
-        /// The incarnation that asked.
-        life: ids::ServerLife,
+        /// The incarnation that requested the backoff.
+        incarnation: ids::ServerIncarnation,
         /// Service of the server.
         service: String,
         /// Duration in milliseconds, from now on.
@@ -191,7 +191,7 @@
     RecordLapsed {
         /// VM of the server.
         vm: String,
-        /// Duration in milliseconds.
+        /// Time for which the record is kept, in milliseconds.
         kept_ms: u64,
     },
     /// The evacuation of a failure domain started or was cancelled.
@@ -222,7 +222,7 @@
     },
     /// The store was restored from a backup.
     StoreRestored {
-        /// The new era.
+        /// The era of the restored store.
         era: u64,
         /// The previous era as known to this router.
         previous: u64,
@@ -243,14 +243,14 @@
 
     /// This router's role in following the store changed.
     WatchRole {
-        /// The new role.
+        /// The role from now on.
         role: watch::Role,
     },
     /// A server failed several times in a row and gets no requests for some time.
     Ejected {
         /// VM of the server.
         vm: String,
-        /// Duration in milliseconds.
+        /// Time for which it gets no requests, in milliseconds.
         ejected_ms: u64,
     },
     /// A server reported more tokens than were reserved for the request.
--- a/core/src/node/quarantine.rs
+++ b/core/src/node/quarantine.rs
@@ -40,9 +40,9 @@
 
 impl Quarantine {
     /// Schedules a read of the record after a restore of the store, and a write if it lacks a quarantined request.
-    pub(super) fn store_restored(&mut self, now_ms: u64, rng: &mut rngs::StdRng) {
+    pub(super) fn handle_store_restored(&mut self, now_ms: u64, rng: &mut rngs::StdRng) {
         let quarantines_any = !self.table.reports_of_quarantined(now_ms).is_empty();
-        self.record_sync.store_restored(quarantines_any, now_ms, rng);
+        self.record_sync.handle_store_restored(quarantines_any, now_ms, rng);
     }
 }
 
@@ -78,24 +78,24 @@
 
     /// Records that a server's address refuses connections, so that the process that listened there has ended.
     pub fn connection_refused(&mut self, server: &quarantine::ServerInstance, now_ms: u64) {
-        if let Some(slot) = self.servers.find_life(&server.vm, server.life) {
-            self.servers.refused(slot, now_ms);
+        if let Some(slot) = self.servers.find_incarnation(&server.vm, server.incarnation) {
+            self.servers.record_refused(slot, now_ms);
         }
         // A server that leaves ends as planned.
         if !self.is_leaving(server) {
-            let broken = self.quarantine.runs.refused(server, now_ms);
+            let broken = self.quarantine.runs.record_refused(server, now_ms);
             self.record_server_crash(server, broken, now_ms);
         }
     }
 
     /// Records that a server accepts connections after a run broke off.
     pub fn connection_accepted(&mut self, server: &quarantine::ServerInstance) {
-        self.quarantine.runs.accepted(server);
+        self.quarantine.runs.record_accepted(server);
     }
 
     /// Records that a run of a request succeeded, so that the request does not crash servers.
     pub fn run_succeeded(&mut self, request: ids::Fingerprint, now_ms: u64) {
-        self.quarantine.runs.ended_well(request);
+        self.quarantine.runs.record_success(request);
         let change = self.quarantine.table.clear(request, now_ms);
         self.report_change(request, change, QuarantineSource::SuccessfulRun, now_ms);
     }
@@ -139,9 +139,11 @@
             return;
         }
         if let Some(server) = self.servers.get(server) {
-            let server =
-                quarantine::ServerInstance { vm: server.vm.vm.clone(), life: server.vm.life };
-            self.quarantine.runs.answered(&server, sent_ms);
+            let server = quarantine::ServerInstance {
+                vm: server.vm.vm.clone(),
+                incarnation: server.vm.incarnation,
+            };
+            self.quarantine.runs.record_answer(&server, sent_ms);
         }
     }
 
@@ -153,14 +155,14 @@
             .map(|(server, _)| server.clone())
             .collect();
         for server in ended {
-            let broken = self.quarantine.runs.crashed(&server, now_ms);
+            let broken = self.quarantine.runs.record_crash(&server, now_ms);
             self.record_server_crash(&server, broken, now_ms);
         }
     }
 
     /// Whether a server incarnation announced that it leaves.
     fn is_leaving(&self, server: &quarantine::ServerInstance) -> bool {
-        self.leaving_servers.contains(&server.vm, server.life)
+        self.leaving_servers.contains(&server.vm, server.incarnation)
     }
 
     fn has_ended(&self, server: &quarantine::ServerInstance, address: &str) -> bool {
@@ -168,7 +170,7 @@
             return false;
         }
         match self.vms.get(&server.vm) {
-            Some(vm) if vm.life > server.life => true,
+            Some(vm) if vm.incarnation > server.incarnation => true,
             Some(vm) if vm.state == servers::VmState::Leaving => false,
             Some(_) => {
                 let succeeds = |vm: &servers::Vm| vm.address == address && vm.vm != server.vm;
@@ -191,7 +193,7 @@
         self.counters.server_crashes += 1;
         self.actions.push(Action::Notice(Notice::ServerCrashed {
             vm: server.vm.clone(),
-            life: server.life,
+            incarnation: server.incarnation,
             requests,
         }));
         for (request, at_ms) in broken {
@@ -205,8 +207,8 @@
         server: &quarantine::ServerInstance,
         at_ms: u64,
     ) {
-        let digest = quarantine::Server::new(&server.vm, server.life);
-        let change = self.quarantine.table.crashed(request, digest, at_ms);
+        let digest = quarantine::Server::new(&server.vm, server.incarnation);
+        let change = self.quarantine.table.record_crash(request, digest, at_ms);
         if change == quarantine::Change::Quarantined {
             self.quarantine.record_sync.schedule_write();
         }
@@ -242,12 +244,12 @@
     }
 
     /// Merges the reports of a peer; returns whether its table differs from this router's.
-    pub(super) fn merge_quarantine(&mut self, news: &quarantine::Updates, now_ms: u64) -> bool {
-        for report in &news.reports {
+    pub(super) fn merge_quarantine(&mut self, updates: &quarantine::Updates, now_ms: u64) -> bool {
+        for report in &updates.reports {
             let change = self.quarantine.table.merge_report(report, now_ms);
             self.report_change(report.request, change, QuarantineSource::Peer, now_ms);
         }
-        news.summary != self.quarantine.table.summary()
+        updates.summary != self.quarantine.table.summary()
     }
 
     /// Pushes new reports to peers, removes expired ones, and starts the calls for the record in the store.
@@ -255,7 +257,7 @@
         if now_ms >= self.quarantine.last_expiry_ms + EXPIRY_INTERVAL_MS {
             self.quarantine.last_expiry_ms = now_ms;
             self.quarantine.table.expire(now_ms);
-            self.quarantine.runs.forget_old(now_ms);
+            self.quarantine.runs.remove_expired(now_ms);
         }
         let due = match self.quarantine.table.urgency() {
             None => false,
@@ -290,7 +292,7 @@
     }
 
     pub(super) fn handle_record_reply(&mut self, reply: store::Reply, now_ms: u64) {
-        let fault = match self.quarantine.record_sync.reply(reply, now_ms, &mut self.rng) {
+        let fault = match self.quarantine.record_sync.handle_reply(reply, now_ms, &mut self.rng) {
             quarantine::Reply::Nothing => return,
             quarantine::Reply::Undecodable => "the value is not encoded".to_owned(),
             quarantine::Reply::Value(value) => match quarantine::Record::decode(&value) {
--- a/core/src/node/types.rs
+++ b/core/src/node/types.rs
@@ -45,7 +45,7 @@
 pub enum Lifecycle {
     /// It has no configuration yet.
     Starting,
-    /// It accepts requests.
+    /// The router accepts requests.
     Ready,
     /// Another router wrote off its grants as those of a terminated router: it accepts no new requests and must be
     /// restarted.
@@ -160,7 +160,7 @@
     Suspended,
     /// All matching servers limit their request rate, and none of them has room for it in time.
     Limited,
-    /// All matching servers asked this router to send no requests for some time.
+    /// All matching servers requested a backoff, in which this router sends them no requests.
     Backoff,
 }
 
@@ -190,8 +190,8 @@
 }
 
 impl From<servers::Unavailable> for Reason {
-    fn from(lack: servers::Unavailable) -> Self {
-        match lack {
+    fn from(unavailable: servers::Unavailable) -> Self {
+        match unavailable {
             servers::Unavailable::Full => Self::Overloaded,
             servers::Unavailable::Limited => Self::Limited,
             servers::Unavailable::Backoff => Self::Backoff,
@@ -210,7 +210,7 @@
         /// VM of the server.
         vm: String,
         /// Incarnation of the server that the request is meant for.
-        life: ids::ServerLife,
+        incarnation: ids::ServerIncarnation,
         /// Identifies the attempt to the server.
         attempt: ids::AttemptId,
         /// Estimate of the prompt tokens that the server does not have in its cache.
@@ -271,9 +271,9 @@
     },
     /// Sends the decision about a request to its traffic thread.
     Answer {
-        /// Identifies the request.
+        /// The slot of the request in the table of requests.
         slot: ids::RequestSlot,
-        /// The decision.
+        /// What was decided: a dispatch, or a refusal with its reason.
         answer: Answer,
     },
     /// Reports that a new configuration is in force.
@@ -288,7 +288,7 @@
         /// VM of the server.
         vm: String,
         /// Current incarnation of the server.
-        life: ids::ServerLife,
+        incarnation: ids::ServerIncarnation,
     },
     /// Reports an event for the log.
     Notice(Notice),
--- a/core/src/quarantine/runs.rs
+++ b/core/src/quarantine/runs.rs
@@ -28,7 +28,7 @@
     /// VM of the server.
     pub vm: String,
     /// Incarnation of the server.
-    pub life: ids::ServerLife,
+    pub incarnation: ids::ServerIncarnation,
 }
 
 #[derive(Debug)]
@@ -43,8 +43,8 @@
 impl InstanceRuns {
     /// Whether the incarnation is known to have crashed. Incarnations without an identifier are
     /// distinguished by the times of their crashes.
-    fn crashed(&self, life: ids::ServerLife, now_ms: u64) -> bool {
-        let identified = life != ids::ServerLife::UNKNOWN;
+    fn crashed(&self, incarnation: ids::ServerIncarnation, now_ms: u64) -> bool {
+        let identified = incarnation != ids::ServerIncarnation::UNKNOWN;
         self.crashed_ms.is_some_and(|at_ms| identified || now_ms < at_ms + SAME_CRASH_WINDOW_MS)
     }
 }
@@ -87,7 +87,7 @@
         });
         runs.updated_ms = now_ms;
         self.revision += 1;
-        let crashed = runs.crashed(server.life, now_ms);
+        let crashed = runs.crashed(server.incarnation, now_ms);
         if !crashed && runs.interrupted.len() < RUNS_PER_INSTANCE_MAX {
             runs.interrupted.push(InterruptedRun {
                 request,
@@ -100,7 +100,7 @@
 
     /// Records that a server accepts connections: its runs were most likely not interrupted by a
     /// crash.
-    pub fn accepted(&mut self, server: &ServerInstance) {
+    pub fn record_accepted(&mut self, server: &ServerInstance) {
         let Some(runs) = self.instances.get_mut(server) else { return };
         for run in &mut runs.interrupted {
             run.kept_until_ms = run.kept_until_ms.min(run.at_ms + ACCEPTED_RUN_TTL_MS);
@@ -109,12 +109,12 @@
 
     /// Records that a server's address refuses connections; returns the requests that its crash
     /// interrupted, with the times of the interruptions.
-    pub fn refused(
+    pub fn record_refused(
         &mut self,
         server: &ServerInstance,
         now_ms: u64,
     ) -> Vec<(ids::Fingerprint, u64)> {
-        let interrupted = self.crashed(server, now_ms);
+        let interrupted = self.record_crash(server, now_ms);
         let recent =
             interrupted.into_iter().filter(|(_, at_ms)| now_ms < at_ms + REFUSAL_WINDOW_MS);
         recent.collect()
@@ -122,7 +122,7 @@
 
     /// Records that a server crashed; returns the requests that the crash may have interrupted,
     /// with the times of the interruptions.
-    pub fn crashed(
+    pub fn record_crash(
         &mut self,
         server: &ServerInstance,
         now_ms: u64,
@@ -135,7 +135,7 @@
 
     /// Records that a run of a request succeeded: the request did not cause the interruption of its
     /// earlier runs.
-    pub fn ended_well(&mut self, request: ids::Fingerprint) {
+    pub fn record_success(&mut self, request: ids::Fingerprint) {
         for runs in self.instances.values_mut() {
             runs.interrupted.retain(|run| run.request != request);
         }
@@ -154,7 +154,7 @@
 
     /// Records that a server completely answered a request that was sent at `sent_ms`: it did not
     /// crash before.
-    pub fn answered(&mut self, server: &ServerInstance, sent_ms: u64) {
+    pub fn record_answer(&mut self, server: &ServerInstance, sent_ms: u64) {
         if let Some(runs) = self.instances.get_mut(server) {
             runs.interrupted.retain(|run| run.at_ms >= sent_ms);
         }
@@ -172,7 +172,7 @@
     }
 
     /// Removes runs that are too old to be attributed to a crash.
-    pub fn forget_old(&mut self, now_ms: u64) {
+    pub fn remove_expired(&mut self, now_ms: u64) {
         for runs in self.instances.values_mut() {
             runs.interrupted.retain(|run| now_ms < run.kept_until_ms);
         }
--- a/core/src/servers.rs
+++ b/core/src/servers.rs
@@ -274,19 +274,19 @@
     }
 
     /// Records that a header of a server was unreadable; returns whether this is the first time.
-    pub fn note_unreadable(&mut self, slot: ids::ServerSlot, header: Header) -> bool {
+    pub fn record_unreadable(&mut self, slot: ids::ServerSlot, header: Header) -> bool {
         self.servers.get_mut(slot).is_some_and(|server| server.unreadable_headers.insert(header))
     }
 
     /// Counts a request on a server as ended.
-    pub fn ended(&mut self, slot: ids::ServerSlot) {
+    pub fn record_end(&mut self, slot: ids::ServerSlot) {
         if let Some(server) = self.servers.get_mut(slot) {
             server.in_flight = server.in_flight.saturating_sub(1);
         }
     }
 
     /// Records a load report of a server.
-    pub fn reported(&mut self, slot: ids::ServerSlot, load: Load) {
+    pub fn record_load(&mut self, slot: ids::ServerSlot, load: Load) {
         if let Some(server) = self.servers.get_mut(slot) {
             server.load = Some(load);
             server.total_load_milli =
--- a/core/src/servers/vm.rs
+++ b/core/src/servers/vm.rs
@@ -12,18 +12,19 @@
     pub service: String,
     /// Network address of the service.
     pub address: String,
-    /// Hardware class.
+    /// Hardware class of the VM.
     pub class: String,
     /// Failure domain of the VM.
     pub failure_domain: String,
-    /// Lifecycle state.
+    /// Lifecycle state of the VM.
     pub state: VmState,
     /// Number of requests that its server processes at once; 0 if unknown.
     #[serde(default)]
     pub slots: u64,
     /// Incarnation of its server.
     #[serde(default)]
-    pub life: ids::ServerLife,
+    #[serde(rename = "life")]
+    pub incarnation: ids::ServerIncarnation,
     /// Remaining time in which its server is cold, counted from the report, in milliseconds.
     #[serde(default)]
     pub cold_ms: u64,
@@ -40,7 +41,7 @@
     /// one is outdated then.
     pub fn unless_superseded(self, known: Option<&Self>) -> Self {
         match known {
-            Some(known) if known.life > self.life => known.clone(),
+            Some(known) if known.incarnation > self.incarnation => known.clone(),
             _ => self,
         }
     }
@@ -50,7 +51,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// Accepts new requests.
+    /// The server on it accepts new requests.
     Live,
     /// Is about to stop and receives no new requests.
     Leaving,
--- a/core/tests/cold_servers.rs
+++ b/core/tests/cold_servers.rs
@@ -24,7 +24,7 @@
         failure_domain: domain.to_owned(),
         state: servers::VmState::Live,
         slots: 24,
-        life: Default::default(),
+        incarnation: Default::default(),
         cold_ms,
     }
 }
@@ -71,7 +71,7 @@
         let mut running: Vec<(u64, usize, ids::ServerSlot)> = Vec::new();
         for now_ms in (from_ms..to_ms).step_by(TICK_MS as usize) {
             for (_, at, slot) in running.extract_if(.., |(end_ms, ..)| *end_ms <= now_ms) {
-                self.tables[at].ended(slot);
+                self.tables[at].record_end(slot);
             }
             for _ in 0..per_s * TICK_MS / 1_000 {
                 let at = self.rng.random_range(0..self.tables.len());
--- a/core/tests/crash_cost.rs
+++ b/core/tests/crash_cost.rs
@@ -94,11 +94,11 @@
         let mut world = fleet(seed);
         spend(&mut world, TOKENS_PER_S, 20_000);
         let holder = holder(&world, 0);
-        let life = world.routers[holder].incarnation;
+        let incarnation = world.routers[holder].incarnation;
         let before_tokens = world.ledger(0).written_off_tokens;
         crash(&mut world, &[holder]);
         assert!(
-            !world.ledger(0).grants.contains_key(&life),
+            !world.ledger(0).grants.contains_key(&incarnation),
             "seed {seed}: the grant was not closed"
         );
         let lost_tokens = world.ledger(0).written_off_tokens - before_tokens;
--- a/core/tests/crashing_request_schedules.rs
+++ b/core/tests/crashing_request_schedules.rs
@@ -32,13 +32,13 @@
 struct Run {
     kind: usize,
     router: usize,
-    life: u64,
+    incarnation: u64,
     ends_ms: u64,
 }
 
 struct Server {
     name: String,
-    life: ids::ServerLife,
+    incarnation: ids::ServerIncarnation,
     starts: u64,
     runs: Vec<Run>,
     /// When the server restarts, if it has crashed.
@@ -106,11 +106,11 @@
         for index in 0..SERVERS {
             let name = format!("vm-{index}");
             scenario.fleet.put_server(&name, servers::VmState::Live);
-            let life = ids::ServerLife(1);
+            let incarnation = ids::ServerIncarnation(1);
             let runs = Vec::new();
             let server = Server {
                 name,
-                life,
+                incarnation,
                 starts: 1,
                 runs,
                 down_until_ms: None,
@@ -162,7 +162,7 @@
         server.down_until_ms = None;
         server.starts += 1;
         if self.rng.random_bool(0.5) {
-            server.life.0 += 1;
+            server.incarnation.0 += 1;
             server.record_expires_ms = None;
             let name = server.name.clone();
             self.fleet.restart_server(&name, servers::VmState::Live);
@@ -171,7 +171,7 @@
                 self.fleet.remove_server(&server.name);
             }
             server.name = format!("vm-{index}-{}", server.starts);
-            server.life = ids::ServerLife(1);
+            server.incarnation = ids::ServerIncarnation(1);
             let name = server.name.clone();
             self.fleet.put_server(&name, servers::VmState::Live);
         }
@@ -197,11 +197,14 @@
         let server = &self.servers[index];
         let broken = node::BrokenRun {
             slot: ids::RequestSlot::default(),
-            server: quarantine::ServerInstance { vm: server.name.clone(), life: server.life },
+            server: quarantine::ServerInstance {
+                vm: server.name.clone(),
+                incarnation: server.incarnation,
+            },
             address: format!("10.9.1.{index}:{}", server.starts),
             request: self.kinds[run.kind].request,
         };
-        self.unprocessed.push((run.router, run.life, broken));
+        self.unprocessed.push((run.router, run.incarnation, broken));
     }
 
     fn finish_run(&mut self, index: usize, run: &Run) {
@@ -211,7 +214,7 @@
             return;
         }
         let router = &mut self.fleet.routers[run.router];
-        if router.alive && router.incarnation == run.life {
+        if router.alive && router.incarnation == run.incarnation {
             let now_ms = self.fleet.now_ms;
             self.successes_ms[run.kind].push(now_ms);
             router.node.run_succeeded(self.kinds[run.kind].request, now_ms);
@@ -222,19 +225,19 @@
     fn process_broken_runs(&mut self) {
         let now_ms = self.fleet.now_ms;
         let unprocessed = std::mem::take(&mut self.unprocessed);
-        for (router, life, broken) in unprocessed {
+        for (router, incarnation, broken) in unprocessed {
             let target = &mut self.fleet.routers[router];
-            if !target.alive || target.incarnation != life {
+            if !target.alive || target.incarnation != incarnation {
                 continue;
             }
             if target.frozen {
-                self.unprocessed.push((router, life, broken));
+                self.unprocessed.push((router, incarnation, broken));
                 continue;
             }
             target.node.run_broken(&broken, now_ms);
             let down = self.servers.iter().any(|server| {
                 server.name == broken.server.vm
-                    && server.life == broken.server.life
+                    && server.incarnation == broken.server.incarnation
                     && server.down_until_ms.is_some()
             });
             if down && self.rng.random_range(0..100) < self.refusals_percent {
@@ -269,7 +272,7 @@
         if router.node.quarantine_refusal(Some(request), now_ms).is_some() {
             return;
         }
-        let life = router.incarnation;
+        let incarnation = router.incarnation;
         let up: Vec<usize> = (0..self.servers.len())
             .filter(|server| self.servers[*server].down_until_ms.is_none())
             .collect();
@@ -278,7 +281,7 @@
             self.sends_ms[kind].push(now_ms);
         }
         let ends_ms = now_ms + runs_ms;
-        self.servers[server].runs.push(Run { kind, router: index, life, ends_ms });
+        self.servers[server].runs.push(Run { kind, router: index, incarnation, ends_ms });
     }
 
     fn check_harmless(&self) {
@@ -440,7 +443,7 @@
     let vm = format!("crashed-{number}");
     let broken = node::BrokenRun {
         slot: ids::RequestSlot::default(),
-        server: quarantine::ServerInstance { vm, life: ids::ServerLife(1) },
+        server: quarantine::ServerInstance { vm, incarnation: ids::ServerIncarnation(1) },
         address: format!("10.9.2.{number}:1"),
         request: fingerprint(0),
     };
--- a/core/tests/directive_schedules.rs
+++ b/core/tests/directive_schedules.rs
@@ -20,7 +20,7 @@
 const RECOVERY_MS: u64 = 3_000;
 const WINDOW_MS: u64 = 8_000;
 
-type ServerInstance = (String, ids::ServerLife);
+type ServerInstance = (String, ids::ServerIncarnation);
 
 /// How a simulated server answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,7 +39,7 @@
 
 struct Server {
     name: String,
-    life: ids::ServerLife,
+    incarnation: ids::ServerIncarnation,
     behaviour: Behaviour,
     limit_milli_per_s: Option<u64>,
     listed: bool,
@@ -50,7 +50,7 @@
     router: (usize, u64),
     slot: ids::RequestSlot,
     server: usize,
-    life: ids::ServerLife,
+    incarnation: ids::ServerIncarnation,
     sent_ms: u64,
     answer_ms: u64,
     behaviour: Behaviour,
@@ -91,7 +91,7 @@
         let mut traffic = Traffic::new(routers, seed, 0x5a1d);
         let server = |index: usize| Server {
             name: format!("vm-{index}"),
-            life: ids::ServerLife(1),
+            incarnation: ids::ServerIncarnation(1),
             behaviour: Behaviour::Serves,
             limit_milli_per_s: None,
             listed: true,
@@ -136,15 +136,15 @@
     }
 
     fn handle_answers(&mut self) {
-        for (index, life, slot, answer) in std::mem::take(&mut self.traffic.fleet.answers) {
-            let submitted_ms = self.waiting.get(&(index, life, slot)).copied();
+        for (index, incarnation, slot, answer) in std::mem::take(&mut self.traffic.fleet.answers) {
+            let submitted_ms = self.waiting.get(&(index, incarnation, slot)).copied();
             match answer {
-                node::Answer::Dispatch { vm, life: server_life, .. } => {
-                    self.check_send((index, life), &vm, server_life);
-                    self.record_dispatch((index, life), slot, &vm, server_life);
+                node::Answer::Dispatch { vm, incarnation: server_life, .. } => {
+                    self.check_send((index, incarnation), &vm, server_life);
+                    self.record_dispatch((index, incarnation), slot, &vm, server_life);
                 }
                 node::Answer::Refuse { reason, retry_after_ms } => {
-                    self.waiting.remove(&(index, life, slot));
+                    self.waiting.remove(&(index, incarnation, slot));
                     self.record_refusal(index, reason, retry_after_ms, submitted_ms);
                 }
                 node::Answer::Replay(_) | node::Answer::Closed { .. } => {}
@@ -153,10 +153,10 @@
     }
 
     /// Checks that this router received no directive against sending to the server.
-    fn check_send(&self, router: (usize, u64), vm: &str, life: ids::ServerLife) {
+    fn check_send(&self, router: (usize, u64), vm: &str, incarnation: ids::ServerIncarnation) {
         let (now_ms, seed) = (self.traffic.fleet.now_ms, self.seed);
         let Some(received) = self.received.get(&router) else { return };
-        let server = (vm.to_owned(), life);
+        let server = (vm.to_owned(), incarnation);
         let leaves = received.leaving.get(&server);
         assert!(
             leaves.is_none(),
@@ -175,7 +175,7 @@
         router: (usize, u64),
         slot: ids::RequestSlot,
         vm: &str,
-        life: ids::ServerLife,
+        incarnation: ids::ServerIncarnation,
     ) {
         let now_ms = self.traffic.fleet.now_ms;
         let index = self.servers.iter().position(|server| server.name == vm).unwrap();
@@ -184,7 +184,7 @@
         server.sends_ms.push(now_ms);
         let running = self.runs.iter().filter(|run| run.server == index).count();
         let behaviour = match server.behaviour {
-            _ if server.life != life => Behaviour::Serves,
+            _ if server.incarnation != incarnation => Behaviour::Serves,
             Behaviour::Sheds { slots, backoff_ms } if running >= slots => {
                 Behaviour::Rejects { backoff_ms }
             }
@@ -201,7 +201,15 @@
             _ => work_ms,
         };
         let (sent_ms, answer_ms) = (now_ms, now_ms + answer_time_ms);
-        self.runs.push(Run { router, slot, server: index, life, sent_ms, answer_ms, behaviour });
+        self.runs.push(Run {
+            router,
+            slot,
+            server: index,
+            incarnation,
+            sent_ms,
+            answer_ms,
+            behaviour,
+        });
     }
 
     fn record_refusal(
@@ -240,15 +248,15 @@
 
     fn finish_run(&mut self, run: &Run) {
         let now_ms = self.traffic.fleet.now_ms;
-        let (index, life) = run.router;
+        let (index, incarnation) = run.router;
         let router = &mut self.traffic.fleet.routers[index];
-        if !router.alive || router.incarnation != life {
+        if !router.alive || router.incarnation != incarnation {
             return;
         }
         let server = &self.servers[run.server];
-        let instance = (server.name.clone(), run.life);
+        let instance = (server.name.clone(), run.incarnation);
         let received = self.received.entry(run.router).or_default();
-        let limit = server.limit_milli_per_s.filter(|_| server.life == run.life);
+        let limit = server.limit_milli_per_s.filter(|_| server.incarnation == run.incarnation);
         let mut directives = servers::Directives {
             limit_milli_per_s: limit.map_or(servers::Directive::Absent, servers::Directive::Value),
             ..servers::Directives::default()
@@ -266,14 +274,14 @@
             }
         }
         let age = servers::AnswerAge { sent_ms: now_ms - run.sent_ms, received_ms: 0 };
-        router.node.report_directives(&server.name, run.life, &directives, age, now_ms);
+        router.node.report_directives(&server.name, run.incarnation, &directives, age, now_ms);
         if let Behaviour::Rejects { .. } = run.behaviour {
             router.node.retry(run.slot, node::AttemptFailure::Rejected, now_ms);
         } else {
             let outcome =
                 node::RequestOutcome::Ran { consumed_tokens: 0, outcome: None, healthy: true };
             router.node.finish(run.slot, outcome, now_ms);
-            if let Some(submitted_ms) = self.waiting.remove(&(index, life, run.slot)) {
+            if let Some(submitted_ms) = self.waiting.remove(&(index, incarnation, run.slot)) {
                 self.counts.served += 1;
                 self.counts.waited_ms += run.sent_ms - submitted_ms;
             }
@@ -307,7 +315,7 @@
     /// Restarts a server; its next incarnation serves.
     fn restart_server(&mut self, index: usize) {
         let server = &mut self.servers[index];
-        server.life.0 += 1;
+        server.incarnation.0 += 1;
         server.behaviour = Behaviour::Serves;
         server.listed = true;
         let name = server.name.clone();
@@ -351,7 +359,7 @@
             assert_eq!(table.backing_off().count(), 0, "seed {}: at router {index}", self.seed);
             for server in self.servers.iter().filter(|server| server.behaviour != Behaviour::Leaves)
             {
-                let slot = table.find_life(&server.name, server.life).unwrap();
+                let slot = table.find_incarnation(&server.name, server.incarnation).unwrap();
                 let live = table.get(slot).unwrap().is_live();
                 assert!(live, "seed {}: router {index} does not use {}", self.seed, server.name);
             }
@@ -366,15 +374,16 @@
 
     fn leaving(&self) -> Vec<ServerInstance> {
         let leaving = self.servers.iter().filter(|server| server.behaviour == Behaviour::Leaves);
-        leaving.map(|server| (server.name.clone(), server.life)).collect()
+        leaving.map(|server| (server.name.clone(), server.incarnation)).collect()
     }
 
     /// Whether a router has recorded all these servers as leaving, each from an answer.
     fn has_recorded_leaving(&self, node: &node::Node, leaving: &[ServerInstance]) -> bool {
-        let known = |(vm, life): &ServerInstance| {
+        let known = |(vm, incarnation): &ServerInstance| {
             let source = node.leaving_servers().iter().find(|(known, _)| known == vm);
             source.is_some_and(|(_, record)| {
-                record.life == *life && record.source == leaving_servers::Source::Answer
+                record.incarnation == *incarnation
+                    && record.source == leaving_servers::Source::Answer
             })
         };
         leaving.iter().all(known)
@@ -404,11 +413,11 @@
     }
     scenario.run_ms(SETTLE_MS + RECOVERY_MS);
     let leaving = scenario.leaving();
-    let received = |(vm, life): &&ServerInstance| {
+    let received = |(vm, incarnation): &&ServerInstance| {
         let mut received = scenario.received.iter();
         received.any(|(router, directives)| {
             let present = scenario.traffic.fleet.routers[router.0].incarnation == router.1;
-            present && directives.leaving.contains_key(&(vm.clone(), *life))
+            present && directives.leaving.contains_key(&(vm.clone(), *incarnation))
         })
     };
     let leaving: Vec<ServerInstance> = leaving.iter().filter(received).cloned().collect();
@@ -574,7 +583,7 @@
             let vm = format!("vm-{index}");
             let age = servers::AnswerAge::default();
             let node = &mut scenario.traffic.fleet.routers[0].node;
-            node.report_directives(&vm, ids::ServerLife(1), &directives, age, now_ms);
+            node.report_directives(&vm, ids::ServerIncarnation(1), &directives, age, now_ms);
         }
         scenario.traffic.fleet.run_until("all routers received it", FAULT_RECOVERY_MS, |fleet| {
             fleet
--- a/core/tests/limit_schedules.rs
+++ b/core/tests/limit_schedules.rs
@@ -27,7 +27,7 @@
 /// A simulated backend server and the limit that it states.
 struct Server {
     name: String,
-    life: ids::ServerLife,
+    incarnation: ids::ServerIncarnation,
     work_ms: std::ops::Range<u64>,
     limit_milli_per_s: Option<u64>,
     /// When an answer first stated the current limit.
@@ -40,10 +40,10 @@
 
 struct Run {
     router: usize,
-    life: u64,
+    incarnation: u64,
     slot: ids::RequestSlot,
     server: usize,
-    server_life: ids::ServerLife,
+    server_incarnation: ids::ServerIncarnation,
     sent_ms: u64,
     answer_ms: u64,
     /// The limit that the answer states, once it is made, and when the answer arrives.
@@ -76,7 +76,7 @@
         let work_ms = traffic.rng.random_range(10..200);
         let server = |index: usize| Server {
             name: format!("vm-{index}"),
-            life: ids::ServerLife(1),
+            incarnation: ids::ServerIncarnation(1),
             work_ms: work_ms / 2..work_ms * 4,
             limit_milli_per_s: None,
             limit_stated_ms: None,
@@ -130,14 +130,14 @@
     }
 
     fn handle_answers(&mut self) {
-        for (index, life, slot, answer) in std::mem::take(&mut self.traffic.fleet.answers) {
+        for (index, incarnation, slot, answer) in std::mem::take(&mut self.traffic.fleet.answers) {
             match answer {
-                node::Answer::Dispatch { vm, life: server_life, .. } => {
-                    self.waiting.remove(&(index, life, slot));
-                    self.record_dispatch(index, life, slot, &vm, server_life);
+                node::Answer::Dispatch { vm, incarnation: server_incarnation, .. } => {
+                    self.waiting.remove(&(index, incarnation, slot));
+                    self.record_dispatch(index, incarnation, slot, &vm, server_incarnation);
                 }
                 node::Answer::Refuse { reason, retry_after_ms } => {
-                    let submitted_ms = self.waiting.remove(&(index, life, slot)).unwrap();
+                    let submitted_ms = self.waiting.remove(&(index, incarnation, slot)).unwrap();
                     self.record_refusal(index, reason, retry_after_ms, submitted_ms);
                 }
                 node::Answer::Replay(_) | node::Answer::Closed { .. } => {}
@@ -148,22 +148,31 @@
     fn record_dispatch(
         &mut self,
         router: usize,
-        life: u64,
+        incarnation: u64,
         slot: ids::RequestSlot,
         vm: &str,
-        server_life: ids::ServerLife,
+        server_incarnation: ids::ServerIncarnation,
     ) {
         let now_ms = self.traffic.fleet.now_ms;
         let index = self.servers.iter().position(|server| server.name == vm).unwrap();
         let in_touch = self.traffic.fleet.must_meet_bounds(router);
         let server = &mut self.servers[index];
-        if server.life == server_life && in_touch {
+        if server.incarnation == server_incarnation && in_touch {
             server.sends_ms.push(now_ms);
         }
         server.all_sends_ms.push(now_ms);
         let answer_ms = now_ms + self.traffic.rng.random_range(server.work_ms.clone());
         let (server, sent_ms) = (index, now_ms);
-        let run = Run { router, life, slot, server, server_life, sent_ms, answer_ms, stated: None };
+        let run = Run {
+            router,
+            incarnation,
+            slot,
+            server,
+            server_incarnation,
+            sent_ms,
+            answer_ms,
+            stated: None,
+        };
         self.runs.push(run);
     }
 
@@ -196,7 +205,8 @@
                 continue;
             }
             let server = &mut self.servers[run.server];
-            let limit = server.limit_milli_per_s.filter(|_| server.life == run.server_life);
+            let limit =
+                server.limit_milli_per_s.filter(|_| server.incarnation == run.server_incarnation);
             if limit.is_some() {
                 server.limit_stated_ms.get_or_insert(now_ms);
             }
@@ -207,7 +217,7 @@
         let routers = &self.traffic.fleet.routers;
         let arrived = |run: &mut Run| {
             let router = &routers[run.router];
-            let reads = !router.frozen || router.incarnation != run.life;
+            let reads = !router.frozen || router.incarnation != run.incarnation;
             run.stated.is_some_and(|(_, at_ms)| now_ms >= at_ms) && reads
         };
         let ended: Vec<Run> = self.runs.extract_if(.., arrived).collect();
@@ -219,14 +229,14 @@
     fn finish_run(&mut self, run: &Run) {
         let now_ms = self.traffic.fleet.now_ms;
         let router = &mut self.traffic.fleet.routers[run.router];
-        if !router.alive || router.incarnation != run.life {
+        if !router.alive || router.incarnation != run.incarnation {
             return;
         }
         let Some((stated, _)) = run.stated else { return };
         self.counts.served += 1;
         let vm = &self.servers[run.server].name;
         let took_ms = now_ms - run.sent_ms;
-        router.node.report_limit(vm, run.server_life, stated, took_ms, now_ms);
+        router.node.report_limit(vm, run.server_incarnation, stated, took_ms, now_ms);
         let outcome =
             node::RequestOutcome::Ran { consumed_tokens: 0, outcome: None, healthy: true };
         router.node.finish(run.slot, outcome, now_ms);
@@ -278,7 +288,7 @@
             11 => {
                 let server = self.traffic.rng.random_range(0..self.servers.len());
                 let name = self.servers[server].name.clone();
-                self.servers[server].life.0 += 1;
+                self.servers[server].incarnation.0 += 1;
                 self.traffic.fleet.restart_server_with_slots(&name, servers::VmState::Live, 1_000);
                 let limit = self.servers[server].limit_milli_per_s.take();
                 self.set_limit(server, limit);
@@ -329,9 +339,11 @@
     scenario.run_ms(4 * WINDOW_MS);
     let reached = scenario.requests_by_server(since_ms);
     let even = reached.values().sum::<usize>() / reached.len();
+
     // A restarted server counts as slow until it has served for a while, with or without a limit.
-    let first_lives = scenario.servers.iter().filter(|server| server.life.0 == 1);
-    let least = first_lives.map(|server| reached[server.name.as_str()]).min().unwrap_or(even);
+    let first_incarnations = scenario.servers.iter().filter(|server| server.incarnation.0 == 1);
+    let least =
+        first_incarnations.map(|server| reached[server.name.as_str()]).min().unwrap_or(even);
     assert!(least * 3 >= even, "seed {seed}: {reached:?} long after all limits ended");
     let held_back = scenario
         .traffic
@@ -417,7 +429,7 @@
         let now_ms = scenario.traffic.fleet.now_ms;
         let stated = servers::Directive::Value(1_000);
         let node = &mut scenario.traffic.fleet.routers[0].node;
-        node.report_limit("vm-0", ids::ServerLife(1), stated, 10, now_ms);
+        node.report_limit("vm-0", ids::ServerIncarnation(1), stated, 10, now_ms);
         scenario.traffic.fleet.run_until(
             "all routers received the limit",
             FAULT_RECOVERY_MS,
@@ -540,14 +552,15 @@
     let id = |index: usize| fleet.routers[index].node.members().own().id;
     let known = servers::LimitUpdate {
         vm: "server-0".to_owned(),
-        life: ids::ServerLife(1),
+        incarnation: ids::ServerIncarnation(1),
         limit_milli_per_s: Some(100_000),
         answer: servers::AnswerId { router: id(requester), number: 1 },
         sent_age_ms: 100,
         received_age_ms: 50,
     };
     let wanted = servers::PermitsRequested { permits: 1, within_ms: 400, trial: false };
-    let message = message::Message::PermitRequest { number: 1, known, wanted };
+    let message =
+        message::Message::PermitRequest { number: 1, limit_update: known, requested: wanted };
     let envelope = message::Envelope { from: id(requester), to: id(index), message };
     let now_ms = fleet.now_ms;
     let node = &mut fleet.routers[index].node;
@@ -568,7 +581,7 @@
     let mut fleet = watch_fleet::up_to_date_fleet(7, BOUNDS, 12);
     let stated = servers::Directive::Value(1_100);
     let now_ms = fleet.now_ms;
-    fleet.routers[0].node.report_limit("server-0", ids::ServerLife(1), stated, 10, now_ms);
+    fleet.routers[0].node.report_limit("server-0", ids::ServerIncarnation(1), stated, 10, now_ms);
     fleet.run_ms(5_000);
     let granting =
         (0..7).filter(|index| grants_permit(&mut fleet, *index, (index + 1) % 7)).count();
@@ -592,16 +605,16 @@
 fn an_answer_made_before_a_limit_does_not_end_it() {
     let mut fleet = watch_fleet::up_to_date_fleet(3, BOUNDS, 9);
     let now_ms = fleet.now_ms;
-    let life = ids::ServerLife(1);
+    let incarnation = ids::ServerIncarnation(1);
     let node = &mut fleet.routers[0].node;
     let limited = |node: &node::Node| node.servers().limits().iter_limited().next().is_some();
-    node.report_limit("server-0", life, servers::Directive::Value(1_100), 20, now_ms);
+    node.report_limit("server-0", incarnation, servers::Directive::Value(1_100), 20, now_ms);
     assert!(limited(node));
-    node.report_limit("server-0", life, servers::Directive::Absent, 500, now_ms + 100);
+    node.report_limit("server-0", incarnation, servers::Directive::Absent, 500, now_ms + 100);
     assert!(limited(node));
-    node.report_limit("server-0", life, servers::Directive::Absent, 50, now_ms + 100);
+    node.report_limit("server-0", incarnation, servers::Directive::Absent, 50, now_ms + 100);
     assert!(!limited(node));
-    node.report_limit("server-0", life, servers::Directive::Value(1_100), 400, now_ms + 110);
+    node.report_limit("server-0", incarnation, servers::Directive::Value(1_100), 400, now_ms + 110);
     assert!(!limited(node), "an answer to an earlier request restored the limit");
 }
 
@@ -614,7 +627,7 @@
     };
     let stated = servers::Directive::Value(0);
     let now_ms = fleet.now_ms;
-    fleet.routers[0].node.report_limit("server-0", ids::ServerLife(1), stated, 5, now_ms);
+    fleet.routers[0].node.report_limit("server-0", ids::ServerIncarnation(1), stated, 5, now_ms);
     fleet.run_ms(5_000);
     assert!(
         fleet
@@ -624,7 +637,7 @@
     );
     fleet.run_until("the limit expires", 150_000, |fleet| !limited(fleet));
     let now_ms = fleet.now_ms;
-    fleet.routers[0].node.report_limit("server-1", ids::ServerLife(1), stated, 5, now_ms);
+    fleet.routers[0].node.report_limit("server-1", ids::ServerIncarnation(1), stated, 5, now_ms);
     fleet.run_ms(1_000);
     fleet.restart_server("server-1", servers::VmState::Live);
     fleet.run_until("the later incarnation is known", 5_000, |fleet| !limited(fleet));
@@ -653,7 +666,13 @@
     let now_ms = fleet.now_ms;
     for router in &mut fleet.routers {
         let age = servers::AnswerAge::default();
-        router.node.report_directives("server-0", ids::ServerLife(1), &directives, age, now_ms);
+        router.node.report_directives(
+            "server-0",
+            ids::ServerIncarnation(1),
+            &directives,
+            age,
+            now_ms,
+        );
     }
     fleet.run_ms(1_000);
     assert_eq!(granting(&mut fleet), 0);
@@ -681,7 +700,7 @@
         let age = servers::AnswerAge::default();
         node.report_directives(
             &format!("vm-{index}"),
-            ids::ServerLife(1),
+            ids::ServerIncarnation(1),
             &directives,
             age,
             now_ms,
@@ -696,7 +715,7 @@
         let actions = node.take_actions().into_iter();
         let requests = actions.filter_map(|action| match action {
             node::Action::Send { envelope, .. } => match envelope.message {
-                message::Message::PermitRequest { known, .. } => Some(known.vm),
+                message::Message::PermitRequest { limit_update, .. } => Some(limit_update.vm),
                 _ => None,
             },
             _ => None,
@@ -721,11 +740,11 @@
     let report_limit = |fleet: &mut Fleet, limit_milli_per_s| {
         let (node, now_ms) = (&mut fleet.routers[1].node, fleet.now_ms);
         let stated = servers::Directive::Value(limit_milli_per_s);
-        node.report_limit("server-0", ids::ServerLife(1), stated, 0, now_ms);
+        node.report_limit("server-0", ids::ServerIncarnation(1), stated, 0, now_ms);
     };
     let known_limit = |fleet: &Fleet, index: usize| {
         let servers = fleet.routers[index].node.servers();
-        let slot = servers.find_life("server-0", ids::ServerLife(1)).unwrap();
+        let slot = servers.find_incarnation("server-0", ids::ServerIncarnation(1)).unwrap();
         servers.limits().limited(slot).and_then(|known| known.report.limit_milli_per_s)
     };
     fleet.set_frozen(0, true);
--- a/core/tests/node.rs
+++ b/core/tests/node.rs
@@ -244,7 +244,7 @@
         member_updates: Vec::new(),
         leaving: vec![message::LeavingUpdate {
             vm: vm.to_owned(),
-            life: Default::default(),
+            incarnation: Default::default(),
             source: leaving_servers::Source::Record,
         }],
         quarantine: Default::default(),
@@ -303,7 +303,7 @@
     assert!(!world.requests[given].dispatched, "the claim is still being recorded");
     node.report_directives(
         &chosen.vm,
-        chosen.life,
+        chosen.incarnation,
         &directives,
         servers::AnswerAge::default(),
         world.now_ms,
@@ -374,7 +374,7 @@
         servers::Directives { backoff_ms: servers::Directive::Value(1_000), ..Default::default() };
     for (number, slot) in slots.into_iter().enumerate() {
         let age = servers::AnswerAge::default();
-        node.report_directives(&vm.vm, vm.life, &directives, age, now_ms + 50);
+        node.report_directives(&vm.vm, vm.incarnation, &directives, age, now_ms + 50);
         // Some answers do not state that the request did not run.
         let outcome = match number % 2 {
             0 => {
@@ -417,7 +417,13 @@
     let vm = node.servers().iter().next().unwrap().1.vm.clone();
     let directives =
         servers::Directives { backoff_ms: servers::Directive::Value(100), ..Default::default() };
-    node.report_directives(&vm.vm, vm.life, &directives, servers::AnswerAge::default(), now_ms);
+    node.report_directives(
+        &vm.vm,
+        vm.incarnation,
+        &directives,
+        servers::AnswerAge::default(),
+        now_ms,
+    );
     node.take_actions();
     for request in requests {
         node.admit(request, now_ms + 200);
--- a/core/tests/quarantine.rs
+++ b/core/tests/quarantine.rs
@@ -18,13 +18,13 @@
 }
 
 fn server(number: u64) -> Server {
-    Server::new(&format!("vm-{number}"), ids::ServerLife(1))
+    Server::new(&format!("vm-{number}"), ids::ServerIncarnation(1))
 }
 
 /// Records three crashes caused by a request, one second apart.
 fn quarantine(table: &mut Table, number: u64) {
     for crash in 0..3 {
-        table.crashed(request(number), server(crash), NOW_MS + crash * 1_000);
+        table.record_crash(request(number), server(crash), NOW_MS + crash * 1_000);
     }
 }
 
@@ -35,12 +35,12 @@
 #[test]
 fn three_crashes_of_different_incarnations_quarantine_a_request_and_two_do_not() {
     let mut table = Table::default();
-    assert_eq!(table.crashed(request(1), server(1), NOW_MS), Change::Suspected { crashes: 1 });
-    assert_eq!(table.crashed(request(1), server(1), NOW_MS + 2_000), Change::None);
-    let second = table.crashed(request(1), server(2), NOW_MS + 2_000);
+    assert_eq!(table.record_crash(request(1), server(1), NOW_MS), Change::Suspected { crashes: 1 });
+    assert_eq!(table.record_crash(request(1), server(1), NOW_MS + 2_000), Change::None);
+    let second = table.record_crash(request(1), server(2), NOW_MS + 2_000);
     assert_eq!(second, Change::Suspected { crashes: 2 });
     assert_eq!(table.quarantined_ms(&request(1), NOW_MS + 2_000), None);
-    assert_eq!(table.crashed(request(1), server(3), NOW_MS + 4_000), Change::Quarantined);
+    assert_eq!(table.record_crash(request(1), server(3), NOW_MS + 4_000), Change::Quarantined);
     let left_ms = table.quarantined_ms(&request(1), NOW_MS + 4_000);
     assert_eq!(left_ms, Some(quarantine::QUARANTINE_MS as u64));
     assert_eq!(table.quarantined_ms(&request(2), NOW_MS + 4_000), None);
@@ -48,16 +48,16 @@
 
 #[test]
 fn crashes_of_unknown_incarnations_are_distinguished_by_time() {
-    let vm = Server::new("vm", ids::ServerLife::UNKNOWN);
+    let vm = Server::new("vm", ids::ServerIncarnation::UNKNOWN);
     let mut table = Table::default();
-    table.crashed(request(1), vm, NOW_MS);
+    table.record_crash(request(1), vm, NOW_MS);
     assert_eq!(
-        table.crashed(request(1), vm, NOW_MS + 300),
+        table.record_crash(request(1), vm, NOW_MS + 300),
         Change::None,
         "the same crash, reported by another router"
     );
-    table.crashed(request(1), vm, NOW_MS + 3_000);
-    assert_eq!(table.crashed(request(1), vm, NOW_MS + 6_000), Change::Quarantined);
+    table.record_crash(request(1), vm, NOW_MS + 3_000);
+    assert_eq!(table.record_crash(request(1), vm, NOW_MS + 6_000), Change::Quarantined);
 }
 
 #[test]
@@ -67,7 +67,7 @@
     let over_ms = NOW_MS + 2_000 + quarantine::QUARANTINE_MS as u64;
     assert_eq!(table.quarantined_ms(&request(1), over_ms), None);
     table.expire(over_ms);
-    assert_eq!(table.crashed(request(1), server(9), over_ms), Change::Quarantined);
+    assert_eq!(table.record_crash(request(1), server(9), over_ms), Change::Quarantined);
 }
 
 #[test]
@@ -77,11 +77,11 @@
     assert_eq!(table.clear(request(1), NOW_MS + 5_000), Change::Cleared { crashes: 3 });
     assert_eq!(table.quarantined_ms(&request(1), NOW_MS + 5_000), None);
     assert_eq!(
-        table.crashed(request(1), server(7), NOW_MS + 4_000),
+        table.record_crash(request(1), server(7), NOW_MS + 4_000),
         Change::None,
         "a report of a crash from before the success"
     );
-    let after = table.crashed(request(1), server(8), NOW_MS + 6_000);
+    let after = table.record_crash(request(1), server(8), NOW_MS + 6_000);
     assert_eq!(after, Change::Suspected { crashes: 1 });
 }
 
@@ -95,7 +95,7 @@
     for crash in 0..rng.random_range(1..9) {
         let at_ms = NOW_MS + crash * 1_000;
         let table = tables.choose_mut_in(&mut rng);
-        table.crashed(request(1), server(crash), at_ms);
+        table.record_crash(request(1), server(crash), at_ms);
         if rng.random_range(0..6) == 0 {
             table.clear(request(1), at_ms + 500);
         }
@@ -145,7 +145,7 @@
     let mut table = Table::default();
     quarantine(&mut table, 1);
     for number in 0..20_000 {
-        table.crashed(request(100 + number), server(number), NOW_MS + 10 + number);
+        table.record_crash(request(100 + number), server(number), NOW_MS + 10 + number);
     }
     assert!(table.quarantined_ms(&request(1), NOW_MS + 30_000).is_some());
     assert!(table.suspected() <= 2_048, "{} entries", table.suspected());
@@ -176,7 +176,7 @@
     let mut table = Table::default();
     assert_eq!(table.next_updates(false, NOW_MS), quarantine::Updates::default());
     assert_eq!(table.urgency(), None);
-    table.crashed(request(1), server(1), NOW_MS);
+    table.record_crash(request(1), server(1), NOW_MS);
     while table.urgency().is_some() {
         assert_eq!(table.next_updates(false, NOW_MS).reports.len(), 1);
     }
@@ -204,7 +204,7 @@
 fn a_stored_quarantine_keeps_its_end_for_the_next_process() {
     let mut table = Table::default();
     quarantine(&mut table, 1);
-    table.crashed(request(2), server(1), NOW_MS);
+    table.record_crash(request(2), server(1), NOW_MS);
     let now_ms = NOW_MS + 10_000;
     let unix_ms = 1_796_000_000_000;
     let record = quarantine::Record::new(table.reports_of_quarantined(now_ms), unix_ms);
--- a/core/tests/server_incarnations.rs
+++ b/core/tests/server_incarnations.rs
@@ -9,7 +9,7 @@
 
 const NOW_MS: u64 = 1_000;
 
-fn vm(life: u64, state: servers::VmState) -> servers::Vm {
+fn vm(incarnation: u64, state: servers::VmState) -> servers::Vm {
     servers::Vm {
         vm: "one".to_owned(),
         service: "service".to_owned(),
@@ -18,13 +18,13 @@
         failure_domain: "a".to_owned(),
         state,
         slots: 4,
-        life: ids::ServerLife(life),
+        incarnation: ids::ServerIncarnation(incarnation),
         cold_ms: 0,
     }
 }
 
-fn live(life: u64) -> servers::Vm {
-    vm(life, servers::VmState::Live)
+fn live(incarnation: u64) -> servers::Vm {
+    vm(incarnation, servers::VmState::Live)
 }
 
 struct Fixture {
@@ -63,7 +63,7 @@
 #[test]
 fn leaving_does_not_outlast_a_restart() {
     let mut fixture = Fixture::new();
-    fixture.table.mark_leaving("one", ids::ServerLife(5));
+    fixture.table.mark_leaving("one", ids::ServerIncarnation(5));
     assert_eq!(fixture.choose(&[]).unwrap_err(), servers::Unavailable::None);
     fixture.restart();
     assert!(fixture.choose(&[]).is_ok());
@@ -73,9 +73,9 @@
 fn a_late_leaving_update_of_the_earlier_incarnation_is_ignored() {
     let mut fixture = Fixture::new();
     fixture.restart();
-    fixture.table.mark_leaving("one", ids::ServerLife(5));
+    fixture.table.mark_leaving("one", ids::ServerIncarnation(5));
     assert!(fixture.choose(&[]).is_ok());
-    fixture.table.mark_leaving("one", ids::ServerLife(6));
+    fixture.table.mark_leaving("one", ids::ServerIncarnation(6));
     assert_eq!(fixture.choose(&[]).unwrap_err(), servers::Unavailable::None);
 }
 
@@ -92,12 +92,12 @@
 fn an_ejection_does_not_outlast_a_restart() {
     let mut fixture = Fixture::new();
     let slot = fixture.table.find("one").unwrap();
-    let ejected = (0..5).filter_map(|_| fixture.table.failed(slot, NOW_MS)).count();
+    let ejected = (0..5).filter_map(|_| fixture.table.record_failure(slot, NOW_MS)).count();
     assert!(ejected > 0);
     fixture.restart();
     let slot = fixture.table.find("one").unwrap();
     assert_eq!(
-        fixture.table.failed(slot, NOW_MS),
+        fixture.table.record_failure(slot, NOW_MS),
         None,
         "failures of the earlier incarnation are counted"
     );
@@ -110,7 +110,7 @@
         fixture.choose(&[]).unwrap();
     }
     let slot = fixture.table.find("one").unwrap();
-    fixture.table.reported(slot, servers::Load { running: 4, queued: 9, slots: 4 });
+    fixture.table.record_load(slot, servers::Load { running: 4, queued: 9, slots: 4 });
     assert_eq!(fixture.choose(&[]).unwrap_err(), servers::Unavailable::Full);
     fixture.restart();
     assert_eq!((fixture.present().load, fixture.present().in_flight), (None, 0));
@@ -137,12 +137,16 @@
     fixture.restart();
     assert_eq!(
         fixture.table.take_restarted(),
-        [servers::Restarted { vm: "one".to_owned(), life: ids::ServerLife(6), open_requests: 1 }]
+        [servers::Restarted {
+            vm: "one".to_owned(),
+            incarnation: ids::ServerIncarnation(6),
+            open_requests: 1
+        }]
     );
     let later = fixture.choose(&[]).unwrap().slot;
-    fixture.table.reported(earlier, servers::Load { running: 9, queued: 9, slots: 1 });
-    fixture.table.failed(earlier, NOW_MS);
-    fixture.table.ended(earlier);
+    fixture.table.record_load(earlier, servers::Load { running: 9, queued: 9, slots: 1 });
+    fixture.table.record_failure(earlier, NOW_MS);
+    fixture.table.record_end(earlier);
     assert_eq!((fixture.present().in_flight, fixture.present().load), (1, None));
     fixture.table.apply_list(&[live(6)], NOW_MS);
     assert!(fixture.table.get(earlier).is_none(), "the earlier incarnation has no open request");
@@ -156,7 +160,7 @@
     fixture.restart();
     fixture.table.apply_list(&[live(6)], NOW_MS);
     assert!(fixture.table.get(earlier).is_some(), "the earlier incarnation has an open request");
-    fixture.table.ended(earlier);
+    fixture.table.record_end(earlier);
     fixture.table.apply_list(&[], NOW_MS);
     assert_eq!(fixture.table.iter().count(), 0);
 }
--- a/core/tests/server_shares.rs
+++ b/core/tests/server_shares.rs
@@ -32,7 +32,7 @@
 
 struct Server {
     name: String,
-    life: u64,
+    incarnation: u64,
     work_ms: u64,
     fails: bool,
     sends_ms: Vec<u64>,
@@ -42,7 +42,7 @@
     router: usize,
     slot: ids::ServerSlot,
     server: usize,
-    life: u64,
+    incarnation: u64,
     sent_ms: u64,
     fails: bool,
 }
@@ -64,7 +64,7 @@
     fn new(routers: usize, servers: usize, work_ms: u64, per_s: u64, seed: u64) -> Self {
         let server = |place: usize| Server {
             name: format!("vm-{place}"),
-            life: 1,
+            incarnation: 1,
             work_ms,
             fails: false,
             sends_ms: Vec::new(),
@@ -94,7 +94,7 @@
             failure_domain: "a".to_owned(),
             state: servers::VmState::Live,
             slots: 8,
-            life: ids::ServerLife(server.life),
+            incarnation: ids::ServerIncarnation(server.incarnation),
             cold_ms: 0,
         };
         let vms: Vec<servers::Vm> = self.servers.iter().map(vm).collect();
@@ -133,9 +133,9 @@
         server.sends_ms.push(self.now_ms);
         let fails = server.fails;
         let takes_ms = if fails { 1 } else { self.rng.random_range(1..2 * server.work_ms) };
-        let (life, sent_ms) = (server.life, self.now_ms);
+        let (incarnation, sent_ms) = (server.incarnation, self.now_ms);
         self.number += 1;
-        let run = Run { router, slot, server: place, life, sent_ms, fails };
+        let run = Run { router, slot, server: place, incarnation, sent_ms, fails };
         self.runs.insert((self.now_ms + takes_ms, self.number), run);
     }
 
@@ -146,14 +146,14 @@
             }
             let run = entry.remove();
             let table = &mut self.tables[run.router];
-            table.ended(run.slot);
-            if run.fails || self.servers[run.server].life != run.life {
-                table.failed(run.slot, self.now_ms);
+            table.record_end(run.slot);
+            if run.fails || self.servers[run.server].incarnation != run.incarnation {
+                table.record_failure(run.slot, self.now_ms);
                 continue;
             }
             let took_ms = self.now_ms - run.sent_ms;
             self.took_ms.push(took_ms);
-            table.succeeded(run.slot, took_ms, self.now_ms);
+            table.record_success(run.slot, took_ms, self.now_ms);
         }
     }
 
@@ -185,9 +185,11 @@
                 }
             }
             Fault::Crashes => {
-                self.servers[0].life += 1;
+                self.servers[0].incarnation += 1;
                 let tables = self.tables.iter_mut();
-                tables.for_each(|table| table.refused(table.find("vm-0").unwrap(), self.now_ms));
+                tables.for_each(|table| {
+                    table.record_refused(table.find("vm-0").unwrap(), self.now_ms)
+                });
             }
             Fault::Pause => self.per_s = 0,
         }
@@ -202,7 +204,7 @@
     fn reject_ten(&mut self, router: usize) {
         let slot = self.tables[router].find("vm-0").unwrap();
         for _ in 0..10 {
-            self.tables[router].rejected(slot, self.now_ms - 5, self.now_ms);
+            self.tables[router].record_rejection(slot, self.now_ms - 5, self.now_ms);
         }
     }
 }
--- a/core/tests/servers.rs
+++ b/core/tests/servers.rs
@@ -21,7 +21,7 @@
         failure_domain: "a".to_owned(),
         state,
         slots: 0,
-        life: Default::default(),
+        incarnation: Default::default(),
         cold_ms: 0,
     }
 }
@@ -65,7 +65,7 @@
     for _ in 0..8 {
         let slot = fixture.choose_for(&["old".to_owned()], None, &[]).unwrap();
         assert_eq!(fixture.name(slot), "two");
-        fixture.table.ended(slot);
+        fixture.table.record_end(slot);
     }
     let none = fixture.choose_for(&["other".to_owned()], None, &[]);
     assert_eq!(none, Err(servers::Unavailable::None));
@@ -74,7 +74,7 @@
 #[test]
 fn a_leaving_server_receives_no_requests_although_an_older_list_has_it_live() {
     let mut fixture = Fixture::two();
-    fixture.table.mark_leaving("one", ids::ServerLife::UNKNOWN);
+    fixture.table.mark_leaving("one", ids::ServerIncarnation::UNKNOWN);
     let live = servers::VmState::Live;
     fixture.table.apply_list(&[vm("one", "new", live), vm("two", "old", live)], 0);
     for _ in 0..8 {
@@ -98,7 +98,7 @@
     let mut fixture = Fixture::two();
     let bad = fixture.choose().unwrap();
     for _ in 0..3 {
-        fixture.table.failed(bad, fixture.now_ms);
+        fixture.table.record_failure(bad, fixture.now_ms);
     }
     for _ in 0..5 {
         assert_ne!(fixture.choose().unwrap(), bad);
@@ -106,7 +106,7 @@
     fixture.now_ms += 60_000;
     let probes = (0..12).filter(|_| fixture.choose() == Ok(bad)).count();
     assert_eq!(probes, 1);
-    fixture.table.succeeded(bad, 10, 0);
+    fixture.table.record_success(bad, 10, 0);
     let chosen = (0..4).filter(|_| fixture.choose() == Ok(bad)).count();
     assert!(chosen > 0);
 }
@@ -124,14 +124,14 @@
 fn a_prefix_returns_to_its_server_unless_that_one_is_much_busier() {
     let mut fixture = Fixture::two();
     let first = fixture.choose_for(&[], Some(9), &[]).unwrap();
-    fixture.table.ended(first);
+    fixture.table.record_end(first);
     for _ in 0..6 {
         let slot = fixture.choose_for(&[], Some(9), &[]).unwrap();
         assert_eq!(slot, first);
-        fixture.table.ended(slot);
+        fixture.table.record_end(slot);
     }
     for _ in 0..40 {
-        fixture.table.reported(first, servers::Load { running: 7, queued: 0, slots: 8 });
+        fixture.table.record_load(first, servers::Load { running: 7, queued: 0, slots: 8 });
     }
     assert_ne!(fixture.choose_for(&[], Some(9), &[]).unwrap(), first);
 }
@@ -182,8 +182,8 @@
         assert_eq!(one.name(first), other.name(second));
         one.table.has_read(first, u64::MAX);
         other.table.has_read(second, u64::MAX);
-        one.table.ended(first);
-        other.table.ended(second);
+        one.table.record_end(first);
+        other.table.record_end(second);
     }
 }
 
@@ -198,8 +198,8 @@
         assert!(server == "d" || server == less.name(after));
         whole.table.has_read(before, u64::MAX);
         less.table.has_read(after, u64::MAX);
-        whole.table.ended(before);
-        less.table.ended(after);
+        whole.table.record_end(before);
+        less.table.record_end(after);
     }
 }
 
@@ -229,11 +229,11 @@
     for _ in 0..3 {
         for _ in 0..2 {
             let slot = fixture.choose().unwrap();
-            fixture.table.ended(slot);
+            fixture.table.record_end(slot);
         }
         let slots: Vec<ids::ServerSlot> = fixture.table.iter().map(|(slot, _)| slot).collect();
         for slot in slots {
-            fixture.table.failed(slot, fixture.now_ms);
+            fixture.table.record_failure(slot, fixture.now_ms);
         }
     }
     assert!(fixture.choose().is_ok(), "both servers failed recently, and there is no other");
@@ -256,7 +256,7 @@
     let live = servers::VmState::Live;
     let mut fixture = Fixture::new(&[vm("one", "new", live)]);
     fixture.choose().unwrap();
-    fixture.table.mark_leaving("one", ids::ServerLife::UNKNOWN);
+    fixture.table.mark_leaving("one", ids::ServerIncarnation::UNKNOWN);
     fixture.table.apply_list(&[], 0);
     fixture.table.apply_list(&[vm("one", "new", live)], 0);
     assert_eq!(fixture.choose(), Err(servers::Unavailable::None));
@@ -278,7 +278,7 @@
         (0..6).filter(|_| fixture.choose_for(&[], None, &not) == Ok(one)).count()
     };
     assert_eq!(sent(&mut fixture), 1);
-    fixture.table.answered(one, fixture.now_ms);
+    fixture.table.record_answer(one, fixture.now_ms);
     assert_eq!(sent(&mut fixture), 2, "an answer allows two requests");
     fixture.now_ms += 1_000;
     assert_eq!(sent(&mut fixture), 1, "one more trial is allowed without an answer");
@@ -304,7 +304,7 @@
     let mut fixture = Fixture::two();
     let one = fixture.table.find("one").unwrap();
     fixture.table.back_off(one, fixture.now_ms + 1_000, fixture.now_ms, &mut fixture.rng);
-    (0..20).for_each(|_| fixture.table.answered(one, fixture.now_ms));
+    (0..20).for_each(|_| fixture.table.record_answer(one, fixture.now_ms));
     fixture.now_ms += 2_000;
     fixture.table.end_backoffs(fixture.now_ms);
     assert_eq!(fixture.table.backing_off().count(), 1);
--- a/core/tests/shared_retries.rs
+++ b/core/tests/shared_retries.rs
@@ -52,8 +52,8 @@
             fleet.routers[index].node.admit(admission_request(requests as u64, now_ms), now_ms);
             fleet.perform_actions(index);
         }
-        for (index, life, slot, answer) in std::mem::take(&mut fleet.answers) {
-            let is_retry = !sent.insert((index, life, slot));
+        for (index, incarnation, slot, answer) in std::mem::take(&mut fleet.answers) {
+            let is_retry = !sent.insert((index, incarnation, slot));
             match answer {
                 node::Answer::Dispatch { .. } if is_retry => {
                     retries += 1;
--- a/core/tests/watch_fleet/checks.rs
+++ b/core/tests/watch_fleet/checks.rs
@@ -35,8 +35,9 @@
         for (name, (revision, vm)) in &self.servers {
             if vm.state == servers::VmState::Leaving && self.includes(position, *revision) {
                 let live = node.servers().iter().any(|(_, server)| {
-                    let of_life = server.vm.vm == *name && server.vm.life == vm.life;
-                    of_life && server.vm.state == servers::VmState::Live
+                    let of_incarnation =
+                        server.vm.vm == *name && server.vm.incarnation == vm.incarnation;
+                    of_incarnation && server.vm.state == servers::VmState::Live
                 });
                 assert!(
                     !live,
@@ -53,11 +54,10 @@
         let included =
             |(_, entry): &(&String, &(u64, servers::Vm))| self.includes(position, entry.0);
         for (name, (revision, vm)) in self.servers.iter().filter(included) {
-            let earlier = node
-                .servers()
-                .iter()
-                .filter(|(_, server)| !server.is_superseded())
-                .any(|(_, server)| server.vm.vm == *name && server.vm.life < vm.life);
+            let earlier =
+                node.servers().iter().filter(|(_, server)| !server.is_superseded()).any(
+                    |(_, server)| server.vm.vm == *name && server.vm.incarnation < vm.incarnation,
+                );
             assert!(
                 !earlier,
                 "entry-{place} uses an earlier incarnation of {name} after revision {revision}"
@@ -67,9 +67,10 @@
 
     /// Checks that a request is not dispatched to an earlier incarnation of a server than the router has in its table.
     pub(super) fn check_answer(&self, place: usize, answer: &node::Answer) {
-        let node::Answer::Dispatch { vm, life, .. } = answer else { return };
+        let node::Answer::Dispatch { vm, incarnation, .. } = answer else { return };
         let mut servers = self.routers[place].node.servers().iter();
-        let later = servers.any(|(_, server)| server.vm.vm == *vm && server.vm.life > *life);
+        let later =
+            servers.any(|(_, server)| server.vm.vm == *vm && server.vm.incarnation > *incarnation);
         assert!(!later, "entry-{place} dispatches a request to an earlier incarnation of {vm}");
     }
 
--- a/core/tests/watch_fleet/mod.rs
+++ b/core/tests/watch_fleet/mod.rs
@@ -119,8 +119,9 @@
     pub values: BTreeMap<String, (u64, Vec<u8>)>,
     /// Number of calls that read or write these values.
     pub value_calls: u64,
+
     /// The latest incarnation of each server, also of removed ones.
-    latest_lives: BTreeMap<String, ids::ServerLife>,
+    latest_lives: BTreeMap<String, ids::ServerIncarnation>,
     /// Servers whose records are unreadable.
     unreadable: BTreeSet<String>,
     /// The evacuated failure domains, followed by every change of this set with its time.
@@ -324,7 +325,7 @@
     /// Whether a router has the current configuration, servers and evacuations.
     pub fn is_up_to_date(&self, node: &node::Node) -> bool {
         let identity =
-            |vm: &servers::Vm| (vm.vm.clone(), vm.life, vm.state == servers::VmState::Live);
+            |vm: &servers::Vm| (vm.vm.clone(), vm.incarnation, vm.state == servers::VmState::Live);
         let listed: BTreeSet<_> =
             node.servers().iter().map(|(_, server)| identity(&server.vm)).collect();
         let expected: BTreeSet<_> = self.servers.values().map(|(_, vm)| identity(vm)).collect();
--- a/core/tests/watch_fleet/store.rs
+++ b/core/tests/watch_fleet/store.rs
@@ -20,7 +20,7 @@
             failure_domain: "a".to_owned(),
             state,
             slots,
-            life: self.latest_lives.get(name).copied().unwrap_or(ids::ServerLife(1)),
+            incarnation: self.latest_lives.get(name).copied().unwrap_or(ids::ServerIncarnation(1)),
             cold_ms: 0,
         };
         self.revision += 1;
@@ -48,7 +48,7 @@
 
     /// Like `restart_server`, with the number of requests that the server runs at once.
     pub fn restart_server_with_slots(&mut self, name: &str, state: servers::VmState, slots: u64) {
-        self.latest_lives.entry(name.to_owned()).or_insert(ids::ServerLife(1)).0 += 1;
+        self.latest_lives.entry(name.to_owned()).or_insert(ids::ServerIncarnation(1)).0 += 1;
         self.put_server_with_slots(name, state, slots);
     }
 
--- a/core/tests/world/checks.rs
+++ b/core/tests/world/checks.rs
@@ -40,6 +40,7 @@
             *served.entry(request.key).or_default() += request.actual_tokens;
             let state = log.find(request.key);
             let settled = matches!(state, Some(log_index::IdState::Settled { .. }));
+
             // An end that was not durably recorded is lost only if its router was killed.
             let lost = !safe && self.routers[request.at].incarnation != request.incarnation;
             assert!(settled || lost, "request {} ended and was not billed", request.key);
--- a/core/tests/world/faults.rs
+++ b/core/tests/world/faults.rs
@@ -78,6 +78,7 @@
         if request.is_write() && self.chance(self.faults.late_writes_percent) {
             self.reply_unknown(from, incarnation, call);
             let late_ms = STORE_TIMEOUT_MS + self.rng.random_range(0..3_000);
+
             // The node ignores the reply to this call, as it has already received `Unknown` for it.
             self.schedule(late_ms, Event::StoreCall { from, incarnation, call, request });
             return;
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -46,8 +46,8 @@
         sent: Instant,
     ) {
         let values = |name| headers.get_all(name).map(HeaderValue::as_bytes);
-        let said = answers::directives(status.as_u16(), values);
-        report_head(&self.control, &self.published, placement, said, sent);
+        let directives = answers::directives(status.as_u16(), values);
+        report_head(&self.control, &self.published, placement, directives, sent);
     }
 
     /// Reports that the connection to a server ended while the server ran the request, and probes whether the server
@@ -81,7 +81,7 @@
     /// The VM on which the server runs.
     pub vm: String,
     /// The server incarnation for which the request is meant.
-    pub life: ids::ServerLife,
+    pub incarnation: ids::ServerIncarnation,
     /// The id of this attempt.
     pub attempt: ids::AttemptId,
     /// The number of prompt tokens that the server is estimated not to have in its cache.
@@ -91,7 +91,7 @@
 impl Placement {
     /// The server's VM and incarnation.
     pub fn server(&self) -> quarantine::ServerInstance {
-        quarantine::ServerInstance { vm: self.vm.clone(), life: self.life }
+        quarantine::ServerInstance { vm: self.vm.clone(), incarnation: self.incarnation }
     }
 }
 
@@ -111,26 +111,27 @@
     control: &Addr<control::Control>,
     published: &snapshot::Published,
     placement: &Placement,
-    said: servers::Directives,
+    directives: servers::Directives,
     sent: Instant,
 ) {
     // While limits are in force, an answer without directives matters too.
-    if said.is_empty() && !published.any_limits() {
+    if directives.is_empty() && !published.any_limits() {
         return;
     }
-    let (vm, life, heard) = (placement.vm.clone(), placement.life, Instant::now());
+    let (vm, incarnation, received_at) =
+        (placement.vm.clone(), placement.incarnation, Instant::now());
     control.do_send(control::DirectivesReported {
         vm,
-        life,
-        directives: said,
+        incarnation,
+        directives,
         sent_at: sent,
-        received_at: heard,
+        received_at,
     });
 }
 
 /// Submits a request for admission and waits for the decision.
-pub async fn admit(control: &Addr<control::Control>, wanted: node::AdmissionRequest) -> Admission {
-    let Ok((slot, reply)) = control.send(control::Admit { request: wanted }).await else {
+pub async fn admit(control: &Addr<control::Control>, request: node::AdmissionRequest) -> Admission {
+    let Ok((slot, reply)) = control.send(control::Admit { request }).await else {
         return Admission::Refused(api_error::ApiError::closing());
     };
     admission(slot, control::await_answer(Ok(reply)).await)
@@ -140,9 +141,9 @@
 pub async fn retry(
     control: &Addr<control::Control>,
     slot: ids::RequestSlot,
-    tried: node::AttemptFailure,
+    failure: node::AttemptFailure,
 ) -> Admission {
-    let reply = control.send(control::Retry { slot, failure: tried }).await;
+    let reply = control.send(control::Retry { slot, failure }).await;
     admission(slot, control::await_answer(reply).await)
 }
 
@@ -150,9 +151,9 @@
 pub async fn finish(
     control: &Addr<control::Control>,
     slot: ids::RequestSlot,
-    ending: node::RequestOutcome,
+    outcome: node::RequestOutcome,
 ) {
-    let reply = control.send(control::Finish { slot, outcome: ending }).await;
+    let reply = control.send(control::Finish { slot, outcome }).await;
     control::await_answer(reply).await;
 }
 
@@ -183,8 +184,8 @@
 
 fn admission(slot: ids::RequestSlot, answer: Option<node::Answer>) -> Admission {
     match answer {
-        Some(node::Answer::Dispatch { address, vm, life, attempt, unread_tokens }) => {
-            Admission::Placed(Placement { slot, address, vm, life, attempt, unread_tokens })
+        Some(node::Answer::Dispatch { address, vm, incarnation, attempt, unread_tokens }) => {
+            Admission::Placed(Placement { slot, address, vm, incarnation, attempt, unread_tokens })
         }
         Some(node::Answer::Replay(outcome)) => Admission::Replay(outcome),
         Some(node::Answer::Refuse { reason, retry_after_ms }) => {
