--- a/core/src/evacuation.rs
+++ b/core/src/evacuation.rs
@@ -5,7 +5,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections;
 
-/// The evacuated failure domains in a router's copy.
+/// One router's copy of the list of failure domains that an operator has evacuated, with its position in the store's
+/// history. The backend servers in these failure domains receive no new requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuations {
     /// Position in the store's history to which the copy corresponds.
@@ -14,7 +15,8 @@
     pub domains: collections::BTreeSet<String>,
 }
 
-/// Start or end of the evacuation of a failure domain.
+/// The start or end of the evacuation of one failure domain, as read from the store. It is applied to a router's copy
+/// of the [`Evacuations`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
     /// Position of the change in the store's history.
@@ -25,7 +27,8 @@
     pub evacuated: bool,
 }
 
-/// Evacuations in an answer of the store.
+/// What one answer of the store contains about evacuated failure domains: either the changes since the router's last
+/// answer or the full list. It is applied to the router's copy of the [`Evacuations`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Update {
     /// Changes since the requested revision.
--- a/core/src/ids.rs
+++ b/core/src/ids.rs
@@ -3,7 +3,8 @@
 use serde::{Deserialize, Serialize};
 use std::{fmt, str};
 
-/// One run of a router process from start to end: drawn at random at every start and never reused.
+/// One run of a router process from start to end, as a number drawn at random at every start and never reused. It
+/// identifies the router in messages, in the ledger and in the log, so that a restarted router counts as another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
@@ -27,7 +28,9 @@
     pub const UNKNOWN: Self = Self(0);
 }
 
-/// A digest of the workspace and the caller's request id, so that equal ids of two workspaces have different keys.
+/// Identifies one request of a caller in the log of claims and settlements: a digest of the workspace and the caller's
+/// request id, so that equal ids of two workspaces have different keys. A repeated request has the same key, by which
+/// it is recognized.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestKey {
     /// The first eight bytes of the digest.
@@ -49,8 +52,9 @@
     }
 }
 
-/// Identifies requests with different ids that have the same caller and content. It reveals neither, because it
-/// consists of digests that cannot be inverted.
+/// Identifies all requests that have the same caller and content, even if their request ids differ. It is used to
+/// recognize requests that crash backend servers, and reveals neither caller nor content, because it consists of
+/// digests that cannot be inverted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint {
     /// The digest of everything except the body, which is available without reading the body.
@@ -59,7 +63,7 @@
     pub whole: [u8; 16],
 }
 
-/// The error of a text that is not a fingerprint.
+/// The error that parsing a [`Fingerprint`] returns if the text does not consist of 48 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, snafu::Snafu)]
 #[snafu(display("a fingerprint is 48 hexadecimal digits"))]
 pub struct FingerprintError;
@@ -87,20 +91,25 @@
     }
 }
 
-/// One attempt to run a request; a retry by the caller or by a router is another attempt.
+/// Identifies one attempt to run a request on backend servers; a retry by the caller or by a router is another attempt.
+/// Claims and settlements in the log name the attempt that they belong to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct AttemptId(pub u64);
 
-/// Identifies one call to the platform's store, so that its reply is passed to the caller.
+/// Identifies one call of a router to the platform's store, so that the store's reply is passed to the part of the
+/// router that made the call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
 slotmap::new_key_type! {
-    /// A request in the table of requests in flight.
+    /// The key of one entry in a router's table of requests in flight. It identifies the request between the control
+    /// state ([`crate::node::Node`]) and the thread that serves the caller, and is invalid after the request has ended.
     pub struct RequestSlot;
-    /// A budget in the table of grants.
+    /// The key of one entry in a router's table of budgets ([`crate::grants::Table`]). It identifies the budget that a
+    /// request is charged to, and is valid within one router process only.
     pub struct BudgetSlot;
-    /// A backend server in the table of servers.
+    /// The key of one entry in a router's table of backend servers ([`crate::servers::Table`]). It identifies the
+    /// server that a request is sent to, and is valid within one router process only.
     pub struct ServerSlot;
 }
--- a/core/src/log_index.rs
+++ b/core/src/log_index.rs
@@ -39,7 +39,8 @@
     format!("doorswitch/checkpoint/{shard}")
 }
 
-/// The error of a value or key of the log that cannot be decoded.
+/// The error of decoding what the store contains of the log of claims and settlements: a segment's value is invalid, or
+/// a key does not end in a segment number.
 #[derive(Debug, snafu::Snafu)]
 #[allow(missing_docs)]
 pub enum Error {
@@ -49,7 +50,8 @@
     BadKey { key: String },
 }
 
-/// A segment of the log, stored as one write-once value.
+/// A batch of successive entries of one shard of the log of claims and settlements, stored as one value that is written
+/// once and never changed. The segments of a shard in the order of their numbers are its log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Segment {
     /// The router that wrote the segment.
@@ -106,7 +108,9 @@
     }
 }
 
-/// The state of the ids in a shard, from the segments applied so far.
+/// The state of all recent requests in one shard of the log of claims and settlements, built by applying the shard's
+/// segments in order. It decides whether a claim is granted and whether a settlement is billed, and contains the billed
+/// totals.
 #[derive(Clone, Debug, Default)]
 pub struct Index {
     ids: collections::HashMap<ids::RequestKey, (IdState, u64)>,
@@ -119,7 +123,8 @@
     clock_s: u64,
 }
 
-/// A stored index of all segments below `upto`.
+/// The [`Index`] of one shard of the log of claims and settlements in its stored form, including all segments with
+/// numbers below `upto`. A router that starts reads it instead of these segments, which can then be deleted.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Checkpoint {
     /// The number of the first segment that is not included.
--- a/core/src/log_index/entries.rs
+++ b/core/src/log_index/entries.rs
@@ -3,7 +3,8 @@
 use crate::ids;
 use serde::{Deserialize, Serialize};
 
-/// An entry of the log.
+/// An entry of the stored log by which routers agree on requests: a claim to run a request that must run at most once,
+/// the release of a claim, or the outcome and cost of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
     /// Claims the right to run an unrepeatable request.
@@ -39,7 +40,8 @@
     }
 }
 
-/// An attempt's claim to run an unrepeatable request.
+/// The record by which one attempt reserves the right to run a request that must run at most once. The first claim of a
+/// request in the log is granted; other attempts are refused unless it is released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// The request to run.
@@ -50,7 +52,8 @@
     pub body_hash: u64,
 }
 
-/// The outcome and cost of a request.
+/// The record of a request that ended: its cost in tokens, the budget that is charged and, for a request that must run
+/// at most once, its answer. The log bills the first settlement of each request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settlement {
     /// The request that ended.
@@ -76,7 +79,8 @@
     pub outcome: Option<Outcome>,
 }
 
-/// The recorded answer to an unrepeatable request.
+/// The answer to a request that must run at most once, as it is recorded in the log. A caller that repeats the request
+/// receives this answer, and the request doesn't run again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcome {
     /// The HTTP status code.
@@ -87,7 +91,8 @@
     pub body: Option<String>,
 }
 
-/// The state of an id.
+/// What the log contains about one request: that an attempt has claimed it and may be running it, or that it has ended.
+/// It is used to decide on claims of repeated requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum IdState {
     /// An attempt has claimed the id and may be running the request.
@@ -101,7 +106,8 @@
     },
 }
 
-/// The tokens and requests billed to a budget in one region.
+/// The tokens and the number of requests that were billed to one budget in one region, summed over the log's
+/// settlements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Totals {
     /// The tokens billed, once for each id.
@@ -119,7 +125,8 @@
     }
 }
 
-/// The log's decision on a claim.
+/// The log's decision on a [`Claim`]: whether the attempt may run the request, or why not (another attempt has claimed
+/// it, it has already run, or its id was used for another request).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimVerdict {
     /// Only this attempt may run the request.
--- a/core/src/log_writer.rs
+++ b/core/src/log_writer.rs
@@ -21,7 +21,8 @@
 /// How long an entry that no caller waits for may be delayed, so that more entries are written together.
 const BATCH_DELAY_MS: u64 = 1_000;
 
-/// The recipient of the report that an entry is durable.
+/// Who is notified once an entry of the log is durable, that is, stored in a segment: a request that this router
+/// serves, another router, or this router's [`crate::outbox::Outbox`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Waiter {
     /// A request that this router serves.
@@ -32,7 +33,8 @@
     Outbox,
 }
 
-/// How soon an entry is to be written.
+/// Whether an entry of the log is written to the store at once, because a caller waits for it, or may be delayed and
+/// written together with others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Urgency {
     /// A caller waits for it.
@@ -41,7 +43,8 @@
     Batched,
 }
 
-/// An entry that became durable, or a claim that the log already decides.
+/// The report that an entry handed to the [`Writer`] is durable, or that the log already decides the claim in it. For a
+/// claim it contains whether the request may run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Completed {
     /// The entry that was to be appended.
@@ -83,7 +86,8 @@
     Verified,
 }
 
-/// The writer of one shard of the log.
+/// One router's writer of one shard of the log of claims and settlements: it appends entries to the shard in the store
+/// and reports when they are durable.
 ///
 /// Old segments are deleted once a checkpoint contains their entries. A writer that was suspended could create a
 /// deleted segment number again. Segments that were read or created are therefore not relied on until a later read of
--- a/core/src/outbox.rs
+++ b/core/src/outbox.rs
@@ -13,7 +13,9 @@
 /// How long a router may take to acknowledge a settlement before it is also sent to the next one.
 pub const SETTLEMENT_TIMEOUT_MS: u64 = 150;
 
-/// A settlement that is not in the log yet.
+/// The outcome and cost of a request that this router served ([`log_index::Settlement`]) and that is not in the stored
+/// log yet. It contains what is needed to hand it over to another router or to the log, again if there is no
+/// confirmation.
 #[derive(Clone, Debug)]
 pub struct PendingSettlement {
     /// The settlement to append.
@@ -38,7 +40,8 @@
     }
 }
 
-/// A transfer of tokens from this router's account that the receiver has not acknowledged.
+/// Tokens of a budget that this router has given to another router and whose receipt that router has not acknowledged.
+/// It is sent again until it is acknowledged or too old.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingTransfer {
     /// The router incarnation that receives the tokens.
@@ -77,7 +80,8 @@
     applied: collections::BTreeMap<u64, bool>,
 }
 
-/// What this router has already done with a received transfer.
+/// Whether a transfer of tokens that arrives from another router is new, was applied or was declined before, so that a
+/// transfer that arrives more than once is applied at most once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransferStatus {
     /// The transfer has not been received before.
@@ -88,7 +92,9 @@
     Declined,
 }
 
-/// The settlements and transfers that wait for an acknowledgment, and the transfers received.
+/// What one router must send until it is acknowledged: the settlements of its requests that are not in the log yet, and
+/// the tokens that it transfers to other routers. It also records which transfers arrived from other routers, so that
+/// each is applied at most once.
 #[derive(Debug, Default)]
 pub struct Outbox {
     /// The settlements that are not in the log yet, by attempt.
--- a/core/src/request.rs
+++ b/core/src/request.rs
@@ -7,15 +7,19 @@
 use crate::ids;
 use std::marker;
 
-/// The state in which the request has not been sent.
+/// The state of a [`Reservation`] whose request has not been sent to a backend server, so that the reservation may be
+/// released. It is used only as a type parameter and has no values.
 #[derive(Debug)]
 pub enum Held {}
 
-/// The state in which the request may have been sent to a backend server.
+/// The state of a [`Reservation`] whose request may have been sent to a backend server, so that the reservation can
+/// only be settled. It is used only as a type parameter and has no values.
 #[derive(Debug)]
 pub enum Sent {}
 
-/// Tokens reserved for one request.
+/// The tokens of a budget that a router sets aside for one request, as many as the request can cost at most, so that
+/// other requests cannot spend them. `State` is [`Held`] before the request is sent to a backend server and [`Sent`]
+/// afterwards.
 #[derive(Debug)]
 #[must_use = "a reservation is released or settled"]
 pub struct Reservation<State> {
@@ -24,7 +28,8 @@
     state: marker::PhantomData<State>,
 }
 
-/// The budget and amount of a reservation that was released or settled.
+/// The budget and the number of tokens of a [`Reservation`] that has ended, because its request was not sent or its
+/// cost is final. The table of budgets uses it to make the tokens available again or to charge them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ended {
     /// The budget from which the tokens were reserved.
--- a/core/src/routes.rs
+++ b/core/src/routes.rs
@@ -3,7 +3,8 @@
 use crate::rendezvous;
 use serde::{Deserialize, Serialize};
 
-/// A route from a host and a path prefix to services.
+/// A rule of the configuration by which requests with one host and path prefix are sent to the backend servers of one
+/// or more services, with the time limits, the priority and the retries that apply to them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
@@ -31,7 +32,8 @@
     pub resumable: bool,
 }
 
-/// How requests of a route may be repeated.
+/// Whether a request of a [`Route`] may run more than once after a failure, must run at most once, or is answered by a
+/// stream of events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteKind {
@@ -43,7 +45,7 @@
     Stream,
 }
 
-/// A service with its share of a route.
+/// One of the services to which a [`Route`] sends requests, with the service's share of them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
--- a/core/src/store.rs
+++ b/core/src/store.rs
@@ -3,7 +3,8 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A position in the store's history.
+/// A point in the history of the platform's key-value store, used to order the values and changes that routers read
+/// from it.
 ///
 /// A store that is restored from a backup returns to a lower revision and assigns the later ones again. Each restore
 /// starts a new era, so positions are ordered by era first.
@@ -33,7 +34,8 @@
     }
 }
 
-/// A call to the store. Every call counts against the platform's rate limits.
+/// One call of a router to the platform's key-value store: a read, a conditional write or a deletion. Every call counts
+/// against the platform's rate limits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Request {
     /// Reads the value of one key.
@@ -90,7 +92,8 @@
     }
 }
 
-/// The reply to a call, or that there was none.
+/// The result of a [`Request`] to the platform's key-value store: what was read, whether the write took effect, or that
+/// no reply arrived and the effect is not known.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// The key exists, and its value was read.
