--- a/core/src/config.rs
+++ b/core/src/config.rs
@@ -23,7 +23,8 @@
 /// The largest headroom of a budget, in seconds.
 const COVER_MAX_S: u64 = 7 * 24 * 3600;
 
-/// A published configuration as it is stored.
+/// One version of the configuration of all routers, as it is stored in the platform's store: the operator's
+/// [`Document`] with its version number and the ids of the latest publishes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Published {
     /// The version, incremented with every publish.
@@ -52,7 +53,8 @@
     }
 }
 
-/// The configuration document that an operator writes.
+/// The configuration document that an operator writes and publishes to all routers. It lists the workspaces with their
+/// budgets, the services, the policies, the routes and the evacuated failure domains.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
@@ -76,7 +78,9 @@
     pub evacuated: Vec<String>,
 }
 
-/// The number of shards of the ledger and the log, and the length of the log's epochs.
+/// How the stored data are divided: the number of values (shards) among which the budgets of the ledger are divided,
+/// the number of logs (shards) among which the request ids are divided, and the number of log segments that are deleted
+/// together. It is fixed by the first publish.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Layout {
@@ -99,7 +103,8 @@
     }
 }
 
-/// A customer with its keys and prepaid budgets.
+/// A customer of the deployment, as the operator configures it: the keys with which its callers authenticate, and its
+/// prepaid token budgets, from which their requests are paid.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
@@ -114,7 +119,8 @@
     pub priority: u8,
 }
 
-/// A bearer key, stored as a digest.
+/// A bearer key with which callers of a [`Workspace`] authenticate. Only its name and its digest are stored, so that
+/// the key cannot be read from the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Key {
@@ -124,7 +130,8 @@
     pub sha256: String,
 }
 
-/// A prepaid token budget.
+/// The operator's settings of a prepaid token budget of a [`Workspace`]: the tokens paid in, how many tokens each
+/// router takes from it in advance, and how many routers do so. The amounts spent are in [`crate::ledger::Budget`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
@@ -161,7 +168,8 @@
     }
 }
 
-/// How far ahead a router draws tokens. More headroom lasts through a longer outage or network partition, and loses
+/// The settings of one budget by which a router decides how many tokens it takes from the ledger in advance, to spend
+/// them without a call to the store. More such headroom lasts through a longer outage or network partition, and loses
 /// more tokens when a router fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Cover {
@@ -194,7 +202,8 @@
     2_000
 }
 
-/// A kind of backend server that callers reach by one name.
+/// A group of interchangeable backend servers that callers reach by one name, as the operator configures it: the
+/// protocol, the policy, and the limits on queues, answers and connections.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
@@ -260,7 +269,8 @@
     120_000
 }
 
-/// The protocol and metering of a service.
+/// Whether a [`Service`] consists of model servers, whose answers are charged by their tokens, or of plain HTTP
+/// servers, where each call costs a fixed number of tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
@@ -270,7 +280,7 @@
     Plain,
 }
 
-/// A pattern that matches calls of a plain service.
+/// A pattern of an HTTP method and a path prefix. It selects the calls of a plain service that must run at most once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Call {
@@ -280,7 +290,8 @@
     pub path_prefix: String,
 }
 
-/// A policy, which decides on the requests of services.
+/// A named program in the configuration that decides for each request to a [`Service`] whether it is allowed, and if
+/// so, from which budget it is paid, with which priority, and on which classes of VM it may run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Policy {
@@ -290,7 +301,8 @@
     pub program: String,
 }
 
-/// An error in a document, with its place.
+/// An error that was found in a configuration [`Document`], with the path of the invalid field. It is reported to the
+/// operator, and the document is not published.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
     /// The path of the invalid field, with its names joined by dots.
@@ -299,7 +311,8 @@
     pub fault: Fault,
 }
 
-/// The kind of error in a document.
+/// What is wrong with a field of a configuration [`Document`], such as an invalid name, a number out of its range or a
+/// reference to an undeclared name; [`Problem`] adds the path of the field.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// A name is empty, too long or contains other characters than letters, digits, `-`, `_` and `.`.
--- a/core/src/config/callers.rs
+++ b/core/src/config/callers.rs
@@ -2,7 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The limits on the size and duration of what callers of routes send.
+/// The operator's limits on the connections of callers to the routers, for requests by a [`crate::routes::Route`]: the
+/// largest head and body of a request, and the longest time to receive a head or to be idle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerLimits {
--- a/core/src/evacuation.rs
+++ b/core/src/evacuation.rs
@@ -27,8 +27,8 @@
     pub evacuated: bool,
 }
 
-/// What one answer of the store contains about evacuated failure domains: either the changes since the router's last
-/// answer or the full list. It is applied to the router's copy of the [`Evacuations`].
+/// What one answer of the store contains about evacuated failure domains: either the changes since the position that
+/// the router requested or the full list. It is applied to the router's copy of the [`Evacuations`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Update {
     /// Changes since the requested revision.
--- a/core/src/members.rs
+++ b/core/src/members.rs
@@ -32,7 +32,8 @@
 /// How often a changed record is sent.
 const RECORD_TRANSMISSIONS: u32 = 6;
 
-/// A router's record, as it is gossiped to other routers.
+/// What routers pass on to each other about one router process: its identity, address, VM and failure domain, and
+/// whether it is assumed to be alive.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// The router's incarnation.
@@ -49,7 +50,8 @@
     pub health: Health,
 }
 
-/// The assumed state of a member.
+/// Whether a router is assumed to be alive, is suspected because it did not answer probes, is considered dead, or was
+/// stopped on purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Health {
     /// The member answers probes.
@@ -71,14 +73,15 @@
     sends_left: u32,
 }
 
-/// A probe to send.
+/// The address of another router to which a probe is to be sent now, to find out whether that router is alive.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Probe {
     /// The peer address to probe.
     pub address: String,
 }
 
-/// The membership table of one router.
+/// All other routers that one router has received records of, with their assumed state. It selects which router is
+/// probed next and which records are passed on.
 #[derive(Debug)]
 pub struct Table {
     own: Record,
--- a/core/src/message.rs
+++ b/core/src/message.rs
@@ -10,7 +10,8 @@
 /// The version of these types and of their transport encoding. It changes with every change of either.
 pub const PROTOCOL: u16 = 12;
 
-/// A message with its sender and the router incarnation that it is addressed to.
+/// A [`Message`] from one router to another, with the router incarnations that sent it and that it is addressed to. An
+/// incarnation is one run of a router process; a later one at the same address ignores the message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
     /// The sender's incarnation.
@@ -21,7 +22,9 @@
     pub message: Message,
 }
 
-/// A message to one router. It may be lost, duplicated or delayed; the core handles all three.
+/// What one router requests from, replies to or reports to another: claims and settlements of requests, transfers of
+/// tokens, copies of the configuration and of the list of VMs, and permits to send requests to a server that limits its
+/// request rate. A message may be lost, duplicated or delayed; the core handles all three.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// Requests a claim through the receiver, the router responsible for the claim's shard of the log.
@@ -202,7 +205,9 @@
     }
 }
 
-/// How much a router has recovered of the part of a ledger shard that was known at its address before a restore.
+/// A router's reply, after the store was restored from a backup, on what it has recovered of the ledger data that
+/// existed at its address before: nothing, the data of its present process, or also those of earlier processes at the
+/// address. Another router uses it to decide whether tokens withheld because of the restore can be released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Recovered {
     /// Its own part is not recovered yet.
@@ -213,7 +218,9 @@
     All,
 }
 
-/// A datagram with updates that one router sends to another.
+/// A datagram from one router to another that may probe whether the receiver is alive, and passes on recent changes of
+/// the routers, the configuration, the list of VMs, the leaving servers, the requests that crash servers and the
+/// request limits of servers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gossip {
     /// The sender's own record.
@@ -233,7 +240,7 @@
     pub limits: Vec<servers::LimitUpdate>,
 }
 
-/// The role of a datagram in a probe.
+/// Whether a [`Gossip`] datagram is a probe that requests a reply, the reply to a probe, or contains updates only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GossipKind {
     /// A probe that requests a reply.
@@ -244,7 +251,8 @@
     Push,
 }
 
-/// The position and age of a router's copy of a part of the store.
+/// The position in the store's history and the age of a router's copy of the configuration or of the list of VMs. The
+/// receiver of this state compares it with its own copy, to decide whether its copy is current.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CopyState {
     /// The position in the store's history; [`store::Position::START`] if there is no copy.
@@ -254,7 +262,9 @@
     pub age_ms: Option<u64>,
 }
 
-/// A summary of a router's copies of the store's contents.
+/// A summary of what one router has read from the store: the versions, positions and ages of its copies, and the latest
+/// changes of server records. Each [`Gossip`] datagram contains the sender's summary, so that the receiver applies the
+/// changes or requests what it lacks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
     /// The store's era as known to the sender.
@@ -275,7 +285,8 @@
     pub routers: u64,
 }
 
-/// The content of a datagram.
+/// The content of one datagram from a router to another: either [`Gossip`], or a [`Message`] that is sent again until
+/// it is answered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Datagram {
     /// Updates, possibly with a probe.
@@ -284,7 +295,8 @@
     Message(Envelope),
 }
 
-/// An update on a VM whose backend server is leaving.
+/// The report that one incarnation of a backend server is leaving: it is going to end as planned and gets no new
+/// requests. Routers pass it on to each other.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeavingUpdate {
     /// The name of the VM.
--- a/core/src/node.rs
+++ b/core/src/node.rs
@@ -111,7 +111,9 @@
     direct_draw_until_ms: u64,
 }
 
-/// A router's control state.
+/// The control state of one router process, with all its decisions: which requests are admitted and to which backend
+/// servers they are sent, how many tokens the router takes from budgets, and what it exchanges with the store and with
+/// other routers. It receives events as method calls and returns the effects as [`Action`]s.
 #[derive(Debug)]
 pub struct Node {
     settings: Settings,
--- a/core/src/node/counters.rs
+++ b/core/src/node/counters.rs
@@ -3,7 +3,9 @@
 use super::Reason;
 use serde::Serialize;
 
-/// The purpose of a call to the store.
+/// What a call of a router to the platform's store is for: following the configuration or the list of servers,
+/// recording the router's address, or reading or writing the ledger, the log or the quarantine record. Calls are
+/// counted by it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 #[allow(missing_docs)]
@@ -39,7 +41,8 @@
     }
 }
 
-/// The outcome of a call to the store.
+/// What became of a call of a router to the platform's store, such as an update, no change, a conflict or no answer.
+/// Calls are counted by it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallOutcome {
@@ -83,7 +86,8 @@
     }
 }
 
-/// Event counts since the start of the process.
+/// Counts of what happened at one router since its process started: requests, tokens, calls to the store and messages.
+/// They are exported as metrics.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 #[allow(missing_docs)]
 pub struct Counters {
--- a/core/src/node/notices.rs
+++ b/core/src/node/notices.rs
@@ -2,7 +2,7 @@
 
 use crate::{ids, leaving_servers, ledger, ledger_writer, servers, store, watch};
 
-/// Source from which a router received its configuration.
+/// Whether a router read a version of the configuration from the platform's store or received it from another router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigSource {
     /// It was read from the platform's store.
@@ -11,7 +11,9 @@
     Peer(ids::Incarnation),
 }
 
-/// Source from which a router received that a request crashes servers, or that it no longer does.
+/// How a router received the information that a request crashes backend servers, or that it no longer does: its own
+/// observation of a crash or of a successful run, another router, the platform's store or an operator. It is written to
+/// the log lines on quarantined requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineSource {
     /// It detected the crash itself.
@@ -39,7 +41,8 @@
     }
 }
 
-/// Source from which a router received the rate limit of a server.
+/// Why a router changed its record of the requests per second that a backend server accepts from all routers together:
+/// an answer of the server to this or to another router, or because no answer confirmed the limit for too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitSource {
     /// An answer of the server to this router.
@@ -50,7 +53,8 @@
     Expired,
 }
 
-/// An event for the log.
+/// An event at one router that operators are to see in its log lines, such as a crashed backend server, a quarantined
+/// request or the recovery after a restore of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
     /// The grants of a terminated holder were closed.
--- a/core/src/node/quarantine.rs
+++ b/core/src/node/quarantine.rs
@@ -12,7 +12,8 @@
 /// Interval at which expired reports and runs are removed.
 const EXPIRY_INTERVAL_MS: u64 = 1_000;
 
-/// A run of a request whose answer broke off before its end.
+/// A request that was running on a backend server when the server's answer broke off before its end. If the server
+/// turns out to have crashed, the crash counts against the request, which is quarantined after several crashes.
 #[derive(Clone, Debug)]
 pub struct BrokenRun {
     /// The request, as long as this router has it.
--- a/core/src/node/types.rs
+++ b/core/src/node/types.rs
@@ -7,7 +7,8 @@
 /// The service name under which the platform lists the routers' own VMs.
 pub const ROUTER_SERVICE: &str = "doorswitch";
 
-/// Settings of a node, fixed when it is created.
+/// The settings of one router's [`super::Node`], fixed when it is created: the router's identity and location, the
+/// addresses of other routers, the rate limits of the platform's store, and the longest waits of a request.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Identifies this run of the process.
@@ -39,7 +40,8 @@
     pub handover_wait_ms: u64,
 }
 
-/// State of a router between its start and its end.
+/// Whether a router process is starting, accepts requests, is stopping or has stopped, or must be restarted because
+/// another router closed its share of the budgets in the belief that it had terminated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Lifecycle {
@@ -56,7 +58,9 @@
     Stopped,
 }
 
-/// A request for admission, sent by a traffic thread after it has authenticated the caller and evaluated the policy.
+/// A caller's request, described for the [`super::Node`] that decides whether to admit it and to which backend server
+/// it is sent: its id, budget, service, maximum cost, priority and deadline. A traffic thread sends it after it has
+/// authenticated the caller and evaluated the policy.
 #[derive(Clone, Debug)]
 pub struct AdmissionRequest {
     /// The request id, unique within the fleet: the caller's id together with the workspace.
@@ -90,7 +94,9 @@
     pub deadline_ms: u64,
 }
 
-/// How a dispatched request ended, as reported by the traffic thread.
+/// How a request ended that was sent to a backend server, as reported by the traffic thread that sent it: it did not
+/// run, it ran and used tokens, the caller disconnected, or it is not known whether it ran. It decides how many tokens
+/// are charged.
 #[derive(Clone, Debug)]
 pub enum RequestOutcome {
     /// Nothing was sent, or the server reported that it did not start the request.
@@ -113,7 +119,9 @@
     Unknown,
 }
 
-/// How an attempt at a server that returned no answer failed.
+/// Whether a backend server that returned no answer to a request received nothing of it, reported that it did not run
+/// it, or may have run it. It decides whether the failure counts as an attempt of the request, as a retry of the
+/// service, and as a fault of the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptFailure {
     /// No byte of the request was sent.
@@ -124,7 +132,8 @@
     MayHaveRun,
 }
 
-/// Why a request was refused.
+/// Why a router refused a request, for instance because its budget is exhausted or no backend server is available.
+/// Refusals are reported to the caller and counted by it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
@@ -200,7 +209,9 @@
     }
 }
 
-/// A node's decision about one request.
+/// What a [`super::Node`] decided about one request, sent to the traffic thread that serves the caller: to send the
+/// request to a backend server, to refuse it, to return the answer recorded earlier, or to send the last part of the
+/// answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// Send the request to this server now.
@@ -233,7 +244,8 @@
     },
 }
 
-/// An operation that the node requests from the shell.
+/// An effect that a [`super::Node`] requests from the process around it, because it does no input or output itself: a
+/// call to the store, a message to another router, an answer to a traffic thread, or a log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Calls the store; exactly one reply must follow, `Unknown` if none arrived in time.
--- a/core/src/watch.rs
+++ b/core/src/watch.rs
@@ -50,7 +50,8 @@
 /// The longest delay before a retry.
 const RETRY_DELAY_MAX_MS: u64 = 1_000;
 
-/// A part of the store that routers follow.
+/// One of the two parts of the platform's store of which every router keeps a copy: what operators publish (the
+/// configuration and the evacuations), or the list of backend servers. Each is polled separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Topic {
@@ -75,7 +76,8 @@
     pub const ALL: [Self; 2] = [Self::Configuration, Self::Servers];
 }
 
-/// The time within which a change must be in force at every router that reaches the store or a peer, in milliseconds.
+/// For each [`Topic`], the longest time from a change in the store until it is in force at every router that reaches
+/// the store or another router, in milliseconds. It decides how often routers poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// The bound for the configuration.
@@ -84,7 +86,8 @@
     pub servers_ms: u64,
 }
 
-/// A router's role in following the store.
+/// How a router currently receives changes of the platform's store: it has just started, it polls the store for itself
+/// or on behalf of all routers, or it receives the changes from other routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
@@ -110,7 +113,8 @@
     }
 }
 
-/// A long poll of the store that is due.
+/// One request to the platform's store for the changes of a [`Topic`], which the store answers when there is a change
+/// or after a maximum wait. The process around the node sends it and reports its [`Outcome`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Poll {
     /// Distinguishes the poll from the other polls of this topic.
@@ -123,7 +127,8 @@
     pub wait_ms: u64,
 }
 
-/// One topic as one router follows it: the position and age of its copy, and the polls in flight.
+/// One [`Topic`] of the platform's store as one router follows it: the position and age of the router's copy, and the
+/// polls in flight. It decides when the next poll is sent.
 #[derive(Debug)]
 pub struct Subscription {
     topic: Topic,
--- a/core/src/watch/polls.rs
+++ b/core/src/watch/polls.rs
@@ -2,7 +2,8 @@
 
 use crate::store;
 
-/// What shows that a poll will probably not be answered.
+/// How a router found out that the store will probably not answer one of its polls: a later poll of this router
+/// returned an update that this poll should have returned, or another router reported such an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Evidence {
     /// The answer to a later poll of this router contained an update that this poll should have returned.
@@ -21,7 +22,8 @@
     }
 }
 
-/// A poll that was abandoned.
+/// A poll of the platform's store whose answer this router no longer waits for, with the reason. It is reported so that
+/// it can be logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AbandonedPoll {
     /// The number of the poll.
@@ -32,7 +34,8 @@
     pub evidence: Evidence,
 }
 
-/// A poll in flight, as it is logged.
+/// A poll of the platform's store that has been sent and not answered, with its age and its longest wait, as it is
+/// written to a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenPoll {
     /// The number of the poll.
@@ -43,7 +46,8 @@
     pub sent_ms_ago: u64,
 }
 
-/// The state of the fleet on which the decision to poll depends.
+/// What a router takes into account of the other routers to decide whether it polls the platform's store itself: the
+/// number of live routers, its rank among them, and whether it receives nothing from any of them.
 #[derive(Clone, Copy, Debug)]
 pub struct Fleet {
     /// The number of live routers, including this one.
@@ -54,7 +58,8 @@
     pub alone: bool,
 }
 
-/// A poll in flight.
+/// A poll of the platform's store that was sent and not answered, with what was requested. It is used to decide whether
+/// an answer still applies to this router's copy.
 #[derive(Clone, Copy, Debug)]
 pub struct PollInFlight {
     /// The number of the poll.
--- a/core/src/watch/updates.rs
+++ b/core/src/watch/updates.rs
@@ -4,7 +4,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections;
 
-/// A change of one server's record.
+/// One change in the platform's list of backend servers: the VM, the new record and the position of the change in the
+/// store's history. Routers apply it to their copies of the list and pass it on to other routers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerChange {
     /// The VM that runs the server.
@@ -26,7 +27,8 @@
     }
 }
 
-/// A server's record after a change.
+/// What the platform's list of backend servers contains about a server after a change: that it is listed, was removed,
+/// has a record that cannot be decoded, or disappeared while the store was unavailable.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerRecord {
     /// The server is listed.
@@ -39,7 +41,8 @@
     Lapsed,
 }
 
-/// The full list of server records.
+/// The full list of backend servers, as a poll of the platform's store returned it or another router sent it. It
+/// replaces a router's copy of the list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AllServers {
     /// The records that could be decoded.
@@ -50,7 +53,8 @@
     pub revisions: collections::HashMap<String, u64>,
 }
 
-/// The part of the configuration topic that a poll returned.
+/// What a poll of the platform's store returned of the operators' publications: a new version of the configuration, if
+/// there is one, and the changed evacuations of failure domains.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConfigurationUpdate {
     /// The configuration, if it can be decoded and has changed or the full state was requested.
@@ -60,7 +64,8 @@
     pub evacuations: evacuation::Update,
 }
 
-/// The update in the answer to a poll.
+/// The content of the platform's store that one poll returned: changes of the configuration and the evacuations,
+/// changes of server records, or the full list of server records. It may contain no change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
     /// Changes of the configuration and the evacuations.
@@ -82,7 +87,8 @@
     }
 }
 
-/// The outcome of a poll.
+/// How a poll of the platform's store ended: with an answer, with the reply that the requested history is no longer
+/// kept or that the store is unavailable, or without an answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
     /// The store answered the poll.
