--- a/core/src/ids.rs
+++ b/core/src/ids.rs
@@ -28,9 +28,9 @@
     pub const UNKNOWN: Self = Self(0);
 }
 
-/// Identifies one request of a caller in the log of claims and settlements: a digest of the workspace and the caller's
-/// request id, so that equal ids of two workspaces have different keys. A repeated request has the same key, by which
-/// it is recognized.
+/// Identifies one request of a caller in the log of claims and settlements: a digest of the workspace and the request
+/// id, so that equal ids of two workspaces have different keys. A request that its caller repeats with the same id has
+/// the same key, by which the repetition is recognized.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestKey {
     /// The first eight bytes of the digest.
--- a/core/src/watch.rs
+++ b/core/src/watch.rs
@@ -113,8 +113,8 @@
     }
 }
 
-/// One request to the platform's store for the changes of a [`Topic`], which the store answers when there is a change
-/// or after a maximum wait. The process around the node sends it and reports its [`Outcome`].
+/// One request to the platform's store for the changes or the full state of a [`Topic`], which the store answers when
+/// there is a change or after a maximum wait. The process around the node sends it and reports its [`Outcome`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Poll {
     /// Distinguishes the poll from the other polls of this topic.
