--- a/core/src/grants/account.rs
+++ b/core/src/grants/account.rs
@@ -30,7 +30,8 @@
 /// rates.
 const EQUAL_SHARE_DIVISOR: u64 = 4;
 
-/// The prepaid amount that a configuration sets.
+/// The total number of tokens paid into a budget, where the operator sets it in the configuration instead of making
+/// payments to the ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Prepaid {
     /// The total number of tokens paid in.
@@ -39,7 +40,9 @@
     pub version: u64,
 }
 
-/// The state of one budget at this router.
+/// One router's state of one token budget: its grant (the tokens of the budget that it may spend), the part of them
+/// that requests have reserved or consumed, and the amounts in the ledger at the last read. It determines whether
+/// tokens can be reserved for a request, and how many the router takes from the ledger or returns.
 #[derive(Clone, Debug)]
 pub struct Account {
     /// The budget's name in the ledger.
--- a/core/src/grants/refill.rs
+++ b/core/src/grants/refill.rs
@@ -10,7 +10,8 @@
 /// The limit of the headroom right after an outage, in milliseconds of spending.
 const INITIAL_HEADROOM_MS: u64 = 1_000;
 
-/// The state of a holder's refill after an outage.
+/// Limits how fast one router takes tokens of one budget in advance after it could not read the ledger for a while:
+/// when it last read the ledger, and when it began to take tokens again.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Refill {
     read_ms: Option<u64>,
--- a/core/src/grants/reserve.rs
+++ b/core/src/grants/reserve.rs
@@ -15,7 +15,9 @@
 /// A reserve or a change of it by less than one part in this many of the undrawn tokens doesn't justify a write.
 const MIN_CHANGE_DIVISOR: u64 = 4;
 
-/// The undrawn tokens of a budget and its use by other holders, as of the last read of the ledger.
+/// The tokens of one budget that are neither in a router's grant nor withheld ([`ledger::Withheld`]), with the use of
+/// the budget by other routers, as of this router's last read of the ledger. The router derives from it how many tokens
+/// to keep in [`ledger::Reserve`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Undrawn {
     /// The tokens that are neither drawn nor withheld.
--- a/core/src/ledger.rs
+++ b/core/src/ledger.rs
@@ -32,7 +32,9 @@
 /// The writer id under which [`Shard::writes`] counts payments; no router has it.
 const PAYMENTS_WRITER: ids::Incarnation = ids::Incarnation(0);
 
-/// An error in reading or changing a shard. Where an error is returned, the shard is unchanged.
+/// An error in decoding the value of a [`Shard`], one part of the ledger of prepaid token budgets, or in paying tokens
+/// into one of its budgets. The cases distinguish values that cannot be used from payments that cannot be applied; the
+/// shard is unchanged in all of them.
 #[derive(Debug, snafu::Snafu)]
 #[allow(missing_docs)]
 pub enum Error {
@@ -48,7 +50,9 @@
     OperationReused { operation: String },
 }
 
-/// One shard of the ledger: some of the budgets, and the holders of grants from them.
+/// One part of the ledger of prepaid token budgets, stored under one key of the platform's store: the budgets whose
+/// names are assigned to this part, and the routers that have grants from them. A router that takes tokens from a
+/// budget or returns them replaces the whole value by compare-and-swap.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Shard {
     /// The version of this value's layout.
@@ -72,7 +76,8 @@
     pub silent_routers: Option<u64>,
 }
 
-/// The identity of a holder, by which other routers determine whether it has terminated.
+/// The VM and address of one holder: a router process that has grants of tokens in a [`Shard`]. Other routers use them
+/// to determine whether the process has terminated, so that they can close its grants.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holder {
     /// The VM on which it runs.
@@ -94,7 +99,9 @@
     }
 }
 
-/// The amounts of one prepaid budget of a workspace and the grants that routers have drawn from it.
+/// One prepaid token budget of a workspace, as stored in the ledger: the tokens paid in, the part of them that is
+/// granted to each router, and the totals of the routers whose grants are closed. Routers derive from it how many
+/// tokens can still be drawn, that is, moved into a router's grant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Budget {
     /// The total number of tokens paid in.
@@ -125,7 +132,9 @@
     pub withheld: Withheld,
 }
 
-/// Totals of the closed holders of a budget.
+/// The token totals of all routers whose grants from one [`Budget`] are closed. Those at the start of an era of the
+/// store (the time since it was last restored from a backup) are kept, so that totals that the restore lost are added
+/// only once when routers write them back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClosedTotals {
     /// Tokens that they consumed, sent to others or lost.
@@ -138,7 +147,8 @@
     pub written_off_tokens: u64,
 }
 
-/// A payment that was applied.
+/// A payment of tokens into a [`Budget`] that was applied. It is kept with the operator's id of the payment, so that a
+/// repeated command does not pay the tokens in again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Payment {
     /// The operator's id of the payment.
@@ -147,7 +157,9 @@
     pub tokens: u64,
 }
 
-/// A holder's grant from a budget.
+/// The tokens of one [`Budget`] that one router process, the holder of the grant, has moved out of the budget and may
+/// spend on requests without another write to the store, with the use that it last reported. Other routers use the
+/// report to divide the remaining tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// Tokens that the holder has drawn and not returned.
@@ -165,7 +177,8 @@
     pub idle: bool,
 }
 
-/// A grant whose holder has terminated.
+/// A grant that was closed by another router because the router process that held it has terminated. The tokens that
+/// the process had not reported as consumed are written off: they count as spent, because they may have been.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WrittenOffGrant {
     /// The name of the budget.
@@ -181,7 +194,8 @@
     }
 }
 
-/// The totals with which a holder closes its grant from a budget.
+/// The tokens that a router consumed, sent to other routers and received from them under its [`Grant`] from a budget.
+/// The router adds them to the budget's totals when it closes the grant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FinalTotals {
     /// Tokens that it consumed, including those that must be counted as consumed.
--- a/core/src/ledger/reserve.rs
+++ b/core/src/ledger/reserve.rs
@@ -16,7 +16,9 @@
 /// copy of. It is twice what a router spends of such draws, because tokens may have been returned meanwhile.
 const SILENT_ROUTER_DIVISOR: u64 = 4;
 
-/// Undrawn tokens that may not be drawn yet.
+/// The tokens of a [`Budget`] that are in no router's grant and may not be moved into one yet. It limits how many
+/// tokens routers can take after a backup of the store, and so how many of these changes a restore of that backup can
+/// lose.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reserve {
     /// The number of tokens in reserve.
@@ -26,7 +28,8 @@
     pub next: Option<NextReserve>,
 }
 
-/// A lower reserve, in effect once it has been in the store for longer than the age of any backup.
+/// A lower value that will replace the present [`Reserve`] of a budget, with the write that stored it. It takes effect
+/// once it has been in the store for longer than the greatest age of a backup.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NextReserve {
     /// The number of tokens in reserve once it is in effect.
@@ -37,7 +40,9 @@
     pub write: u64,
 }
 
-/// Undrawn tokens that cannot be drawn, because they may have been spent and the record of it lost.
+/// The tokens of a [`Budget`] that routers may not take after a restore of the store, because a router may have taken
+/// and spent them before and the restore lost the record of it. The fields separate tokens that running routers can
+/// still confirm from those that only an operator can release.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Withheld {
     /// Tokens that can be drawn again once every router that could have drawn them has written back the states that it
--- a/core/src/ledger_writer.rs
+++ b/core/src/ledger_writer.rs
@@ -19,7 +19,8 @@
 const BACKOFF_BASE_MS: u64 = 20;
 const BACKOFF_LIMIT_MS: u64 = 5_000;
 
-/// The state of the router that a writer needs.
+/// The time and the parts of a router's state that a [`Writer`] needs in order to sync the router's token accounts with
+/// the ledger, passed to each call.
 #[allow(missing_debug_implementations)]
 pub struct Context<'a> {
     /// The current time in milliseconds.
@@ -48,7 +49,8 @@
     }
 }
 
-/// A conditional write of a shard.
+/// A value of a [`ledger::Shard`] that is to be stored if the stored one still has the expected index
+/// (compare-and-swap). It contains this router's changes to the budgets of the shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Write {
     /// The index of the value to replace.
@@ -59,7 +61,8 @@
     pub sets_era_marker: bool,
 }
 
-/// A result of a sync, for logs and for requests that wait for tokens.
+/// A result of a sync of this router's token accounts with one [`ledger::Shard`]. The router uses it to log the change,
+/// to admit requests that wait for tokens, and to send copies of the shard to other routers.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Event {
     /// The accounts were updated from a newer state of the ledger.
@@ -83,7 +86,9 @@
     Unusable(String),
 }
 
-/// Which draws a restore of the store may still have lost, derived from what the routers report as recovered.
+/// The number of routers that may have taken tokens from the budgets of a [`ledger::Shard`] without a remaining record
+/// since the store was restored, derived from what all routers report as written back. It determines how many tokens
+/// stay withheld, and whether only an operator can still release them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecoveryDecision {
     /// The number of silent routers, which may have made draws that the other routers have no copy of. Each of them may
@@ -100,7 +105,9 @@
     }
 }
 
-/// Whether tokens that the configuration pays in may be drawn.
+/// Whether tokens that the operator's configuration pays into a budget may be drawn, that is, moved into a router's
+/// grant. The cases depend on whether the store was restored recently, since the tokens may have been paid in and drawn
+/// before the restore.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Payments {
     /// It is not known whether the store was restored recently: nothing is paid in.
@@ -119,7 +126,8 @@
     Writing { call: ids::CallId, base_index: store::Position, draft: Box<ledger::Shard> },
 }
 
-/// Syncs this router's accounts with one shard of the ledger.
+/// Syncs one router's token accounts ([`grants::Account`]) with one [`ledger::Shard`] in the store: it reads the shard,
+/// computes the tokens to take or return, and writes the changed value by compare-and-swap.
 #[derive(Debug)]
 pub struct Writer {
     shard: u32,
