--- a/core/src/servers.rs
+++ b/core/src/servers.rs
@@ -41,7 +41,8 @@
 const SAMPLE_PERCENT: usize = 50;
 const SAMPLE_MIN: usize = 2;
 
-/// A backend server, with the load and the failures that this router observed.
+/// One incarnation of a backend server in the state that is known to this router: its record in the platform's list,
+/// its load, its answer time and its failures. The router compares these values to choose a server for a request.
 #[derive(Clone, Debug)]
 pub struct Server {
     /// VM on which the server runs.
@@ -159,7 +160,8 @@
     }
 }
 
-/// Criteria by which a server is chosen.
+/// The properties of one request by which a backend server is chosen for it: the service, the allowed classes of VM,
+/// the prompt, and the servers on which the request already failed.
 #[derive(Clone, Copy, Debug)]
 pub struct Criteria<'a> {
     /// Name of the service.
@@ -174,7 +176,8 @@
     pub excluded: &'a [ids::ServerSlot],
 }
 
-/// Reason why no server can be chosen for a request.
+/// The reason why no backend server can be chosen for a request now: all matching servers are full, are limited to a
+/// rate of requests that they reported, have requested a pause, or there is none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unavailable {
     /// Every matching server that does not back off is full or limited, and at least one is not
@@ -189,7 +192,8 @@
     None,
 }
 
-/// All servers that are known to this router, with the state on which the choice depends.
+/// All backend servers that are known to one router, with the load, limits and failures on which the choice of a server
+/// for a request depends.
 #[derive(Debug, Default)]
 pub struct Table {
     servers: slotmap::SlotMap<ids::ServerSlot, Server>,
--- a/core/src/servers/backoff.rs
+++ b/core/src/servers/backoff.rs
@@ -25,7 +25,8 @@
 /// Extensions of a backoff by less than this are neither logged nor counted.
 const NOTABLE_EXTENSION_MS: u64 = 250;
 
-/// Backoff that a server requested, and the state of the return to it.
+/// A pause in sending to a backend server, which the server requested when it rejected a request. After the pause, it
+/// limits the requests that this router sends until the server has its normal share again.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
     /// Latest end of all requested backoffs.
--- a/core/src/servers/by_prompt.rs
+++ b/core/src/servers/by_prompt.rs
@@ -21,7 +21,9 @@
 /// Cost of a running request for another one on the same server, in tokens.
 const RUNNING_REQUEST_TOKENS: u64 = 60;
 
-/// A part of a prompt. A server can have a part cached only together with all parts before it.
+/// One section of a request's prompt, identified by the hash of it and of all sections before it. It is used to choose
+/// a server that has the beginning of the prompt cached: a server can have a part cached only together with all parts
+/// before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Part {
     /// Hash of this part and all parts before it.
@@ -40,7 +42,8 @@
     chained.collect()
 }
 
-/// Parts that this router sent to each server, with the time of the last send.
+/// The prompt parts that this router sent to each backend server, with the time of the last send. It is used to
+/// estimate which parts of a prompt a server has cached.
 #[derive(Debug, Default)]
 pub struct SentParts {
     at_ms: collections::HashMap<(ids::ServerSlot, u64), u64>,
@@ -61,7 +64,8 @@
     }
 }
 
-/// A server that was chosen for a request.
+/// The backend server that was chosen for a request, and the number of the prompt's tokens that it is not expected to
+/// have cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Choice {
     /// Slot of the server.
--- a/core/src/servers/directives.rs
+++ b/core/src/servers/directives.rs
@@ -1,6 +1,7 @@
 //! Directives that a server sends in the headers of its answers.
 
-/// Value of one directive.
+/// The value of one instruction to the routers in a header of a backend server's answer: absent, present, or present
+/// but not readable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Directive<T> {
     /// The header is absent.
@@ -12,7 +13,8 @@
     Unreadable,
 }
 
-/// Directives in the headers of one answer.
+/// The instructions to the routers in the headers of one answer of a backend server: the rate of requests that it
+/// accepts, whether it is about to stop, and for how long this router is to send nothing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Directives {
     /// Rate of requests that the server accepts from all routers together, in thousandths per
@@ -24,7 +26,8 @@
     pub backoff_ms: Directive<u64>,
 }
 
-/// Ages of an answer's request and of its headers, in milliseconds.
+/// The times since a request was sent to a backend server and since the headers of its answer were received, in
+/// milliseconds. They determine which of several limits in answers is valid, and how much is left of a requested pause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AnswerAge {
     /// Time since the request was sent.
@@ -33,7 +36,8 @@
     pub received_ms: u64,
 }
 
-/// Header that carries one of the [`Directives`].
+/// A header of a backend server's answer that carries one of the [`Directives`]. It names the header in log lines when
+/// the value cannot be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Header {
     /// Carries [`Directives::limit_milli_per_s`].
--- a/core/src/servers/limits.rs
+++ b/core/src/servers/limits.rs
@@ -20,7 +20,8 @@
 /// Changes of a limit by at most one part in this many are not sent to peers.
 const NOTABLE_CHANGE_DIVISOR: u64 = 10;
 
-/// Identifies the answer that reported a limit.
+/// Identifies one answer of a backend server to a router. Routers use it to recognize the answer from which a
+/// [`LimitReport`] was taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerId {
     /// Router that received the answer.
@@ -29,7 +30,8 @@
     pub number: u64,
 }
 
-/// Limit of a server as one answer reported it.
+/// The limit in one answer of a backend server: the rate of requests that it accepts from all routers together, or that
+/// there is none. The times of the answer determine which of two reports is valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitReport {
     /// Limit in thousandths of a request per second; `None` if the answer reported no limit.
@@ -55,7 +57,8 @@
     }
 }
 
-/// Gossip form of a limit report. Routers share no clock, so times are sent as ages.
+/// A [`LimitReport`] in the form in which a router sends it to other routers by gossip, with the server that it applies
+/// to. Routers share no clock, so times are sent as ages.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitUpdate {
     /// VM of the server.
@@ -91,7 +94,8 @@
     }
 }
 
-/// Effect of a report on the known limit.
+/// How a new [`LimitReport`] changed the rate of requests that a backend server accepts from all routers together, as
+/// far as the change is worth sending to other routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitChange {
     /// No change that is worth sending to peers.
@@ -102,7 +106,8 @@
     Ended,
 }
 
-/// Limit of one server, with this router's permits for it.
+/// The rate of requests that one backend server accepts from all routers together, or that this limit has ended, with
+/// the permits by which routers keep to it: each permit allows one router to send one request to the server.
 #[derive(Clone, Debug)]
 pub struct KnownLimit {
     /// Report that is currently valid.
@@ -118,7 +123,8 @@
     pub pacer: permits::Pacer,
 }
 
-/// Limits of all servers.
+/// The [`KnownLimit`] of every backend server that reported a limited rate of requests. It determines whether this
+/// router may send to a server, and which limits are sent to other routers.
 #[derive(Debug, Default)]
 pub struct Limits {
     by_slot: collections::BTreeMap<ids::ServerSlot, KnownLimit>,
--- a/core/src/servers/permits.rs
+++ b/core/src/servers/permits.rs
@@ -29,7 +29,8 @@
     (interval_us(limit_milli_per_s) / US_PER_MS).clamp(TRIAL_INTERVAL_MIN_MS, TRIAL_INTERVAL_MAX_MS)
 }
 
-/// A request for permits.
+/// A message by which a router requests permits from the pacer, the router that schedules all requests to a backend
+/// server with a limited rate. Each permit allows the router to send one request to that server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitsRequested {
     /// Number of permits that can be used.
@@ -40,7 +41,8 @@
     pub trial: bool,
 }
 
-/// Reply to a request for permits.
+/// The pacer's reply to [`PermitsRequested`]: how many requests the other router may send to the backend server with a
+/// limited rate, and from when on, or when to request permits again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitsGranted {
     /// Number of granted permits; 0 if none is available in time.
@@ -56,7 +58,8 @@
     }
 }
 
-/// Permits of one router for a limited server.
+/// The permits that one router has for a backend server with a limited rate, each for sending one request, and its
+/// unanswered request for more.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Share {
     permits: u64,
@@ -148,7 +151,8 @@
     }
 }
 
-/// Schedules the requests of all routers to a server.
+/// The schedule of requests from all routers to one backend server with a limited rate. The one router that is the
+/// server's pacer uses it to grant permits, each for sending one request, spaced by the limit.
 #[derive(Clone, Copy, Debug)]
 pub struct Pacer {
     /// When the next permit is valid.
--- a/core/src/servers/restarts.rs
+++ b/core/src/servers/restarts.rs
@@ -5,7 +5,8 @@
 use crate::ids;
 use std::cmp::Ordering;
 
-/// A restart of a server under the same name.
+/// A restart of a VM's backend server that this router detected, with the number of its requests that were open on the
+/// server at that moment. It is used to report the restart and to close connections to the earlier incarnation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Restarted {
     /// VM of the server.
--- a/core/src/servers/vm.rs
+++ b/core/src/servers/vm.rs
@@ -3,7 +3,8 @@
 use crate::ids;
 use serde::{Deserialize, Serialize};
 
-/// A VM in the platform's list.
+/// The record of one VM in the platform's list: the backend server or router on it, its address, class and failure
+/// domain, and whether it is about to stop. Routers choose servers among these VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
     /// Name of the VM.
@@ -47,7 +48,7 @@
     }
 }
 
-/// Lifecycle state of a VM.
+/// Whether the backend server or router on a VM may get new requests or is about to stop, according to the VM's record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
@@ -57,7 +58,8 @@
     Leaving,
 }
 
-/// Load that a server reports.
+/// The numbers of running and waiting requests that a backend server reports for all routers together. They are part of
+/// the cost by which servers are compared when one is chosen for a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     /// Number of requests in its batch.
--- a/core/src/servers/warm_up.rs
+++ b/core/src/servers/warm_up.rs
@@ -19,7 +19,8 @@
 /// Maximum warm-up time; longer reported times are cut to it.
 const COLD_MAX_MS: u64 = 60_000;
 
-/// Limit for cold servers of a service.
+/// The rate of requests that each backend server of a service accepts from all routers together while it is cold, that
+/// is, for some time after its start, and the length of that time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ColdLimit {
     /// Rate of requests from all routers together, in thousandths per second; 0 for no limit.
@@ -28,7 +29,8 @@
     pub start_ms: u64,
 }
 
-/// View of the fleet from which this router's share is computed.
+/// The routers of the fleet that are known to this router. It is used to compute this router's share of the rate at
+/// which all routers together may send to a backend server that has just started.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     /// Incarnation of this router.
@@ -50,7 +52,8 @@
     }
 }
 
-/// Warm-up of one server.
+/// The time for which one backend server is cold after its start, with the rate at which this router may send requests
+/// to it until then.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmUp {
     until_ms: u64,
