--- a/core/src/ledger.rs
+++ b/core/src/ledger.rs
@@ -177,8 +177,8 @@
     pub idle: bool,
 }
 
-/// A grant that was closed by another router because the router process that held it has terminated. The tokens that
-/// the process had not reported as consumed are written off: they count as spent, because they may have been.
+/// A grant that another router closes because the router process that held it has terminated. The tokens that the
+/// process had not reported as consumed are written off: they count as spent, because they may have been. It is logged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WrittenOffGrant {
     /// The name of the budget.
--- a/core/src/ledger_writer.rs
+++ b/core/src/ledger_writer.rs
@@ -87,8 +87,8 @@
 }
 
 /// The number of routers that may have taken tokens from the budgets of a [`ledger::Shard`] without a remaining record
-/// since the store was restored, derived from what all routers report as written back. It determines how many tokens
-/// stay withheld, and whether only an operator can still release them.
+/// since the store was restored, derived from the routers' reports of what they have written back to the store. It
+/// determines how many tokens stay withheld, and whether only an operator can still release them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecoveryDecision {
     /// The number of silent routers, which may have made draws that the other routers have no copy of. Each of them may
--- a/core/src/servers/restarts.rs
+++ b/core/src/servers/restarts.rs
@@ -6,7 +6,7 @@
 use std::cmp::Ordering;
 
 /// A restart of a VM's backend server that this router detected, with the number of its requests that were open on the
-/// server at that moment. It is used to report the restart and to close connections to the earlier incarnation.
+/// server at that moment. It is logged, and connections to the earlier incarnation are aborted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Restarted {
     /// VM of the server.
