--- a/core/src/servers/restarts.rs
+++ b/core/src/servers/restarts.rs
@@ -5,7 +5,8 @@
 use crate::ids;
 use std::cmp::Ordering;
 
-/// A restart of a server under the same name.
+/// A restart of a VM's backend server that this router detected, with the number of its requests that were open on the
+/// server at that moment. It is logged, and connections to the earlier incarnation are aborted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Restarted {
     /// VM of the server.
