--- a/core/src/message.rs
+++ b/core/src/message.rs
@@ -125,7 +125,6 @@
     PermitRequest {
         /// The requester's number for the request.
         number: u64,
-
         /// The limit of the server as known to the requester.
         limit_update: servers::LimitUpdate,
         /// The permits that the requester can use.
--- a/core/src/node/notices.rs
+++ b/core/src/node/notices.rs
@@ -63,7 +63,6 @@
         holder: ids::Incarnation,
         /// Tokens that are counted as spent, as their use was not reported.
         written_off_tokens: u64,
-
         /// The closed grants.
         grants: Vec<ledger::WrittenOffGrant>,
     },
@@ -73,7 +72,6 @@
         shard: u32,
         /// Era of the store.
         era: u64,
-
         /// What is done with the withheld tokens.
         decision: ledger_writer::RecoveryDecision,
     },
@@ -153,7 +151,6 @@
         incarnation: ids::ServerIncarnation,
         /// Service of the server; empty if unknown.
         service: String,
-
         /// How the server announced it.
         source: leaving_servers::Source,
         /// The router that reported it; `None` if this router received it from the server or the store.
@@ -211,7 +208,6 @@
     PollGivenUp {
         /// Topic of the poll.
         topic: watch::Topic,
-
         /// The poll that was given up.
         call: watch::AbandonedPoll,
     },
--- a/core/src/watch.rs
+++ b/core/src/watch.rs
@@ -310,7 +310,7 @@
         }
     }
 
-    /// Abandons the long poll if it was superseded and its answer did not arrive within [`ANSWER_GRACE_MS`].
+    /// Abandons the long poll if it was superseded and its answer did not arrive within `ANSWER_GRACE_MS`.
     pub fn abandon_superseded(&mut self, now_ms: u64) -> Option<AbandonedPoll> {
         let (_, evidence) =
             self.superseded.take_if(|(since_ms, _)| now_ms >= *since_ms + ANSWER_GRACE_MS)?;
--- a/core/tests/external_names.rs
+++ b/core/tests/external_names.rs
@@ -289,9 +289,13 @@
     evidence: [watch::Evidence::LaterCall, watch::Evidence::Peer]
         .map(watch::Evidence::as_str)
         .join(" ") => "LaterCall Peer";
-sources_of_leaving_servers : [ leaving_servers :: Source :: Record , leaving_servers :: Source :: Answer ] . map ( leaving_servers :: Source :: as_str )
+    sources_of_leaving_servers: [leaving_servers::Source::Record, leaving_servers::Source::Answer]
+        .map(leaving_servers::Source::as_str)
         .join(" ") => "Record Answer";
-sources_of_leaving_servers_in_the_dump : json ( & [ leaving_servers :: Source :: Record , leaving_servers :: Source :: Answer ] )
+    sources_of_leaving_servers_in_the_dump: json(&[
+        leaving_servers::Source::Record,
+        leaving_servers::Source::Answer,
+    ])
         => r#"["record","answer"]"#;
     sources_of_quarantines: [
         node::QuarantineSource::Observed,
--- a/core/tests/node.rs
+++ b/core/tests/node.rs
@@ -315,7 +315,8 @@
     ($($name:ident: $directives:expr, $reason:expr;)*) => {$(
         #[test]
         fn $name() {
-let ( mut world , given , chosen ) = directives_while_claimed ( 3 , $ directives ) ; while ! world . requests [ given ] . dispatched {
+            let (mut world, given, chosen) = directives_while_claimed(3, $directives);
+            while !world.requests[given].dispatched {
                 world.run_ms(world::TICK_MS);
             }
             let busy = world.routers[0].node.servers().iter().find(|(_, server)| server.in_flight == 1);
--- a/tests/leaving_servers.rs
+++ b/tests/leaving_servers.rs
@@ -80,7 +80,7 @@
     ($($name:ident: $routers:literal routers, $path:literal, each $every_ms:literal ms;)*) => {$(
         #[test]
         fn $name() {
-let replying = ScriptedWorld :: start ( stringify!( $ name ) , $ routers , 4 , SERVICE_TIME ) ;
+            let replying = ScriptedWorld::start(stringify!($name), $routers, 4, SERVICE_TIME);
             replying.send($path, $every_ms, 1_000);
             replying.servers[0].set(leaving());
             let got = replying.send($path, $every_ms, 10_000);
@@ -190,10 +190,13 @@
     ($($name:ident: $reply:expr;)*) => {$(
         #[test]
         fn $name() {
-let replying = ScriptedWorld :: start ( stringify!( $ name ) , 2 , 3 , SLOW_SERVICE_TIME ) ;
+            let replying = ScriptedWorld::start(stringify!($name), 2, 3, SLOW_SERVICE_TIME);
             replying.servers[0].set($reply);
             replying.send("/read/x", 40, 2_000);
-replying . servers [ 0 ] . set ( Reply :: served ( SLOW_SERVICE_TIME ) ) ; replying . send ( "/read/x" , 40 , RECOVERY_MS ) ; check_served ( & replying . send ( "/read/x" , 40 , SHARE_WINDOW . as_millis ( ) as u64 ) ) ; replying . check_share ( 0 , SHARE_WINDOW ) ;
+            replying.servers[0].set(Reply::served(SLOW_SERVICE_TIME));
+            replying.send("/read/x", 40, RECOVERY_MS);
+            check_served(&replying.send("/read/x", 40, SHARE_WINDOW.as_millis() as u64));
+            replying.check_share(0, SHARE_WINDOW);
         }
     )*};
 }
--- a/tests/older_configuration.rs
+++ b/tests/older_configuration.rs
@@ -34,7 +34,8 @@
     ($($test:ident: $seed:literal;)*) => { $(
         #[test]
         fn $test() {
-let schedule = schedule :: Schedule :: generate ( $ seed , ROUTERS , FAULTS_BEGIN_WITHIN_MS ) ; check_no_violations ( stringify!( $ test ) , $ seed , & schedule ) ;
+            let schedule = schedule::Schedule::generate($seed, ROUTERS, FAULTS_BEGIN_WITHIN_MS);
+            check_no_violations(stringify!($test), $seed, &schedule);
         }
     )* };
 }
--- a/tests/server_backoff.rs
+++ b/tests/server_backoff.rs
@@ -67,7 +67,7 @@
     ($($name:ident: $routers:literal routers, $path:literal, asks for $value:literal;)*) => {$(
         #[test]
         fn $name() {
-let replying = ScriptedWorld :: start ( stringify!( $ name ) , $ routers , 4 , SERVICE_TIME ) ;
+            let replying = ScriptedWorld::start(stringify!($name), $routers, 4, SERVICE_TIME);
             replying.send($path, 40, 1_000);
             replying.servers[0].set(rejection($value));
             let got = replying.send($path, 40, 14_000);
@@ -187,11 +187,14 @@
     ($($name:ident: $value:expr;)*) => {$(
         #[test]
         fn $name() {
-let replying = ScriptedWorld :: start ( stringify!( $ name ) , 1 , 3 , SLOW_SERVICE_TIME ) ;
+            let replying = ScriptedWorld::start(stringify!($name), 1, 3, SLOW_SERVICE_TIME);
             replying.send("/read/x", 20, 500);
             replying.servers[0].set(rejection($value));
             replying.send("/read/x", 20, 1_000);
-replying . servers [ 0 ] . set ( Reply :: served ( SLOW_SERVICE_TIME ) ) ; replying . send ( "/read/x" , 20 , 2 * RECOVERY_MS ) ; check_served ( & replying . send ( "/read/x" , 20 , SHARE_WINDOW . as_millis ( ) as u64 ) ) ; replying . check_share ( 0 , SHARE_WINDOW ) ;
+            replying.servers[0].set(Reply::served(SLOW_SERVICE_TIME));
+            replying.send("/read/x", 20, 2 * RECOVERY_MS);
+            check_served(&replying.send("/read/x", 20, SHARE_WINDOW.as_millis() as u64));
+            replying.check_share(0, SHARE_WINDOW);
         }
     )*};
 }
--- a/tests/server_directive_calls.rs
+++ b/tests/server_directive_calls.rs
@@ -57,7 +57,16 @@
 }
 
 for_each_kind_of_work! {
-an_engine_whose_answers_state_that_it_leaves_gets_no_more_requests : check_leaving , RequestKind :: Completion ; a_plain_server_whose_answers_state_that_it_leaves_gets_no_more_calls : check_leaving , RequestKind :: Call ; a_plain_server_whose_answers_state_that_it_leaves_gets_no_unrepeatable_calls : check_leaving , RequestKind :: Release ; an_engine_gets_the_backoff_that_it_requests : check_backoff , RequestKind :: Completion ; a_plain_server_gets_the_backoff_that_it_requests : check_backoff , RequestKind :: Call ; a_plain_server_gets_the_backoff_that_it_requests_from_unrepeatable_calls : check_backoff , RequestKind :: Release ;
+    an_engine_whose_answers_state_that_it_leaves_gets_no_more_requests:
+        check_leaving, RequestKind::Completion;
+    a_plain_server_whose_answers_state_that_it_leaves_gets_no_more_calls:
+        check_leaving, RequestKind::Call;
+    a_plain_server_whose_answers_state_that_it_leaves_gets_no_unrepeatable_calls:
+        check_leaving, RequestKind::Release;
+    an_engine_gets_the_backoff_that_it_requests: check_backoff, RequestKind::Completion;
+    a_plain_server_gets_the_backoff_that_it_requests: check_backoff, RequestKind::Call;
+    a_plain_server_gets_the_backoff_that_it_requests_from_unrepeatable_calls:
+        check_backoff, RequestKind::Release;
 }
 
 /// Callers are refused at once, with the information that their call did not run.
--- a/tests/server_limits.rs
+++ b/tests/server_limits.rs
@@ -168,9 +168,10 @@
         fn $name() {
             let limited = LimitedServers::start(stringify!($name), $routers, $servers);
             let every = Duration::from_millis($every_ms);
-limited . send ( & router_indices ( $ routers ) , $ path , every , Duration :: from_secs ( 1 ) ) ; limited . stated [ 0 ] . set ( Some ( $ limit ) ) ;
+            limited.send(&router_indices($routers), $path, every, Duration::from_secs(1));
+            limited.stated[0].set(Some($limit));
             let since = Instant::now();
-let got = limited . send ( & router_indices ( $ routers ) , $ path , every , LIMITED_FOR ) ;
+            let got = limited.send(&router_indices($routers), $path, every, LIMITED_FOR);
             limited.check_limit(0, $limit.parse().unwrap(), since);
             check_served(&got);
         }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -17,7 +17,9 @@
     ($($test:ident: $seed:literal;)*) => { $(
         #[test]
         fn $test() {
-let drawn = schedule :: Schedule :: generate ( $ seed , ROUTERS , FAULTS_BEGIN_WITHIN_MS ) ; let schedule = drawn . with_writers ( $ seed , FAULTS_BEGIN_WITHIN_MS ) ; check_no_violations ( stringify!( $ test ) , $ seed , & schedule ) ;
+            let drawn = schedule::Schedule::generate($seed, ROUTERS, FAULTS_BEGIN_WITHIN_MS);
+            let schedule = drawn.with_writers($seed, FAULTS_BEGIN_WITHIN_MS);
+            check_no_violations(stringify!($test), $seed, &schedule);
         }
     )* };
 }
