--- a/core/src/grants.rs
+++ b/core/src/grants.rs
@@ -14,8 +14,8 @@
 use crate::{config, ids, ledger, request};
 use std::collections;
 
-/// This router's [`Account`] of every token budget, by slot, name and shard of the ledger. Requests reserve and consume
-/// tokens here, without a call to the store.
+/// One router's [`Account`] of every token budget, found by slot, by name or by the shard of the [`ledger`] that
+/// contains the budget. Requests reserve and consume tokens here, without a call to the store.
 #[derive(Debug, Default)]
 pub struct Table {
     accounts: slotmap::SlotMap<ids::BudgetSlot, Account>,
--- a/core/src/grants/account.rs
+++ b/core/src/grants/account.rs
@@ -3,8 +3,8 @@
 use super::{refill, reserve};
 use crate::{config, ids, ledger};
 
-/// Limits of the window over which the spend rate is averaged, which is half the cover time. With a shorter window,
-/// single requests would make routers draw and return tokens in turn.
+/// Limits of the window over which the spend rate of budgets without `held_percent` is averaged, which is half the
+/// cover time. With a shorter window, single requests would make routers draw and return tokens in turn.
 const RATE_WINDOW_MIN_MS: u64 = 20_000;
 const RATE_WINDOW_MAX_MS: u64 = 600_000;
 /// Windows of the spend rate of budgets with `held_percent`, where the headroom of all holders is at most a share of
@@ -12,9 +12,9 @@
 const SHARE_RATE_WINDOW_MS: u64 = 10_000;
 const SHARE_RATE_WINDOW_FIRST_MS: u64 = 3_000;
 /// The shortest window for a budget that no other holder has spent from. A first window of 3 s underestimates the rate
-/// for 3 s: in an outage of 8 s that began 2 s after the first request, 81 requests were refused instead of none (the
-/// core's fleet of seven, one seed). For a budget that was spent from before, a window of 1 s would mistake the backlog
-/// of an outage for the rate.
+/// for 3 s: the headroom is then too small, and requests are refused in an outage that begins soon after the first
+/// request. For a budget that was spent from before, a window of 1 s would mistake the backlog of an outage for the
+/// rate.
 const SHARE_RATE_WINDOW_UNSPENT_MS: u64 = 1_000;
 /// Holders keep a smaller share of a budget that lasts for less than this at the present rate: what is left of it would
 /// not cover an outage of the length that holders are to bridge. See docs/POLICY.md.
@@ -23,8 +23,9 @@
 const PEAK_DECAY_MS: u64 = 600_000;
 /// A holder is low on tokens if its free tokens last for less than this at its present rate.
 const LOW_HEADROOM_MS: u64 = 2_000;
-/// While a budget is in use, the headroom covers at least this many requests of the largest size that had to wait for
-/// tokens: a client that sent one request soon sends more, and the spend rate is not known yet.
+/// While a budget with `held_percent` is in use, the headroom covers at least this many requests of the largest size
+/// that had to wait for tokens, as far as the holder's limit permits: a caller that sent one request soon sends more,
+/// and the spend rate is not known yet.
 const HEADROOM_REQUESTS: u64 = 8;
 /// One part in this many of the share is divided equally among the holders, the rest in proportion to their spend
 /// rates.
@@ -41,8 +42,9 @@
 }
 
 /// One router's state of one token budget: its grant (the tokens of the budget that it may spend), the part of them
-/// that requests have reserved or consumed, and the amounts in the ledger at the last read. It determines whether
-/// tokens can be reserved for a request, and how many the router takes from the ledger or returns.
+/// that requests have reserved or consumed, and what the ledger, the stored record of all budgets, contained at the
+/// last read. It determines whether tokens can be reserved for a request, and how many the router takes from the ledger
+/// or returns to it.
 #[derive(Clone, Debug)]
 pub struct Account {
     /// The budget's name in the ledger.
@@ -67,17 +69,18 @@
     pub consumed_tokens: u64,
     /// Tokens reserved for requests that have not ended.
     pub reserved_tokens: u64,
-    /// The largest number of tokens that a waiting request needed; reset once nothing is spent any more.
+    /// The largest number of tokens that a waiting request, or a peer's transfer request, needed; reset once nothing is
+    /// spent any more.
     pub needed_tokens: u64,
-    /// The tokens that this router has reported to the ledger as consumed.
+    /// The spent tokens ([`Account::spent_tokens`]) that this router last reported to the ledger.
     pub reported_tokens: u64,
-    /// Tokens that waiting requests and transfer requests of peers lack.
+    /// Tokens that waiting requests and transfer requests of peers need in total.
     pub shortage_tokens: u64,
-    /// The part of `shortage_tokens` that waiting requests of this router lack.
+    /// The part of `shortage_tokens` that waiting requests of this router need.
     pub claimed_tokens: u64,
     /// The tokens that could be drawn when the ledger was last read.
     pub remaining_tokens: Option<u64>,
-    /// The undrawn tokens at the last read, the reserve among them, and the use by other holders.
+    /// The tokens that no router had drawn at the last read, the reserve among them, and the use by other holders.
     pub undrawn: reserve::Undrawn,
     /// The tokens withheld at the last read, because a restore of the store may have lost the record of their spending.
     pub withheld: ledger::Withheld,
@@ -198,15 +201,17 @@
         self.consumed_tokens.saturating_add(self.sent_tokens).saturating_sub(self.received_tokens)
     }
 
-    /// The averaged spend rate.
+    /// The averaged spend rate, rounded up.
     pub fn rate_tokens_per_s(&self) -> u64 {
         self.rate_milli_tokens_per_s.div_ceil(1000)
     }
 
-    /// The least headroom that this holder keeps: what it spends in the cover time, or the minimum grant.
+    /// The headroom that this holder refills: what it spends in the cover time, but at least the minimum grant. With
+    /// `held_percent` it is also enough for the next requests of the size that had to wait, it is at most this holder's
+    /// part of the share, and the cover time is limited at first after an outage.
     ///
-    /// A crash of the holder costs the workspace these tokens, so the headroom follows the spend rate; the paid-in
-    /// amount is only its limit.
+    /// A crash of the holder costs the workspace these tokens, so the headroom follows the spend rate and not the
+    /// paid-in amount.
     pub fn target_tokens(&self) -> u64 {
         if !self.holder {
             return 0;
@@ -373,12 +378,13 @@
         self.returnable_tokens().min(self.free_tokens().saturating_sub(keep))
     }
 
-    /// The tokens that a stopping router may return to the ledger before its last request has ended.
+    /// The free tokens that this router may return to the ledger, at most those of its grant there: tokens received
+    /// from other holders are not part of it.
     pub fn returnable_tokens(&self) -> u64 {
         self.free_tokens().min(self.granted_tokens.saturating_sub(self.returning_tokens))
     }
 
-    /// The free tokens that no request of this router waits for.
+    /// The free tokens that no waiting request of this router needs; 0 while nothing may be spent here.
     pub fn unclaimed_tokens(&self) -> u64 {
         if self.confirm_version > 0 || self.awaits_recovery {
             return 0;
@@ -386,8 +392,8 @@
         self.free_tokens().saturating_sub(self.claimed_tokens)
     }
 
-    /// The tokens that may be sent to another holder that lacks tokens for a waiting request: all free tokens, unless
-    /// requests wait for them here as well. In that case `yields` decides: if set, the peer gets them.
+    /// The tokens that may be sent to another holder that lacks tokens for a waiting request: all free tokens, or none
+    /// if requests need tokens here as well and the peer has no priority (`yields`).
     pub fn spare_tokens(&self, yields: bool) -> u64 {
         let spares = (self.shortage_tokens == 0 || yields) && !self.awaits_recovery;
         if spares { self.free_tokens() } else { 0 }
@@ -410,7 +416,8 @@
         }
     }
 
-    /// Applies this router's row of the ledger. `definite` means that no earlier write can still take effect.
+    /// Applies this router's grant in the ledger, `None` if it has none. `definite` means that no earlier write can
+    /// still take effect.
     pub fn apply_row(&mut self, row: Option<&ledger::Grant>, definite: bool) {
         self.granted_tokens = row.map_or(0, |grant| grant.granted_tokens);
         self.reported_tokens = row.map_or(0, |grant| grant.consumed_tokens);
@@ -425,6 +432,7 @@
         self.measured_tokens = self.measured_tokens.saturating_add(tokens);
     }
 
+    /// Updates the averaged spend rate and its peak.
     pub(super) fn measure_rate(&mut self, now_ms: u64) {
         let elapsed_ms = now_ms.saturating_sub(self.measured_ms);
         if elapsed_ms == 0 {
--- a/core/src/grants/refill.rs
+++ b/core/src/grants/refill.rs
@@ -1,17 +1,18 @@
-//! Limits how fast a holder rebuilds its headroom after an outage of the store.
+//! Limits how fast a holder rebuilds its headroom of a budget with `held_percent` after an outage of the store.
 //!
 //! After an outage a holder has no headroom left. If it were rebuilt at once, all of it would be lost if the holders
 //! terminated soon after, and an outage that affects all routers is often followed by further faults. So the headroom
 //! is limited to one second of spending at first, and the limit grows by one second each second.
 
-/// A holder that could not read the ledger for this long, and is low on tokens, is assumed to have been through an
-/// outage.
+/// A holder that had not read the ledger for longer than this, and is low on tokens when it reads it, is assumed to
+/// have been through an outage.
 const OUTAGE_MS: u64 = 3_000;
 /// The limit of the headroom right after an outage, in milliseconds of spending.
 const INITIAL_HEADROOM_MS: u64 = 1_000;
 
-/// Limits how fast one router takes tokens of one budget in advance after it could not read the ledger for a while:
-/// when it last read the ledger, and when it began to take tokens again.
+/// Limits how fast one router takes tokens of one budget in advance after an outage, in which it could not read the
+/// ledger, the stored record of all budgets. It consists of the times at which the router last read the ledger, and at
+/// which it did so for the first time after the last outage.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Refill {
     read_ms: Option<u64>,
@@ -28,7 +29,8 @@
         self.read_ms = Some(now_ms);
     }
 
-    /// The limit of the headroom in milliseconds of spending; `None` if there was no outage.
+    /// The limit of the headroom in milliseconds of spending. It is `None` until a read finds the holder low on tokens
+    /// more than [`OUTAGE_MS`] after the read before it; from the latest such read on, the limit grows without end.
     pub fn headroom_limit_ms(&self, now_ms: u64) -> Option<u64> {
         self.refill_started_ms
             .map(|started_ms| INITIAL_HEADROOM_MS + now_ms.saturating_sub(started_ms))
--- a/core/src/grants/reserve.rs
+++ b/core/src/grants/reserve.rs
@@ -1,4 +1,5 @@
-//! Determines how much of a budget is kept in reserve, so that a restore of the store cannot lose draws of it.
+//! Determines how much of a budget is kept in reserve: tokens that no router may draw yet, so that a restore of the
+//! store from a backup cannot lose the record of draws of them.
 
 use super::account;
 use crate::{ids, ledger};
@@ -9,18 +10,18 @@
 const IDLE_MS: u64 = 5_000;
 /// At least one part in this many of the undrawn tokens stays outside of the reserve.
 const DRAWABLE_DIVISOR: u64 = 4;
-/// The tokens that are spent in this many times the age of a backup stay outside of the reserve at least. Nothing is
-/// reserved before the budget has been declared for that long.
+/// The tokens that are spent in this many times the age of a backup stay outside of the reserve at least. A router
+/// raises no reserve before it has had the budget for that long.
 const DRAWABLE_BACKUP_AGES: u64 = 4;
 /// A reserve or a change of it by less than one part in this many of the undrawn tokens doesn't justify a write.
 const MIN_CHANGE_DIVISOR: u64 = 4;
 
-/// The tokens of one budget that are neither in a router's grant nor withheld ([`ledger::Withheld`]), with the use of
-/// the budget by other routers, as of this router's last read of the ledger. The router derives from it how many tokens
-/// to keep in [`ledger::Reserve`].
+/// What one router read about one budget in the ledger, the stored record of all budgets: the tokens that no router has
+/// taken, and how much other routers use the budget. The router computes from it the [`ledger::Reserve`], the part of
+/// these tokens that no router may take yet.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Undrawn {
-    /// The tokens that are neither drawn nor withheld.
+    /// The tokens that are neither drawn, that is, in a router's grant, nor withheld ([`ledger::Withheld`]).
     pub tokens: u64,
     /// The part of them that may not be drawn yet.
     pub reserve: ledger::Reserve,
@@ -28,12 +29,12 @@
     pub others_rate_tokens_per_s: u64,
     /// Whether all other holders last reported that they are idle.
     pub others_idle: bool,
-    /// Whether this router's row is marked as idle or does not exist.
+    /// Whether this router's grant is marked as idle in the ledger or does not exist.
     pub row_is_idle: bool,
 }
 
 impl Undrawn {
-    /// Reads the state of `budget` from the view of `holder`.
+    /// Takes the figures from the budget's state in the ledger; `holder` is this router.
     pub fn new(budget: &ledger::Budget, holder: ids::Incarnation) -> Self {
         let row = budget.grants.get(&holder);
         Self {
@@ -45,8 +46,8 @@
         }
     }
 
-    /// The reserve for a spend rate. It leaves out the tokens that are spent before a lower reserve can come into
-    /// effect.
+    /// The reserve for a spend rate; 0 if it is too small to justify a write. It leaves out the tokens that are spent
+    /// before a lower reserve can come into effect.
     fn target_reserve_tokens(&self, rate_tokens_per_s: u64, backup_age_ms: u64) -> u64 {
         let spent_tokens = rate_tokens_per_s.saturating_mul(backup_age_ms) / 1_000;
         let drawable_tokens = self
@@ -59,13 +60,13 @@
 }
 
 impl account::Account {
-    /// Whether the reserve, once it may be drawn, can cover a request that the free tokens cannot cover now.
+    /// Whether the budget has a reserve, and a request for `tokens` can be covered once the reserve may be drawn.
     pub fn is_covered_by_reserve(&self, tokens: u64) -> bool {
         let later_tokens = self.free_or_locked_tokens().saturating_add(self.undrawn.tokens);
         self.undrawn.reserve.tokens > 0 && later_tokens >= tokens
     }
 
-    /// Whether the budget has been declared for long enough to estimate its use.
+    /// Whether this router has had the budget for long enough to estimate its use.
     fn has_usage_history(&self) -> bool {
         self.measured_ms >= self.declared_ms + self.backup_age_ms * DRAWABLE_BACKUP_AGES
     }
@@ -89,7 +90,8 @@
             .filter(|tokens| self.is_significant_change(*tokens, self.undrawn.reserve.tokens))
     }
 
-    /// The lower reserve for the present spend rate, if the change justifies a write.
+    /// The lower reserve for the present spend rate; `None` if the change doesn't justify a write or a lower reserve is
+    /// already pending.
     pub fn lower_reserve_tokens(&self) -> Option<u64> {
         let reserve_target_tokens = self.target_reserve_tokens();
         let significant =
--- a/core/src/ids.rs
+++ b/core/src/ids.rs
@@ -4,7 +4,8 @@
 use std::{fmt, str};
 
 /// One run of a router process from start to end, as a number drawn at random at every start and never reused. It
-/// identifies the router in messages, in the ledger and in the log, so that a restarted router counts as another one.
+/// identifies the router in messages to other routers and in the values that it writes to the platform's store, so that
+/// a restarted router counts as another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
@@ -16,7 +17,8 @@
 }
 
 /// A server incarnation, one run of a backend server from start to end: the Unix time of its start in milliseconds, so
-/// that a later incarnation is greater. The state of one incarnation is not valid for another.
+/// that a later incarnation is greater. What routers measured of one incarnation, such as its load, does not apply to
+/// another.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -28,9 +30,9 @@
     pub const UNKNOWN: Self = Self(0);
 }
 
-/// Identifies one request of a caller in the log of claims and settlements: a digest of the workspace and the request
-/// id, so that equal ids of two workspaces have different keys. A request that its caller repeats with the same id has
-/// the same key, by which the repetition is recognized.
+/// Identifies one request of a caller in messages between routers and in the log in which they record who may run a
+/// request and what it cost. It is a digest of the caller's workspace and of the request id. A request that its caller
+/// repeats with the same id has the same key, by which routers recognize the repetition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestKey {
     /// The first eight bytes of the digest.
@@ -91,14 +93,15 @@
     }
 }
 
-/// Identifies one attempt to run a request on backend servers; a retry by the caller or by a router is another attempt.
-/// Claims and settlements in the log name the attempt that they belong to.
+/// Identifies one attempt to run a request, drawn at random when a router receives it. A repetition by the caller is
+/// another attempt; a retry by the router on another backend server belongs to the same one. The stored records of the
+/// right to run a request, and of its cost, contain the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct AttemptId(pub u64);
 
-/// Identifies one call of a router to the platform's store, so that the store's reply is passed to the part of the
-/// router that made the call.
+/// Identifies one call of a router to the platform's key-value store. The router numbers its calls, so that the reply
+/// to a call reaches the part of the router that made it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
--- a/core/src/ledger.rs
+++ b/core/src/ledger.rs
@@ -23,7 +23,7 @@
 /// The prepaid amount of an unlimited budget.
 pub const UNLIMITED_TOKENS: u64 = u64::MAX >> 16;
 
-/// The prefix of the keys of all shards.
+/// The prefix of the keys of all shards and of the era record.
 pub const PREFIX: &str = "doorswitch/ledger/";
 
 /// The number of latest payments that a budget keeps in order to apply each operation once.
@@ -60,7 +60,7 @@
     /// The store's era in which this value was written; `None` if an earlier release wrote it.
     #[serde(default)]
     pub era: Option<u64>,
-    /// A version vector: the number of the latest write by each router that this value includes. Unlike positions, it
+    /// A version vector: for each router, the number of the latest write that this value includes. Unlike positions, it
     /// orders values across restores of the store.
     #[serde(default)]
     pub writes: collections::BTreeMap<ids::Incarnation, u64>,
@@ -68,10 +68,12 @@
     pub holders: collections::BTreeMap<ids::Incarnation, Holder>,
     /// The budgets by name (`workspace/budget`).
     pub budgets: collections::BTreeMap<String, Budget>,
-    /// The first era before which draws may be unknown; set while tokens are withheld for such draws.
+    /// A restore of the store may have lost draws that were made before this era; set while tokens are withheld for
+    /// them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub unconfirmed_since_era: Option<u64>,
-    /// The number of silent routers for whose draws tokens are withheld; `None` until it is known.
+    /// The number of silent routers, which have not confirmed that all their draws are recorded again, and for whose
+    /// draws tokens are withheld; `None` until it is known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub silent_routers: Option<u64>,
 }
@@ -164,7 +166,7 @@
 pub struct Grant {
     /// Tokens that the holder has drawn and not returned.
     pub granted_tokens: u64,
-    /// Tokens that the holder had spent when it last wrote.
+    /// Tokens that the holder had consumed, or sent to other holders and not received back, when it last wrote.
     pub consumed_tokens: u64,
     /// Tokens that were free for new requests when the holder last wrote.
     #[serde(default)]
@@ -198,7 +200,7 @@
 /// The router adds them to the budget's totals when it closes the grant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FinalTotals {
-    /// Tokens that it consumed, including those that must be counted as consumed.
+    /// Tokens that it consumed, including the full bound of requests of which it is not known whether they ran.
     pub consumed_tokens: u64,
     /// Tokens that it sent to other holders.
     pub sent_tokens: u64,
@@ -228,7 +230,8 @@
 }
 
 impl Shard {
-    /// Decodes a shard from the store's value, and checks its layout version and token counts.
+    /// Decodes a shard from the store's value. Fails if the value is not a shard of this layout version, or if more
+    /// tokens of a budget are granted or spent than were paid in by payments.
     pub fn decode(value: &[u8]) -> Result<Self, Error> {
         let shard: Self =
             serde_json::from_slice(value).map_err(|source| Error::Decode { source })?;
@@ -247,7 +250,8 @@
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Adds `tokens` to a budget, once for each operation id. Returns whether the operation was new.
+    /// Adds `tokens` to a budget, once for each operation id. Returns whether the operation was new. Fails if the id
+    /// was used with another amount, or if the paid-in total would overflow.
     pub fn pay(&mut self, name: &str, operation: &str, tokens: u64) -> Result<bool, Error> {
         let budget = self.budgets.entry(name.to_owned()).or_default();
         if let Some(applied) = budget.payments.iter().find(|applied| applied.operation == operation)
@@ -306,8 +310,8 @@
         budget.closed_consumed_tokens += totals.consumed_tokens;
     }
 
-    /// Closes all grants of a terminated holder, counting them as spent in full. Returns the number of tokens written
-    /// off.
+    /// Closes all grants of a terminated holder, counting them as spent in full. Returns the number of tokens that the
+    /// holder had not reported as consumed.
     pub fn write_off(&mut self, holder: ids::Incarnation) -> u64 {
         self.holders.remove(&holder);
         self.budgets.values_mut().map(|budget| budget.write_off(holder)).sum()
--- a/core/src/ledger/recovery.rs
+++ b/core/src/ledger/recovery.rs
@@ -1,7 +1,7 @@
 //! Recovers a shard after the store was restored from a backup.
 //!
-//! Version vectors order the states that routers saw and the restored value. A state that includes all writes of the
-//! restored value replaces it; concurrent states are merged.
+//! Version vectors order the states that routers have copies of and the restored value. A state that includes all
+//! writes of the restored value replaces it; concurrent states are merged.
 
 use super::{Budget, ClosedTotals, Grant, Shard};
 use crate::{ids, store};
@@ -23,8 +23,9 @@
     }
 
     /// Returns the recovered value, or `None` if this value, which was read at `found`, needs no change. `last_seen` is
-    /// the latest state that this router saw. If this value is of an earlier era and strictly later than that state, or
-    /// the router saw none, it starts the current era only once the recovery window is over.
+    /// the latest state that this router has a copy of. If this value is of an earlier era and strictly later than that
+    /// state, or the router has no copy of an earlier era, it starts the current era only once the recovery window is
+    /// over.
     pub fn recover(
         &self,
         found: store::Position,
--- a/core/src/ledger/reserve.rs
+++ b/core/src/ledger/reserve.rs
@@ -3,7 +3,7 @@
 //!
 //! The reserve limits the draws that a restore can lose. It is raised at once, and lowered only after the lower value
 //! has been in the store for longer than the age of any backup. So the draws since a backup was taken never exceed the
-//! undrawn tokens above the least reserve in that backup.
+//! undrawn tokens above the lower one of the two reserves in that backup.
 
 use super::{Budget, Shard, UNLIMITED_TOKENS};
 use crate::ids;
@@ -12,8 +12,9 @@
 /// One part in this many of the reserve in a backup stays in reserve in the era that restored it.
 const ERA_RESERVE_DIVISOR: u64 = 4;
 
-/// One part in this many of the undrawn tokens is withheld for each silent router, for draws that the others have no
-/// copy of. It is twice what a router spends of such draws, because tokens may have been returned meanwhile.
+/// One part in this many of the undrawn tokens is withheld for each silent router (one that has not confirmed that its
+/// draws are recorded again), for draws that the others have no copy of. It is twice what a router spends of such
+/// draws, because tokens may have been returned meanwhile.
 const SILENT_ROUTER_DIVISOR: u64 = 4;
 
 /// The tokens of a [`Budget`] that are in no router's grant and may not be moved into one yet. It limits how many
@@ -40,13 +41,13 @@
     pub write: u64,
 }
 
-/// The tokens of a [`Budget`] that routers may not take after a restore of the store, because a router may have taken
-/// and spent them before and the restore lost the record of it. The fields separate tokens that running routers can
-/// still confirm from those that only an operator can release.
+/// The tokens of a [`Budget`] that routers may not take because the store was restored from a backup: a router may have
+/// taken and spent them before, and the restore lost the record of it. Fewer tokens are withheld once the routers have
+/// written such records back; an operator can release the others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Withheld {
-    /// Tokens that can be drawn again once every router that could have drawn them has written back the states that it
-    /// saw.
+    /// Tokens that can be drawn again once every router that could have drawn them has written its copy of the shard
+    /// back to the store.
     pub unconfirmed_tokens: u64,
     /// Tokens whose possible draws no running router can report any more. Only an operator can release them.
     pub lost_tokens: u64,
@@ -65,7 +66,7 @@
 }
 
 impl Withheld {
-    /// Whether nothing is withheld.
+    /// Whether no tokens of the budget are withheld.
     pub fn is_none(&self) -> bool {
         *self == Self::default()
     }
@@ -155,7 +156,7 @@
     }
 }
 
-/// The part of a reserve that stays in reserve after an era that may have drawn the rest at once.
+/// The part of a reserve that stays in reserve when an era begins; the rest may be drawn at once in that era.
 fn reserve_after_allowance(reserve_tokens: u64) -> u64 {
     reserve_tokens / ERA_RESERVE_DIVISOR
 }
--- a/core/src/ledger_writer.rs
+++ b/core/src/ledger_writer.rs
@@ -19,13 +19,13 @@
 const BACKOFF_BASE_MS: u64 = 20;
 const BACKOFF_LIMIT_MS: u64 = 5_000;
 
-/// The time and the parts of a router's state that a [`Writer`] needs in order to sync the router's token accounts with
-/// the ledger, passed to each call.
+/// The time and the parts of a router's state that a [`Writer`] needs in order to sync (read, change and write back) a
+/// shard of the ledger, the stored record of all token budgets. The router passes it to each call.
 #[allow(missing_debug_implementations)]
 pub struct Context<'a> {
     /// The current time in milliseconds.
     pub now_ms: u64,
-    /// This router's incarnation.
+    /// This router's incarnation, under which the ledger contains its grants.
     pub holder: ids::Incarnation,
     /// This router's entry among the holders of the ledger.
     pub description: &'a ledger::Holder,
@@ -35,10 +35,10 @@
     pub stopping: bool,
     /// Returns whether a holder has certainly terminated.
     pub is_terminated: &'a dyn Fn(ids::Incarnation, &ledger::Holder) -> bool,
-    /// Whether other routers have had time to write the states that they saw back to a restored store.
+    /// Whether other routers have had time to write their copies of the ledger back to a restored store.
     pub recovery_window_over: bool,
-    /// Nothing is drawn before this time, so that after a restore other routers can first write back the states that
-    /// they saw.
+    /// Nothing is drawn before this time, so that after a restore of the store other routers can first write their
+    /// copies of the ledger back.
     pub draw_not_before_ms: u64,
 }
 
@@ -61,8 +61,8 @@
     pub sets_era_marker: bool,
 }
 
-/// A result of a sync of this router's token accounts with one [`ledger::Shard`]. The router uses it to log the change,
-/// to admit requests that wait for tokens, and to send copies of the shard to other routers.
+/// What a sync (a read-modify-write of one [`ledger::Shard`]) showed or changed, reported by a [`Writer`] to its
+/// router. The router logs it, admits requests that wait for tokens, or sends copies of the shard to other routers.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Event {
     /// The accounts were updated from a newer state of the ledger.
@@ -80,19 +80,20 @@
         /// The grants that were closed.
         grants: Vec<ledger::WrittenOffGrant>,
     },
-    /// The other incarnations of routers with grants in the shard, and their addresses.
+    /// The other router incarnations with grants in the shard, with their addresses.
     Holders(Vec<(ids::Incarnation, String)>),
     /// The value in the store is unusable, for this reason; nothing is drawn.
     Unusable(String),
 }
 
-/// The number of routers that may have taken tokens from the budgets of a [`ledger::Shard`] without a remaining record
-/// since the store was restored, derived from the routers' reports of what they have written back to the store. It
-/// determines how many tokens stay withheld, and whether only an operator can still release them.
+/// One router's decision, after the store was restored from a backup, on how many tokens of a [`ledger::Shard`] stay
+/// withheld because routers may have taken them and the restore lost the record. The router makes it from the replies
+/// of all routers on whether they have recorded what they took again, and applies it with its next write of the shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecoveryDecision {
-    /// The number of silent routers, which may have made draws that the other routers have no copy of. Each of them may
-    /// have spent only a part of the undrawn tokens. `None` if there are too many for this bound.
+    /// The number of silent routers: those that have not confirmed that all their draws are recorded again. Each of
+    /// them can have spent only a part of the undrawn tokens by draws that no other router has a copy of. `None` if
+    /// there are too many for this bound.
     pub silent: Option<u64>,
     /// Whether no router is left that could still report those draws.
     pub is_final: bool,
@@ -110,11 +111,13 @@
 /// before the restore.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Payments {
-    /// It is not known whether the store was restored recently: nothing is paid in.
+    /// It is not known yet whether the store was restored recently, so nothing is paid in.
     Undecided,
-    /// The store was restored recently, so they may have been paid in and drawn before the restore.
+    /// The store was restored recently. The tokens are paid in but withheld, as they may have been paid in and drawn
+    /// before.
     Withheld,
-    /// They may be drawn.
+    /// The tokens may be drawn: the store was never restored, or the budgets that the last restore lost are in the
+    /// ledger again.
     #[default]
     Drawable,
 }
@@ -155,13 +158,14 @@
     interrupted_returns: Vec<(ids::BudgetSlot, u64, u64)>,
     /// The number of drafts so far. It identifies this router's writes in [`ledger::Shard::writes`].
     draft_count: u64,
-    /// The number of writes in a row that failed because another router had written the shard first.
+    /// The number of writes in a row that failed because another router had written the shard first, and were repeated
+    /// at once.
     overtaken_writes: u32,
     /// The index of the last unusable value that was reported, so that it is reported once.
     unusable_index: Option<store::Position>,
     /// Whether tokens that the configuration pays in may be drawn.
     payments: Payments,
-    /// Lower reserves that are not in effect yet, by budget, and when each was first seen in the store.
+    /// Lower reserves that are not in effect yet, by budget, and when each was first read from the store.
     next_reserves: collections::BTreeMap<String, (ledger::NextReserve, u64)>,
     /// Budgets whose withheld tokens an operator has released.
     released: collections::BTreeSet<String>,
--- a/core/src/ledger_writer/accounts.rs
+++ b/core/src/ledger_writer/accounts.rs
@@ -4,7 +4,7 @@
 use crate::{grants, ledger};
 
 impl Writer {
-    /// Records when each lower reserve that is not in effect yet was first seen in the store.
+    /// Records when each lower reserve that is not in effect yet was first read from the store.
     fn track_next_reserves(&mut self, shard: &ledger::Shard, now_ms: u64) {
         let pending = shard.budgets.iter().filter_map(|(name, budget)| {
             let next = budget.reserve.next?;
--- a/core/src/ledger_writer/draft.rs
+++ b/core/src/ledger_writer/draft.rs
@@ -4,7 +4,7 @@
 use crate::{grants, ids, ledger};
 
 impl Writer {
-    /// Returns the value that this router wants to write in place of `shard`; equal to `shard` if nothing changes.
+    /// Returns the value that this router should write in place of `shard`; equal to `shard` if nothing changes.
     pub(super) fn draft(
         &mut self,
         shard: &ledger::Shard,
--- a/core/src/ledger_writer/replies.rs
+++ b/core/src/ledger_writer/replies.rs
@@ -4,7 +4,8 @@
 use crate::{grants, ids, ledger, store};
 use rand::rngs;
 
-/// After this many writes in a row that lost to another router's, the writer backs off before it writes again.
+/// The number of writes in a row that are repeated at once after another router's write was applied before them. After
+/// one more, the writer backs off before it writes again.
 const OVERTAKEN_WRITES_MAX: u32 = 3;
 const BACKOFF_LIMIT_MIN_MS: u64 = 400;
 const BACKOFF_LIMIT_PER_ROUTER_MS: u64 = 6;
--- a/core/src/ledger_writer/restores.rs
+++ b/core/src/ledger_writer/restores.rs
@@ -62,7 +62,8 @@
         }
     }
 
-    /// The first era before which draws may be unknown; `None` if no tokens are withheld for such draws in `era`.
+    /// The era before which draws may have been made that a restore lost ([`ledger::Shard::unconfirmed_since_era`]);
+    /// `None` if no tokens are withheld for them in `era`.
     pub fn unconfirmed_since_era(&self, era: u64) -> Option<u64> {
         let (_, shard) = self.last_seen.as_ref()?;
         shard.unconfirmed_since_era.filter(|_| shard.written_era() == era)
@@ -73,8 +74,8 @@
         self.recovery_decision.filter(|(of_era, _)| *of_era == era).map(|(_, decision)| decision)
     }
 
-    /// Whether the shard, as this router read it in `era`, includes every state that this router saw or received
-    /// before.
+    /// Whether the shard, as this router read it in `era`, includes every state that this router read, wrote or
+    /// received before.
     pub fn has_recovered(&self, era: u64) -> bool {
         let Some((position, seen)) = &self.last_seen else { return self.peer_copy.is_none() };
         let included =
@@ -108,7 +109,7 @@
         self.last_seen.as_ref()
     }
 
-    /// The latest state of an earlier era than `era` that this router saw or received.
+    /// The latest state of an earlier era than `era` that this router read, wrote or received.
     pub(super) fn latest_before(&self, era: u64) -> Option<(store::Position, ledger::Shard)> {
         let is_before = |known: &&(store::Position, ledger::Shard)| known.0.era < era;
         let seen = self.last_seen.as_ref().filter(is_before);
--- a/core/src/log_index.rs
+++ b/core/src/log_index.rs
@@ -108,9 +108,9 @@
     }
 }
 
-/// The state of one shard of the log of claims and settlements, built by applying the shard's segments in order: which
-/// request ids are claimed or have ended, and the billed totals. It decides whether a claim is granted and whether a
-/// settlement is billed.
+/// The state of one shard of the log, in which routers record claims (who may run a request) and settlements (what it
+/// cost), built by applying the shard's segments in order: which request ids are claimed or have ended, and the billed
+/// totals. It determines whether a claim is granted and whether a settlement is billed.
 #[derive(Clone, Debug, Default)]
 pub struct Index {
     ids: collections::HashMap<ids::RequestKey, (IdState, u64)>,
--- a/core/src/log_index/entries.rs
+++ b/core/src/log_index/entries.rs
@@ -40,11 +40,12 @@
     }
 }
 
-/// The record by which one attempt reserves the right to run a request that must run at most once. The first claim of a
+/// The record by which one attempt to run a request obtains the right to do so, where the request must run at most
+/// once. Routers append it to the log in the platform's store before they send the request. The first claim of a
 /// request in the log is granted; other attempts are refused unless it is released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The request to run.
+    /// The request that the attempt is to run.
     pub key: ids::RequestKey,
     /// The attempt that is to run it.
     pub attempt: ids::AttemptId,
@@ -53,12 +54,13 @@
 }
 
 /// The record of a request that ended: its cost in tokens, the budget that is charged and, for a request that must run
-/// at most once, its answer. The log bills the first settlement of each request.
+/// at most once, its answer. Routers append it to the log in the platform's store, where the first settlement of each
+/// request is billed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settlement {
-    /// The request that ended.
+    /// The request that was run.
     pub key: ids::RequestKey,
-    /// The attempt that ended.
+    /// The attempt that ran it; other attempts may have run it as well.
     pub attempt: ids::AttemptId,
     /// The router that served the request.
     pub origin: ids::Incarnation,
@@ -73,7 +75,7 @@
     pub budget: String,
     /// The region of the router that served the request.
     pub region: String,
-    /// The number of tokens served.
+    /// The number of tokens that the attempt is charged with.
     pub consumed_tokens: u64,
     /// The answer to an unrepeatable request, replayed to callers that repeat it.
     pub outcome: Option<Outcome>,
@@ -83,7 +85,7 @@
 /// receives this answer, and the request doesn't run again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcome {
-    /// The HTTP status code.
+    /// The HTTP status code of the server's answer.
     pub status: u16,
     /// The media type of the body.
     pub content_type: String,
@@ -91,8 +93,9 @@
     pub body: Option<String>,
 }
 
-/// What the log contains about one request: that an attempt has claimed it and may be running it, or that it has ended.
-/// It is used to decide on claims of repeated requests.
+/// What the log of claims and settlements contains about one request: that an attempt has claimed it and may be running
+/// it, or that it has ended. Routers use it to decide whether another attempt, for a repetition of the request, may
+/// run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum IdState {
     /// An attempt has claimed the id and may be running the request.
@@ -106,20 +109,20 @@
     },
 }
 
-/// The tokens and the number of requests that were billed to one budget in one region, summed over the log's
-/// settlements.
+/// The tokens and the number of requests that were billed to one budget in one region, summed over the settlements in
+/// the log. An [`super::Index`] computes them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Totals {
-    /// The tokens billed, once for each id.
+    /// The tokens billed, for one attempt of each request.
     pub billed_tokens: u64,
     /// The number of requests billed.
     pub billed_requests: u64,
-    /// The tokens served again for an id that was already billed; consumed, but not billed.
+    /// The tokens of further attempts of a request that was already billed; consumed from the budget, but not billed.
     pub repeated_tokens: u64,
 }
 
 impl Totals {
-    /// Returns the total of tokens served.
+    /// Returns the number of tokens that all attempts were charged with, billed or not.
     pub fn consumed_tokens(&self) -> u64 {
         self.billed_tokens + self.repeated_tokens
     }
--- a/core/src/log_writer.rs
+++ b/core/src/log_writer.rs
@@ -10,7 +10,8 @@
 use rand::RngExt;
 use rand::rngs;
 
-/// The most entries in one segment, so that a segment is well below the size limit of a value in the store.
+/// The maximum number of entries in one segment, so that a segment is well below the size limit of a value in the
+/// store.
 pub const SEGMENT_ENTRIES: usize = 1_000;
 /// The largest checkpoint, in bytes; well below the size limit of a value in the store.
 const CHECKPOINT_BYTES_MAX: usize = 900_000;
@@ -21,37 +22,39 @@
 /// How long an entry that no caller waits for may be delayed, so that more entries are written together.
 const BATCH_DELAY_MS: u64 = 1_000;
 
-/// Who is notified once an entry of the log is durable, that is, stored in a segment: a request that this router
-/// serves, another router, or this router's [`crate::outbox::Outbox`].
+/// The recipient of the [`Completed`] report on an entry of the log, once the entry is durable, that is, stored in the
+/// platform's store: the request that needs the entry, the router that sent it, or this router itself, which hands over
+/// its settlements until they are durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Waiter {
-    /// A request that this router serves.
+    /// A request that this router serves, and that waits for the decision on its claim.
     Local(ids::RequestSlot),
     /// Another router, which sent the entry.
     Peer(ids::Incarnation),
-    /// This router's outbox of settlements that are not durable yet.
+    /// This router itself, which keeps a settlement in its [`crate::outbox::Outbox`] until it is durable. Nothing waits
+    /// for a release of a claim, which has this waiter too.
     Outbox,
 }
 
-/// Whether an entry of the log is written to the store at once, because a caller waits for it, or may be delayed and
-/// written together with others.
+/// Whether an entry of the log of claims and settlements is written to the store at once, because a caller waits for
+/// it, or may be delayed and written together with others. The router sets it for each entry that it appends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Urgency {
     /// A caller waits for it.
     Immediate,
-    /// It may be delayed and written with others, because another router has it as well.
+    /// It may be delayed and written with others, because no caller waits for it.
     Batched,
 }
 
-/// The report that an entry handed to the [`Writer`] is durable, or that the log already decides the claim in it. For a
-/// claim it contains whether the request may run.
+/// The report of a [`Writer`] that an entry is durable in the log, or that the log already decides the claim in it. For
+/// a claim it contains whether the request may run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Completed {
     /// The entry that was to be appended.
     pub entry: log_index::Entry,
     /// The recipient of this report.
     pub waiter: Waiter,
-    /// For a claim, whether its request may run.
+    /// For a claim, whether its request may run; `None` for other entries.
     pub verdict: Option<log_index::ClaimVerdict>,
 }
 
--- a/core/src/node.rs
+++ b/core/src/node.rs
@@ -2,8 +2,8 @@
 //!
 //! [`Node`] receives events as method calls and queues the effects as a list of [`Action`]s. Its functions are in the
 //! submodules: `admit` (from a request to its dispatch), `retries`, `tokens` and `queue` (waits for tokens and for
-//! servers), `limits` (rate limits of servers), `directives` (what servers state in headers of their answers), `settle`
-//! (ends of requests), `platform` (calls to the store), `peers` (messages).
+//! servers), `limits` (rate limits of servers), `directives` (headers of servers' answers that direct routers),
+//! `settle` (ends of requests), `platform` (calls to the store), `peers` (messages).
 
 mod admit;
 mod config_and_vms;
@@ -46,8 +46,8 @@
 use rand::rngs;
 use std::collections;
 
-/// The share of the platform's call rates that all routers use together, in percent; the rest is for operators, engines
-/// and polls.
+/// The share of the platform's call rates that all routers use together, in percent; the rest is for operators, backend
+/// servers and polls.
 const PLATFORM_SHARE_PERCENT: u64 = 70;
 /// Interval between measurements of the spending rates.
 const MEASURE_INTERVAL_MS: u64 = 500;
@@ -68,7 +68,7 @@
         /// When the log last showed that another attempt has claimed the id: this one waits for its outcome.
         other_attempt_seen_ms: Option<u64>,
     },
-    /// Sent to a server.
+    /// Sent to a server, whose answer has not ended.
     Running {
         reservation: crate::request::Reservation<crate::request::Sent>,
         server: ids::ServerSlot,
@@ -107,7 +107,7 @@
     refused_reason: Option<Reason>,
     /// When the last sync of the budget's ledger shard ended.
     synced_ms: u64,
-    /// No holder answered: until then, tokens are drawn from the ledger.
+    /// After no holder has answered: until then, tokens are drawn from the ledger.
     direct_draw_until_ms: u64,
 }
 
@@ -144,7 +144,8 @@
     queue_drains: collections::HashMap<String, queue::DrainRate>,
     token_searches: collections::HashMap<ids::BudgetSlot, TokenSearch>,
     retries: collections::HashMap<String, retry::Budget>,
-    /// The most routers that were live at once since this process started: routers that are cut off still count.
+    /// The maximum number of routers that were live at once since this process started, so that routers that are cut
+    /// off still count.
     max_live_routers: u64,
     outbox: outbox::Outbox,
     holders: holders::Holders,
@@ -245,12 +246,12 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// The router's lifecycle state.
+    /// The router's lifecycle state, by which it accepts or refuses requests.
     pub fn lifecycle(&self) -> Lifecycle {
         self.lifecycle
     }
 
-    /// The configuration in force.
+    /// The configuration in force; `None` before the first.
     pub fn config(&self) -> Option<&config::Published> {
         self.config.as_ref()
     }
--- a/core/src/node/admit.rs
+++ b/core/src/node/admit.rs
@@ -5,7 +5,8 @@
 use crate::{config, ids, log_index, log_writer, message, rendezvous, servers};
 use rand::RngExt;
 
-/// Time after which this router appends a claim itself if the claim's home router has not decided it.
+/// Time after which this router appends a claim itself if the claim's home, the router that appends the claims of its
+/// shard of the log, has not sent a decision.
 const CLAIM_HOME_TIMEOUT_MS: u64 = 400;
 /// Interval at which a request checks the log for the outcome of another attempt with its id.
 const CLAIM_CHECK_INTERVAL_MS: u64 = 250;
@@ -147,7 +148,8 @@
         running.then_some(Reason::InProgress)
     }
 
-    /// Reserves the tokens of a request and looks for a server; returns false if too few tokens are free.
+    /// Reserves the tokens of a request and looks for a server; returns false if too few tokens are free or none may be
+    /// spent now.
     pub(super) fn try_reserve(&mut self, slot: ids::RequestSlot, now_ms: u64) -> bool {
         let Some(request) = self.requests.get_mut(slot) else { return true };
         let Some(reservation) = self.grants.reserve(request.budget, request.admission.bound_tokens)
--- a/core/src/node/config_and_vms.rs
+++ b/core/src/node/config_and_vms.rs
@@ -57,8 +57,8 @@
         true
     }
 
-    /// Has the ledger shards synced in which this router holds a budget or has a grant: a new configuration may change
-    /// prepaid amounts.
+    /// Requests a sync of the ledger shards in which this router is a holder of a budget or has a grant: a new
+    /// configuration may change prepaid amounts.
     fn request_syncs_for_config(&mut self) {
         for (shard, ledger) in self.ledgers.iter_mut().enumerate() {
             let mut slots = self.grants.in_shard(shard as u32).iter();
@@ -145,20 +145,19 @@
             .filter(|vm| vm.service != ROUTER_SERVICE && !self.eras.holds_back(&vm.vm))
             .cloned()
             .collect();
-
-        // Where servers record when they started, a record without a start time comes from another writer.
         for vm in
             backends.iter_mut().filter(|vm| self.leaving_servers.contains(&vm.vm, vm.incarnation))
         {
             vm.state = servers::VmState::Leaving;
         }
+        // Where servers record when they started, a record without a start time comes from another writer.
         if backends.iter().any(|vm| vm.incarnation != ids::ServerIncarnation::UNKNOWN) {
             backends.retain(|vm| vm.incarnation != ids::ServerIncarnation::UNKNOWN);
         }
         backends
     }
 
-    /// Reports servers that restarted.
+    /// Reports servers that restarted to the process and to the log.
     fn report_restarted(&mut self) {
         for restarted in self.servers.take_restarted() {
             let servers::Restarted { vm, incarnation, .. } = &restarted;
@@ -168,8 +167,8 @@
         }
     }
 
-    /// Forgets leaving servers that have ended. A received report stays valid if the server's record expired meanwhile,
-    /// and does not apply to a later incarnation of the server.
+    /// Removes the entries of leaving servers that no longer apply. An entry doesn't apply to a later incarnation of
+    /// the server; one that a server's answer caused stays valid for a while if the server's record expires.
     fn expire_leaving_servers(&mut self, now_ms: u64) {
         let vms = self.vms.values().chain(&self.lapsed);
         let incarnations: collections::HashMap<&str, ids::ServerIncarnation> =
--- a/core/src/node/confirmations.rs
+++ b/core/src/node/confirmations.rs
@@ -1,5 +1,5 @@
-//! Determines whether the routers that could have drawn tokens before a restore of the store have recovered the data
-//! that they had of the ledger, so that fewer tokens have to be withheld.
+//! Determines whether the routers that could have drawn tokens before a restore of the store have written their copies
+//! of the ledger back to it, so that fewer tokens have to be withheld.
 //!
 //! A router confirms this for itself and for earlier incarnations at its address. It can confirm the latter if it read
 //! the shard before the restore, or had run for longer than the age of any backup; or if the requesting router read the
--- a/core/src/node/counters.rs
+++ b/core/src/node/counters.rs
@@ -4,8 +4,8 @@
 use serde::Serialize;
 
 /// What a call of a router to the platform's store is for: following the configuration or the list of servers,
-/// recording the router's address, or reading or writing the ledger, the log or the quarantine record. Calls are
-/// counted by it.
+/// recording the router's address, or reading or writing the ledger (token budgets), the log (who may run a request,
+/// and what it cost) or the record of requests that crash servers. Calls are counted by purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 #[allow(missing_docs)]
@@ -16,7 +16,7 @@
     Announce,
     LedgerRead,
     LedgerWrite,
-    /// Reads the log of settled requests.
+    /// Reads the log of claims and settlements of requests.
     LogRead,
     LogWrite,
     /// Reads the record of quarantined requests, which are not sent to servers.
@@ -41,30 +41,32 @@
     }
 }
 
-/// What became of a call of a router to the platform's store, such as an update, no change, a conflict or no answer.
-/// Calls are counted by it.
+/// The result of a call of a router to the platform's store, such as an update, no change, a conflict or no answer.
+/// Polls are counted when they end; other calls when they are sent, and again if they end in a conflict or without an
+/// answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallOutcome {
-    /// It was sent; its end is counted separately.
+    /// A call other than a poll was sent.
     Sent,
-    /// It returned an update.
+    /// The poll returned an update.
     News,
-    /// It ended without an update.
+    /// The poll was answered without an update.
     Empty,
-    /// The store has discarded the history that it requested.
+    /// The store has discarded the history that the poll requested.
     Forgotten,
-    /// The store replied that it does not serve requests at present.
+    /// The store answered the poll that it is unavailable.
     Refused,
-    /// The poll ended without an answer.
+    /// The call ended without an answer. For calls other than polls, this includes an answer that belongs to an earlier
+    /// era of the store.
     Silent,
-    /// Another router's write was applied before it, so it was rejected as a conflict.
+    /// The write was rejected as a conflict, because another one was applied before it.
     Overtaken,
-    /// It was cancelled, because the update that it waited for arrived from elsewhere.
+    /// The poll was cancelled, because the update that it waited for arrived from elsewhere.
     GivenUp,
-    /// Its answer arrived after it was cancelled.
+    /// The poll ended after it was cancelled.
     Late,
-    /// The answer belongs to an earlier era of the store.
+    /// The answer to the poll belongs to an earlier era of the store.
     EarlierEra,
 }
 
--- a/core/src/node/dump.rs
+++ b/core/src/node/dump.rs
@@ -116,7 +116,10 @@
             let server = self.servers.get(slot)?;
             let figures = json!({
                 "service": server.vm.service,
-"limit_milli_per_s" : limited . report . limit_milli_per_s , "since_ms_ago" : now_ms . saturating_sub ( limited . since_ms ) , "heard_ms_ago" : now_ms . saturating_sub ( limited . report . received_ms ) , "heard_by" : limited . report . answer . router . to_string ( ) ,
+                "limit_milli_per_s": limited.report.limit_milli_per_s,
+                "since_ms_ago": now_ms.saturating_sub(limited.since_ms),
+                "heard_ms_ago": now_ms.saturating_sub(limited.report.received_ms),
+                "heard_by": limited.report.answer.router.to_string(),
                 "paced_by": self.pacing_router(slot).map(|router| router.to_string()),
             });
             Some((server.vm.vm.clone(), figures))
--- a/core/src/node/eras.rs
+++ b/core/src/node/eras.rs
@@ -12,7 +12,8 @@
 const REWRITE_WINDOW_MS: u64 = 5_000;
 /// How long evacuations of the lost history stay in effect, so that the operator can write them again.
 const EVACUATIONS_TTL_MS: u64 = 2_000;
-/// Retention period for removed records; it must exceed the age of a backup, which is a few seconds.
+/// Retention period for removed records; it must exceed the greatest age of a backup, by default
+/// [`crate::grants::DEFAULT_BACKUP_AGE_MS`].
 const REMOVED_TTL_MS: u64 = 60_000;
 /// The maximum number of removed records that are retained.
 const REMOVED_MAX: usize = 4_096;
--- a/core/src/node/holders.rs
+++ b/core/src/node/holders.rs
@@ -25,8 +25,8 @@
 /// Interval between returns of excess tokens.
 const RETURN_INTERVAL_MS: u64 = 250;
 /// A router does not act as a holder before it has discovered the other routers: until no new member was discovered for
-/// this long, since peers send all the members that they have in one go. Without a holder, every shortage costs a call
-/// to the store.
+/// this long, since a peer sends all the members of its list together. Without a holder, every shortage costs a call to
+/// the store.
 const MEMBERSHIP_QUIET_MS: u64 = 400;
 /// A router may act as a holder after running this long, even if it still discovers members or has discovered none.
 const MEMBERSHIP_SETTLE_MS: u64 = 2_000;
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Repeats unanswered requests, sends one to the next holder after a timeout, answers the requests of other routers,
-    /// and returns excess tokens.
+    /// Repeats unanswered requests, sends one to the next holder after a timeout, answers the requests of other
+    /// routers, and returns excess tokens.
     pub(super) fn tick_holders(&mut self, now_ms: u64) {
         self.holders.skipped_until_ms.retain(|_, until_ms| now_ms < *until_ms);
         let timed_out = |pending: &PendingTransfer| {
@@ -161,15 +161,15 @@
         self.actions.push(Action::Notice(Notice::HolderSilent { vm, budget }));
     }
 
-    /// Asks the first holder that is not skipped, unless a request is under way.
+    /// Sends a transfer request to the first holder that is not skipped, unless one is unanswered.
     pub(super) fn request_from_holder(&mut self, budget: ids::BudgetSlot, now_ms: u64) {
         if !self.holders.sent_requests.contains_key(&budget) {
             self.ask_another_holder(Vec::new(), false, budget, now_ms);
         }
     }
 
-    /// Asks the next holder. If none is left, this router draws from the ledger itself, but only if no holder answered:
-    /// a holder that answered can reach the ledger as well as this router can.
+    /// Sends a transfer request to the next holder. If none is left, this router draws from the ledger itself, but only
+    /// if no holder answered: a holder that answered can reach the ledger as well as this router can.
     fn ask_another_holder(
         &mut self,
         earlier: Vec<ids::Incarnation>,
@@ -178,7 +178,7 @@
         now_ms: u64,
     ) {
         let Some(holder) = self.next_holder(budget, &earlier) else {
-            // In this router's view of the membership, it is the first holder itself.
+            // In this router's view of the membership it is the first holder itself, or all holders are skipped.
             let is_first = earlier.is_empty();
             self.grants.account_mut(budget).holder |= is_first;
             match answered {
@@ -225,14 +225,15 @@
         }
     }
 
-    /// Ends a request that a holder answered with tokens. If requests still wait for this budget, another one follows.
+    /// Ends a transfer request that a holder answered with tokens. The next tick sends another one if requests still
+    /// wait for the budget.
     pub(super) fn complete_holder_request(&mut self, budget: ids::BudgetSlot, number: u64) {
         if self.holders.sent_requests.get(&budget).is_some_and(|pending| pending.number == number) {
             self.holders.sent_requests.remove(&budget);
         }
     }
 
-    /// Asks the next holder if requests still wait for the budget.
+    /// Sends a transfer request to the next holder, provided that requests still wait for the budget.
     fn request_from_next_holder(
         &mut self,
         budget: ids::BudgetSlot,
@@ -297,7 +298,7 @@
         self.requests.values().filter(waits)
     }
 
-    /// Refuses all requests that wait for a budget.
+    /// Refuses all requests that wait for a budget, and records that it is exhausted or unreachable.
     fn refuse_waiting_requests(&mut self, budget: ids::BudgetSlot, reason: Reason, now_ms: u64) {
         let (smallest, _) = self.waiting_tokens(budget);
         self.record_exhausted(budget, smallest, reason, now_ms);
@@ -369,7 +370,8 @@
     }
 }
 
-/// The tokens that a router may return to a holder; `None` if there are none.
+/// The tokens that a router may return to a holder; `None` if there are none, or if a restore of the store may have
+/// lost its grant.
 fn excess_tokens(account: &grants::Account, stopping: bool) -> Option<u64> {
     let kept = match stopping || account.confirm_version > 0 {
         true => 0,
--- a/core/src/node/limits.rs
+++ b/core/src/node/limits.rs
@@ -18,7 +18,8 @@
 const TRIAL_SPREAD_MS: u64 = 2_000;
 /// Validity of a granted trial: a request that arrives within this time uses it.
 const TRIAL_VALID_MS: u64 = 1_000;
-/// Time after which a router that is not the pacer of a server, and replied so, gets another permit request.
+/// Time after which a permit request is repeated if the router that received it is not the pacer of the server, or
+/// cannot grant permits yet.
 const NOT_PACER_RETRY_MS: u64 = 300;
 /// Minimum time over which the retries of refused callers are spread.
 const RETRY_SPREAD_MIN_MS: u64 = 500;
--- a/core/src/node/notices.rs
+++ b/core/src/node/notices.rs
@@ -18,7 +18,7 @@
 pub enum QuarantineSource {
     /// It detected the crash itself.
     Observed,
-    /// Another router reported it.
+    /// Another router reported it by gossip.
     Peer,
     /// It was read from the platform's store.
     Store,
@@ -41,8 +41,9 @@
     }
 }
 
-/// Why a router changed its record of the requests per second that a backend server accepts from all routers together:
-/// an answer of the server to this or to another router, or because no answer confirmed the limit for too long.
+/// Why a router changed its record of the rate limit of a backend server (the requests per second that it accepts from
+/// all routers together): an answer of the server to this or to another router, or no answer that confirmed the limit
+/// for too long. It is written to the log lines on limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitSource {
     /// An answer of the server to this router.
@@ -53,26 +54,28 @@
     Expired,
 }
 
-/// An event at one router that operators are to see in its log lines, such as a crashed backend server, a quarantined
-/// request or the recovery after a restore of the store.
+/// An event at one router that operators are to see in its log lines, such as a crashed backend server, a request that
+/// is no longer run because it crashes servers, or the recovery after a restore of the store from a backup.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// The grants of a terminated holder were closed.
+    /// This router closed the grants of a terminated holder, a router process that held tokens of budgets.
     TerminatedHolderClosed {
         /// The router incarnation that held the grants.
         holder: ids::Incarnation,
-        /// Tokens that are counted as spent, as their use was not reported.
+        /// Granted tokens that the holder had not reported as consumed. They count as spent, because they may have
+        /// been.
         written_off_tokens: u64,
-        /// The closed grants.
+        /// The grants, with the budget that each was granted from.
         grants: Vec<ledger::WrittenOffGrant>,
     },
-    /// It was decided whether tokens that are withheld since a restore of the store are released or lost.
+    /// This router decided how many of the tokens that are withheld since a restore of the store stay withheld, and
+    /// whether they are lost.
     RecoveryDecided {
-        /// Shard of the ledger.
+        /// Shard of the ledger whose budgets have withheld tokens.
         shard: u32,
-        /// Era of the store.
+        /// Era of the store for which the decision holds.
         era: u64,
-        /// What is done with the withheld tokens.
+        /// The decision for the budgets of the shard.
         decision: ledger_writer::RecoveryDecision,
     },
     /// A server restarted under its name.
@@ -81,7 +84,7 @@
     ServerCrashed {
         /// VM of the server.
         vm: String,
-        /// The incarnation that ended.
+        /// The server incarnation that ended.
         incarnation: ids::ServerIncarnation,
         /// Number of requests that broke off.
         requests: usize,
@@ -99,7 +102,7 @@
     RequestQuarantined {
         /// Fingerprint of the request.
         request: ids::Fingerprint,
-        /// Remaining duration in milliseconds.
+        /// Remaining duration of the quarantine, in milliseconds.
         for_ms: u64,
         /// Source of the report.
         source: QuarantineSource,
@@ -115,7 +118,7 @@
     },
     /// A record in the store cannot be read.
     RecordUnreadable {
-        /// Key of the record.
+        /// Key of the record in the store.
         key: &'static str,
         /// Why it cannot be read.
         fault: String,
@@ -126,7 +129,7 @@
     UnusableValue(String),
     /// A holder of a budget did not reply in time; no requests are sent to it for some time.
     HolderSilent {
-        /// VM of the holder.
+        /// VM of the holder, a router that keeps tokens of the budget.
         vm: String,
         /// Budget of the transfer request.
         budget: String,
@@ -140,14 +143,14 @@
         /// Limit in thousandths of a request per second, for all routers together; `None` if the server is no longer
         /// limited.
         limit_milli_per_s: Option<u64>,
-        /// Source of the limit.
+        /// Source from which this router received the change.
         source: LimitSource,
     },
     /// A server leaves: it gets no new requests.
     ServerLeaving {
         /// VM of the server.
         vm: String,
-        /// The incarnation that leaves.
+        /// The server incarnation that leaves.
         incarnation: ids::ServerIncarnation,
         /// Service of the server; empty if unknown.
         service: String,
@@ -160,7 +163,7 @@
     ServerLeavingEnded {
         /// VM of the server.
         vm: String,
-        /// The incarnation that left.
+        /// The server incarnation that was recorded as leaving.
         incarnation: ids::ServerIncarnation,
     },
     /// A server requested a backoff: this router sends it no requests for some time.
@@ -188,7 +191,8 @@
         /// Header that cannot be parsed.
         header: servers::Header,
     },
-    /// A server's record disappeared while the store was unavailable; it is kept for some time.
+    /// A server's record disappeared while the store was unavailable or in a restore of the store; it is kept for some
+    /// time.
     RecordLapsed {
         /// VM of the server.
         vm: String,
@@ -204,11 +208,12 @@
         /// Number of known servers in it.
         servers: usize,
     },
-    /// A poll of the store was given up, as its answer is not expected any more.
+    /// A poll of the store was cancelled: the update that it waited for arrived from elsewhere, and its answer did not
+    /// follow.
     PollGivenUp {
         /// Topic of the poll.
         topic: watch::Topic,
-        /// The poll that was given up.
+        /// The poll that was cancelled.
         call: watch::AbandonedPoll,
     },
     /// An answer of the store was ignored because its position precedes that of this router's copy.
@@ -240,7 +245,6 @@
         /// The maximum duration in milliseconds.
         for_ms: u64,
     },
-
     /// This router's role in following the store changed.
     WatchRole {
         /// The role from now on.
@@ -255,7 +259,7 @@
     },
     /// A server reported more tokens than were reserved for the request.
     Overrun {
-        /// Name of the budget.
+        /// Name of the budget that the request is charged to.
         budget: String,
         /// Tokens in excess of the reservation.
         tokens: u64,
--- a/core/src/node/platform.rs
+++ b/core/src/node/platform.rs
@@ -242,8 +242,9 @@
         }
     }
 
-    /// Notifies the routers at the addresses of `holders`, which are earlier incarnations with grants in a shard of the
-    /// ledger. Only a router that has bound the same address can be certain that its predecessor has terminated.
+    /// Notifies the routers at whose addresses another incarnation has grants in a shard of the ledger; `holders` are
+    /// all incarnations with grants and their addresses. Only a router that has bound the same address can be certain
+    /// that its predecessor has terminated.
     fn notify_successors(&mut self, shard: u32, holders: &[(ids::Incarnation, String)]) {
         let successor = |(predecessor, address): &(ids::Incarnation, String)| {
             let live = self.members.live();
--- a/core/src/node/quarantine.rs
+++ b/core/src/node/quarantine.rs
@@ -18,10 +18,9 @@
 pub struct BrokenRun {
     /// The request, as long as this router has it.
     pub slot: ids::RequestSlot,
-
     /// The server incarnation that ran it.
     pub server: quarantine::ServerInstance,
-    /// Address of the server.
+    /// Address at which the server accepted the request.
     pub address: String,
     /// Fingerprint by which equal requests are recognized.
     pub request: ids::Fingerprint,
--- a/core/src/node/retries.rs
+++ b/core/src/node/retries.rs
@@ -4,7 +4,8 @@
 use crate::{ids, servers};
 use rand::RngExt;
 
-/// Number of servers that may reject a request in addition to its attempts.
+/// A request is sent again until the number of failed sends exceeds `attempts_max` by more than this, so that
+/// rejections, which are not attempts, are bounded as well.
 const REJECTIONS_MAX: u32 = 2;
 const RETRY_AFTER_MIN_MS: u64 = 50;
 /// Minimum time over which the retries of callers that are refused because of backoffs are spread. Otherwise they are
--- a/core/src/node/settle.rs
+++ b/core/src/node/settle.rs
@@ -9,7 +9,8 @@
 const OWN_APPEND_AFTER_MS: u64 = 5_000;
 
 impl Node {
-    /// Ends a dispatched request. `Answer::Closed` follows when its settlement is safe.
+    /// Ends a dispatched request. [`Answer::Closed`] follows when its settlement is safe or the longest wait for this
+    /// is over.
     pub fn finish(&mut self, slot: ids::RequestSlot, request_outcome: RequestOutcome, now_ms: u64) {
         let Some(request) = self.requests.get_mut(slot) else { return };
         let stage = std::mem::replace(&mut request.stage, Stage::WaitingHandover);
--- a/core/src/node/tokens.rs
+++ b/core/src/node/tokens.rs
@@ -96,8 +96,8 @@
         };
         // If enough is left, the sync that ended began before this shortage was recorded.
         let known_insufficient = read && !sufficient;
-        // Holders get no tokens from one another, and other routers have none of the budget to spare, so a single holder
-        // sends no requests to peers.
+        // Holders get no tokens from one another, and other routers have none of the budget to spare, so a single
+        // holder sends no requests to peers.
         let single_holder = account.settings.holders == 1;
         let requested =
             single_holder || (search.requested_ms >= since_ms && search.requested_ms > 0);
--- a/core/src/node/transfer_requests.rs
+++ b/core/src/node/transfer_requests.rs
@@ -141,8 +141,8 @@
         insufficient && (synced_ms >= since_ms || now_ms < synced_ms + REMAINDER_VALID_MS)
     }
 
-    /// Deducts tokens from this router's account and sends them to a peer, as the reply to its request number
-    /// `answers`.
+    /// Deducts tokens from this router's account and sends them to a peer. `in_reply_to` is the number of the peer's
+    /// request that they are the reply to; 0 if there is none.
     pub(super) fn send_tokens(
         &mut self,
         to: ids::Incarnation,
--- a/core/src/node/types.rs
+++ b/core/src/node/types.rs
@@ -41,26 +41,26 @@
 }
 
 /// Whether a router process is starting, accepts requests, is stopping or has stopped, or must be restarted because
-/// another router closed its share of the budgets in the belief that it had terminated.
+/// another router took it for terminated and closed its grants (its shares of the token budgets).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Lifecycle {
-    /// It has no configuration yet.
+    /// It does not have both a configuration and a list of VMs yet.
     Starting,
-    /// The router accepts requests.
+    /// It has a configuration and a list of VMs, and accepts requests.
     Ready,
-    /// Another router wrote off its grants as those of a terminated router: it accepts no new requests and must be
+    /// Another router wrote off its grants as those of a terminated router. It accepts no new requests and must be
     /// restarted.
     Fenced,
-    /// A planned stop is in progress.
+    /// A planned stop is in progress: it refuses new requests and finishes the running ones.
     Stopping,
     /// All its grants are returned and its settlements are durable.
     Stopped,
 }
 
 /// A caller's request, described for the [`super::Node`] that decides whether to admit it and to which backend server
-/// it is sent: its id, budget, service, maximum cost, priority and deadline. A traffic thread sends it after it has
-/// authenticated the caller and evaluated the policy.
+/// it is sent: its id, budget, service, maximum cost, priority and deadline. The thread that serves the caller's
+/// connection (a traffic thread) creates it after it has authenticated the caller and evaluated the policy.
 #[derive(Clone, Debug)]
 pub struct AdmissionRequest {
     /// The request id, unique within the fleet: the caller's id together with the workspace.
@@ -71,7 +71,7 @@
     pub body_hash: u64,
     /// Name of the budget in the ledger.
     pub budget: String,
-    /// Name of the service.
+    /// Name of the service, a group of interchangeable backend servers.
     pub service: String,
     /// Classes of VMs that the policy allows; empty allows all.
     pub classes: Vec<String>,
@@ -94,16 +94,16 @@
     pub deadline_ms: u64,
 }
 
-/// How a request ended that was sent to a backend server, as reported by the traffic thread that sent it: it did not
-/// run, it ran and used tokens, the caller disconnected, or it is not known whether it ran. It decides how many tokens
-/// are charged.
+/// How a request ended that was sent to a backend server: it did not run, it ran and used tokens, the caller
+/// disconnected, or it is not known whether it ran. The thread that sent the request reports it to the [`super::Node`],
+/// and it determines how many tokens are charged.
 #[derive(Clone, Debug)]
 pub enum RequestOutcome {
     /// Nothing was sent, or the server reported that it did not start the request.
     NotRun,
     /// The server ran the request, completely or partially.
     Ran {
-        /// Tokens that were used.
+        /// Tokens that the run used.
         consumed_tokens: u64,
         /// The answer to record, for a request that must run at most once.
         outcome: Option<log_index::Outcome>,
@@ -120,8 +120,8 @@
 }
 
 /// Whether a backend server that returned no answer to a request received nothing of it, reported that it did not run
-/// it, or may have run it. It decides whether the failure counts as an attempt of the request, as a retry of the
-/// service, and as a fault of the server.
+/// it, or may have run it. It determines whether the failure counts as an attempt of the request, whether a retry
+/// counts against the retries that its service may make, and how the failure counts against the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptFailure {
     /// No byte of the request was sent.
@@ -132,14 +132,14 @@
     MayHaveRun,
 }
 
-/// Why a router refused a request, for instance because its budget is exhausted or no backend server is available.
-/// Refusals are reported to the caller and counted by it.
+/// Why a router refused a request, for instance because its budget is exhausted or no backend server is available. The
+/// router reports the reason to the caller, and counts its refusals by reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// The router has no configuration yet.
+    /// The router does not have both a configuration and a list of VMs yet.
     NotReady,
-    /// The router is stopping.
+    /// The router is stopping, as planned by its operator.
     Stopping,
     /// The router's grants were written off by another router, and it must restart.
     Fenced,
@@ -147,13 +147,14 @@
     Unconfigured,
     /// The budget has too few tokens left for the request.
     BudgetExhausted,
-    /// It could not be determined from the store whether the budget covers the request.
+    /// It could not be determined in time whether the budget covers the request, or only tokens that may not be drawn
+    /// yet would cover it.
     BudgetUnreachable,
     /// Too many requests wait for a server, or this one waited too long.
     Overloaded,
-    /// No matching server is live.
+    /// No matching server is live or, for a retry, none has capacity.
     NoServer,
-    /// The caller's deadline would pass before an answer.
+    /// The caller's deadline passed before the request could be sent to a server.
     DeadlineTooClose,
     /// The claim could not be recorded in the log.
     ClaimUnreachable,
@@ -209,14 +210,14 @@
     }
 }
 
-/// What a [`super::Node`] decided about one request, sent to the traffic thread that serves the caller: to send the
-/// request to a backend server, to refuse it, to return the answer recorded earlier, or to send the last part of the
-/// answer.
+/// A decision of a [`super::Node`] on one request, sent to the thread that serves the caller: to send the request to a
+/// backend server, to refuse it, to return the answer that an earlier run of it recorded, or to end the answer. The
+/// last chunk of an answer is not sent before this, so that the request's cost is not lost if the router crashes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// Send the request to this server now.
     Dispatch {
-        /// Address of the server.
+        /// Address at which the server accepts requests.
         address: String,
         /// VM of the server.
         vm: String,
@@ -227,19 +228,19 @@
         /// Estimate of the prompt tokens that the server does not have in its cache.
         unread_tokens: u64,
     },
-    /// The request is refused.
+    /// The request is refused: it was not run, or is not retried any more.
     Refuse {
-        /// Why it is refused.
+        /// Why the request is refused.
         reason: Reason,
         /// Time, in milliseconds, after which the caller may repeat it.
         retry_after_ms: u64,
     },
     /// The request ran earlier; contains the recorded outcome, if there is one.
     Replay(Option<log_index::Outcome>),
-    /// The last chunk of the answer may be sent.
+    /// The request has ended, and the last chunk of its answer may be sent.
     Closed {
-        /// Whether the settlement survives a crash of this router. It does not if neither another router
-        /// nor the store could be reached in time.
+        /// Whether the settlement, the record of the request's cost, survives a crash of this router. It does not if
+        /// neither another router nor the store could be reached in time.
         safe: bool,
     },
 }
@@ -252,17 +253,16 @@
     Store {
         /// Identifies the call in the reply.
         call: ids::CallId,
-        /// Content of the call.
+        /// The read, write or deletion to make.
         request: store::Request,
     },
-
     /// Polls the store for updates; exactly one [`super::Node::poll_ended`] must follow, unless the poll is cancelled.
     Poll(watch::Poll),
     /// Cancels a poll of the store; its answer is no longer needed.
     CancelPoll {
         /// Topic of the poll.
         topic: watch::Topic,
-        /// Number of the poll.
+        /// Number of the poll, as in its [`watch::Poll`].
         number: u64,
     },
     /// Records this router's address in the store, and adds the addresses that others recorded there to the seeds.
@@ -278,19 +278,19 @@
     Gossip {
         /// Address of the peer.
         address: String,
-        /// Content of the datagram.
+        /// The datagram with its sender.
         gossip: message::Gossip,
     },
     /// Sends the decision about a request to its traffic thread.
     Answer {
         /// The slot of the request in the table of requests.
         slot: ids::RequestSlot,
-        /// What was decided: a dispatch, or a refusal with its reason.
+        /// The decision on the request.
         answer: Answer,
     },
     /// Reports that a new configuration is in force.
     ConfigInForce {
-        /// Version of the configuration.
+        /// Version of the configuration that is in force.
         version: u64,
         /// Source from which it was received.
         source: ConfigSource,
--- a/core/src/node/watching.rs
+++ b/core/src/node/watching.rs
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Handles the end of a poll that was requested with [`Action::Poll`]. The end of a poll that was given up before
+    /// Handles the end of a poll that was requested with [`Action::Poll`]. The end of a poll that was cancelled before
     /// is only counted.
     pub fn poll_ended(&mut self, call: watch::Poll, outcome: watch::Outcome, now_ms: u64) {
         let topic = call.topic;
@@ -277,7 +277,8 @@
         }
     }
 
-    /// Starts the polls that are due, gives up unanswered ones, and pushes updates to peers.
+    /// Starts the polls that are due, cancels unanswered ones whose update arrived from elsewhere, and pushes updates
+    /// to peers.
     pub(super) fn tick_watching(&mut self, now_ms: u64) {
         self.update_role(now_ms);
         self.expire_lapsed(now_ms);
--- a/core/src/outbox.rs
+++ b/core/src/outbox.rs
@@ -1,4 +1,4 @@
-//! The settlements that are not in the log yet and the transfers that are not acknowledged yet.
+//! A router's settlements that are not in the log yet, and its transfers of tokens that are not acknowledged yet.
 
 use crate::{ids, log_index};
 use std::collections;
@@ -13,16 +13,15 @@
 /// How long a router may take to acknowledge a settlement before it is also sent to the next one.
 pub const SETTLEMENT_TIMEOUT_MS: u64 = 150;
 
-/// The outcome and cost of a request that this router served ([`log_index::Settlement`]) and that is not in the stored
-/// log yet. It contains what is needed to hand it over to another router or to the log, again if there is no
-/// confirmation.
+/// The record of the cost of a request that this router served ([`log_index::Settlement`]), as long as it is not in the
+/// log in the platform's store. The router hands it over to another router or to the log until the log contains it.
 #[derive(Clone, Debug)]
 pub struct PendingSettlement {
     /// The settlement to append.
     pub settlement: log_index::Settlement,
-    /// The request whose last chunk is withheld until the settlement is safe.
+    /// The request whose last chunk waits until the settlement is safe; `None` after this wait.
     pub waiting_request: Option<ids::RequestSlot>,
-    /// How often the settlement was handed over.
+    /// The number of attempts to hand the settlement over to another router or to the log.
     pub tries: usize,
     /// Whether another router or the log has the settlement.
     pub safe: bool,
@@ -80,8 +79,8 @@
     applied: collections::BTreeMap<u64, bool>,
 }
 
-/// Whether a transfer of tokens that arrives from another router is new, was applied or was declined before, so that a
-/// transfer that arrives more than once is applied at most once.
+/// What a router did before with a transfer of budget tokens from another router: nothing, applied it or declined it.
+/// Transfers are sent again until they are acknowledged, so a router looks this up to apply each at most once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransferStatus {
     /// The transfer has not been received before.
@@ -92,9 +91,9 @@
     Declined,
 }
 
-/// What one router must send until it is acknowledged: the settlements of its requests that are not in the log yet, and
-/// the tokens that it transfers to other routers. It also records which transfers arrived from other routers, so that
-/// each is applied at most once.
+/// What one router must send until it is acknowledged: the settlements (records of the cost) of its requests that are
+/// not in the log yet, and the tokens that it transfers to other routers. It also records which transfers arrived from
+/// other routers, so that each is applied at most once.
 #[derive(Debug, Default)]
 pub struct Outbox {
     /// The settlements that are not in the log yet, by attempt.
--- a/core/src/request.rs
+++ b/core/src/request.rs
@@ -17,9 +17,9 @@
 #[derive(Debug)]
 pub enum Sent {}
 
-/// The tokens of a budget that a router sets aside for one request, as many as the request can cost at most, so that
-/// other requests cannot spend them. `State` is [`Held`] before the request is sent to a backend server and [`Sent`]
-/// afterwards.
+/// The tokens of a prepaid budget that a router sets aside for one request, as many as the request can cost at most, so
+/// that other requests cannot spend them. `State` is [`Held`] before the request is sent to a backend server and
+/// [`Sent`] afterwards.
 #[derive(Debug)]
 #[must_use = "a reservation is released or settled"]
 pub struct Reservation<State> {
@@ -29,7 +29,7 @@
 }
 
 /// The budget and the number of tokens of a [`Reservation`] that has ended, because its request was not sent or its
-/// cost is final. The table of budgets uses it to make the tokens available again or to charge them.
+/// cost is final. [`crate::grants::Table`] uses it to make the tokens available again or to charge them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ended {
     /// The budget from which the tokens were reserved.
@@ -44,7 +44,7 @@
         self.budget
     }
 
-    /// Returns the most that the request can cost, in tokens.
+    /// Returns the maximum cost of the request, in tokens.
     pub fn bound_tokens(&self) -> u64 {
         self.bound_tokens
     }
--- a/core/src/store.rs
+++ b/core/src/store.rs
@@ -43,8 +43,8 @@
         /// The key to read.
         key: String,
     },
-    /// Writes one key if its modification index still is `expected_index` (revision 0: the key is absent) and the
-    /// marker of no later era is set.
+    /// Writes one key if its modification index still is `expected_index` (revision 0: the key is absent) and the store
+    /// has no marker of a later era. Markers are keys that the first writes after a restore of the store set.
     Write {
         /// The key to write.
         key: String,
@@ -55,7 +55,7 @@
         /// Also sets the marker of the era of `expected_index`, so that pending writes of earlier eras are refused.
         sets_era_marker: bool,
     },
-    /// Deletes all keys with a prefix; the reply is `Written`.
+    /// Deletes all keys with a prefix; the reply is [`Reply::Written`].
     DeletePrefix {
         /// The prefix of the keys to delete.
         prefix: String,
@@ -108,7 +108,7 @@
         /// The era of the store when it replied.
         era: u64,
     },
-    /// The compare-and-swap took effect.
+    /// The compare-and-swap or the deletion took effect.
     Written {
         /// The era of the store when it replied.
         era: u64,
