--- a/core/src/grants/account.rs
+++ b/core/src/grants/account.rs
@@ -123,7 +123,7 @@
     pub(super) peak_milli_tokens_per_s: u64,
     pub(super) spending_since_ms: u64,
     /// When the budget was last spent or drawn from, as known here.
-    pub(super) spent_ms: u64,
+    pub(super) last_use_ms: u64,
     last_undrawn_tokens: u64,
     pub(super) measured_tokens: u64,
     pub(super) measured_ms: u64,
@@ -170,7 +170,7 @@
             declared_ms: now_ms,
             peak_milli_tokens_per_s: 0,
             spending_since_ms: now_ms,
-            spent_ms: now_ms,
+            last_use_ms: now_ms,
             last_undrawn_tokens: 0,
             measured_tokens: 0,
             measured_ms: now_ms,
@@ -294,7 +294,7 @@
         // Routers that cannot reach this one draw as well, so fewer undrawn tokens mean that the budget is in use.
         let undrawn_tokens = budget.remaining_tokens().unwrap_or(0);
         if undrawn_tokens < std::mem::replace(&mut self.last_undrawn_tokens, undrawn_tokens) {
-            self.spent_ms = self.measured_ms;
+            self.last_use_ms = self.measured_ms;
         }
         self.remaining_tokens = Some(budget.drawable_tokens());
         self.held_tokens = budget.held_tokens();
@@ -325,16 +325,17 @@
         if !self.needs_draw() {
             return 0;
         }
-        let high = match self.settings.held_percent {
+        let draw_target_tokens = match self.settings.held_percent {
             0 => self.target_tokens().saturating_mul(3) / 2,
             _ => self.target_tokens(),
         };
-        let high = high.max(self.extra_draw_tokens());
+        let draw_target_tokens = draw_target_tokens.max(self.extra_draw_tokens());
         let available = self.free_or_locked_tokens();
-        let lacking = high.saturating_add(self.shortage_tokens).saturating_sub(available);
-        let fair = remaining_tokens / routers.max(1).saturating_mul(2);
-        let needed = self.shortage_tokens.saturating_sub(available);
-        lacking.min(fair.max(needed)).min(remaining_tokens)
+        let missing_tokens =
+            draw_target_tokens.saturating_add(self.shortage_tokens).saturating_sub(available);
+        let fair_share_tokens = remaining_tokens / routers.max(1).saturating_mul(2);
+        let shortfall_tokens = self.shortage_tokens.saturating_sub(available);
+        missing_tokens.min(fair_share_tokens.max(shortfall_tokens)).min(remaining_tokens)
     }
 
     /// The tokens that a draw on demand takes beyond the present need, on a router that is not a holder.
@@ -369,13 +370,13 @@
             // Unneeded tokens are sent to the holder of the budget by message, which costs no call of the store.
             return 0;
         }
-        let keep = match (self.overdrawn, self.settings.held_percent) {
+        let kept_tokens = match (self.overdrawn, self.settings.held_percent) {
             (true, _) => 0,
             (false, 0) => self.target_tokens().saturating_mul(3),
             (false, _) => self.target_tokens().saturating_mul(3) / 2,
         };
-        let keep = keep.saturating_add(self.shortage_tokens);
-        self.returnable_tokens().min(self.free_tokens().saturating_sub(keep))
+        let kept_tokens = kept_tokens.saturating_add(self.shortage_tokens);
+        self.returnable_tokens().min(self.free_tokens().saturating_sub(kept_tokens))
     }
 
     /// The free tokens that this router may return to the ledger, at most those of its grant there: tokens received
@@ -401,8 +402,8 @@
 
     /// Records that the ledger was read.
     pub fn record_ledger_read(&mut self, now_ms: u64) {
-        let low_tokens = self.rate_tokens_per_s().saturating_mul(LOW_HEADROOM_MS) / 1_000;
-        let low = self.holder && self.free_tokens() < low_tokens;
+        let low_threshold_tokens = self.rate_tokens_per_s().saturating_mul(LOW_HEADROOM_MS) / 1_000;
+        let low = self.holder && self.free_tokens() < low_threshold_tokens;
         self.refill.record_read(low, now_ms);
         self.ledger_read_ms = Some(now_ms);
     }
@@ -442,7 +443,7 @@
         let spent = self.spent_tokens().saturating_sub(self.measured_tokens);
         let rate = spent.saturating_mul(1_000_000) / elapsed_ms;
         let window_ms = self.settings.cover_s.saturating_mul(500);
-        let (window_ms, least_ms) = match self.settings.held_percent {
+        let (window_ms, window_min_ms) = match self.settings.held_percent {
             0 => (window_ms.clamp(RATE_WINDOW_MIN_MS, RATE_WINDOW_MAX_MS), RATE_WINDOW_MIN_MS),
             _ if self.is_unspent_by_others() => {
                 (SHARE_RATE_WINDOW_MS, SHARE_RATE_WINDOW_UNSPENT_MS)
@@ -450,18 +451,19 @@
             _ => (SHARE_RATE_WINDOW_MS, SHARE_RATE_WINDOW_FIRST_MS),
         };
         if spent > 0 || self.reserved_tokens > 0 || self.shortage_tokens > 0 {
-            self.spent_ms = now_ms;
+            self.last_use_ms = now_ms;
         }
         if spent > 0 && self.rate_milli_tokens_per_s == 0 {
             self.spending_since_ms = self.measured_ms;
         }
         // The first average covers only the time since spending began.
-        let past_ms = now_ms.saturating_sub(self.spending_since_ms).max(least_ms);
-        let window_ms = window_ms.min(past_ms);
+        let spending_ms = now_ms.saturating_sub(self.spending_since_ms).max(window_min_ms);
+        let window_ms = window_ms.min(spending_ms);
         let weight_ms = elapsed_ms.min(window_ms);
-        let kept = self.rate_milli_tokens_per_s.saturating_mul(window_ms - weight_ms) / window_ms;
+        let previous_part =
+            self.rate_milli_tokens_per_s.saturating_mul(window_ms - weight_ms) / window_ms;
         self.rate_milli_tokens_per_s =
-            kept.saturating_add(rate.saturating_mul(weight_ms) / window_ms);
+            previous_part.saturating_add(rate.saturating_mul(weight_ms) / window_ms);
         let decay = self.peak_milli_tokens_per_s.saturating_mul(elapsed_ms) / PEAK_DECAY_MS;
         let peak = self.peak_milli_tokens_per_s.saturating_sub(decay);
         self.peak_milli_tokens_per_s = peak.max(self.rate_milli_tokens_per_s);
--- a/core/src/grants/reserve.rs
+++ b/core/src/grants/reserve.rs
@@ -75,7 +75,7 @@
     pub fn idle(&self) -> bool {
         let unmeasured = self.spent_tokens() > self.measured_tokens;
         let in_use = unmeasured || self.reserved_tokens > 0 || self.shortage_tokens > 0;
-        !in_use && self.measured_ms >= self.spent_ms + IDLE_MS
+        !in_use && self.measured_ms >= self.last_use_ms + IDLE_MS
     }
 
     /// The higher reserve for the present spend rate; `None` if the rate is not known well enough or the present
--- a/core/src/ledger/recovery.rs
+++ b/core/src/ledger/recovery.rs
@@ -98,8 +98,8 @@
     /// Merges the changes of a state of the lost history, which are missing from the state with which this era started.
     fn merge(&self, lost: &Self) -> Self {
         let mut merged = self.clone();
-        for (holder, known) in &lost.holders {
-            merged.holders.entry(*holder).or_insert_with(|| known.clone());
+        for (holder, description) in &lost.holders {
+            merged.holders.entry(*holder).or_insert_with(|| description.clone());
         }
         let of_earlier_era = lost.written_era() < self.written_era();
         let since_era = match (self.unconfirmed_since_era, lost.unconfirmed_since_era) {
@@ -110,8 +110,8 @@
         merged.unconfirmed_since_era = since_era;
         let (later, earlier) = (self.later_writers(lost), lost.later_writers(self));
         for (name, lost) in &lost.budgets {
-            let known = merged.budgets.entry(name.clone()).or_default();
-            known.merge(
+            let merged_budget = merged.budgets.entry(name.clone()).or_default();
+            merged_budget.merge(
                 lost,
                 of_earlier_era,
                 |holder| later.contains(&holder),
@@ -119,8 +119,8 @@
             );
         }
         for (writer, count) in &lost.writes {
-            let merged = merged.writes.entry(*writer).or_default();
-            *merged = *count.max(merged);
+            let merged_count = merged.writes.entry(*writer).or_default();
+            *merged_count = *count.max(merged_count);
         }
         merged
     }
@@ -172,7 +172,7 @@
             self.paid_tokens = lost.paid_tokens;
         }
         for payment in &lost.payments {
-            if self.payments.iter().all(|known| known.operation != payment.operation) {
+            if self.payments.iter().all(|existing| existing.operation != payment.operation) {
                 self.payments.push(payment.clone());
                 if self.paid_version == 0 {
                     self.paid_tokens = self.paid_tokens.saturating_add(payment.tokens);
--- a/core/src/ledger/reserve.rs
+++ b/core/src/ledger/reserve.rs
@@ -60,7 +60,7 @@
     }
 
     /// The lower one of the present reserve and the pending one.
-    fn least_tokens(&self) -> u64 {
+    fn min_tokens(&self) -> u64 {
         self.next.map_or(self.tokens, |next| next.tokens.min(self.tokens))
     }
 }
@@ -115,7 +115,7 @@
     /// Begins an era that restored this budget from `backup`, which was written `eras` eras before: withholds the
     /// tokens that may have been drawn since.
     pub(super) fn begin_era(&mut self, backup: Option<&Budget>, eras: u64) {
-        let mut reserve_tokens = backup.map_or(0, |backup| backup.reserve.least_tokens());
+        let mut reserve_tokens = backup.map_or(0, |backup| backup.reserve.min_tokens());
         for _ in 1..eras {
             reserve_tokens = reserve_after_allowance(reserve_tokens);
             if reserve_tokens == 0 {
@@ -134,7 +134,7 @@
     pub fn apply_recovery_decision(&mut self, silent: Option<u64>, is_final: bool) {
         // Only a lower number is applied. The bound depends on the undrawn tokens, and later there are fewer of them
         // than when these routers may have drawn.
-        let fewer = |silent: &u64| self.silent_routers.is_none_or(|known| *silent < known);
+        let fewer = |silent: &u64| self.silent_routers.is_none_or(|current| *silent < current);
         let silent = silent.filter(fewer);
         self.silent_routers = silent.or(self.silent_routers);
         if is_final || silent == Some(0) {
@@ -142,11 +142,11 @@
         }
         for budget in self.budgets.values_mut() {
             if let Some(silent) = silent {
-                let part_tokens =
+                let tokens_per_router =
                     budget.remaining_tokens().unwrap_or(0).div_ceil(SILENT_ROUTER_DIVISOR);
-                let most_tokens = part_tokens.saturating_mul(silent);
+                let max_tokens = tokens_per_router.saturating_mul(silent);
                 let withheld = &mut budget.withheld;
-                withheld.unconfirmed_tokens = withheld.unconfirmed_tokens.min(most_tokens);
+                withheld.unconfirmed_tokens = withheld.unconfirmed_tokens.min(max_tokens);
             }
             if is_final {
                 let tokens = std::mem::take(&mut budget.withheld.unconfirmed_tokens);
--- a/core/src/ledger_writer.rs
+++ b/core/src/ledger_writer.rs
@@ -140,7 +140,8 @@
     backoff: backoff::Backoff,
     not_before_ms: u64,
     last_sync_ms: u64,
-    seen_index: store::Position,
+    /// The latest index of the shard's value in a reply of the store.
+    latest_index: store::Position,
     checked_ms: u64,
     terminated_in_draft: Vec<Event>,
     sync_requested: bool,
@@ -191,7 +192,7 @@
             backoff: backoff::Backoff::new(BACKOFF_BASE_MS, BACKOFF_LIMIT_MS),
             not_before_ms: 0,
             last_sync_ms: 0,
-            seen_index: store::Position::START,
+            latest_index: store::Position::START,
             checked_ms: 0,
             terminated_in_draft: Vec::new(),
             sync_requested: false,
@@ -251,7 +252,7 @@
             return true;
         }
         self.checked_ms = context.now_ms;
-        let since_ms = context.now_ms.saturating_sub(self.last_sync_ms);
+        let elapsed_ms = context.now_ms.saturating_sub(self.last_sync_ms);
         let mut accounts = table.in_shard(self.shard).iter().map(|slot| table.account(*slot));
         if self.stale {
             // A router that neither holds nor draws from a budget of the shard needs no current state of it.
@@ -259,7 +260,7 @@
                 .any(|account| account.holder || account.draws_on_demand || account.has_row);
         }
         accounts.any(|account| {
-            due::is_due(account, since_ms, context)
+            due::is_due(account, elapsed_ms, context)
                 || (account.holder && self.next_reserve_applies(account, context.now_ms))
         })
     }
--- a/core/src/ledger_writer/accounts.rs
+++ b/core/src/ledger_writer/accounts.rs
@@ -8,8 +8,8 @@
     fn track_next_reserves(&mut self, shard: &ledger::Shard, now_ms: u64) {
         let pending = shard.budgets.iter().filter_map(|(name, budget)| {
             let next = budget.reserve.next?;
-            let known = self.next_reserves.get(name).filter(|(known, _)| *known == next);
-            Some((name.clone(), (next, known.map_or(now_ms, |(_, since_ms)| *since_ms))))
+            let tracked = self.next_reserves.get(name).filter(|(reserve, _)| *reserve == next);
+            Some((name.clone(), (next, tracked.map_or(now_ms, |(_, since_ms)| *since_ms))))
         });
         self.next_reserves = pending.collect();
     }
@@ -17,8 +17,8 @@
     /// Whether a lower reserve of the account has been in the store for longer than the age of any backup.
     pub(super) fn next_reserve_applies(&self, account: &grants::Account, now_ms: u64) -> bool {
         let next = account.undrawn.reserve.next;
-        self.next_reserves.get(&account.name).is_some_and(|(known, since_ms)| {
-            next == Some(*known) && now_ms > since_ms + account.backup_age_ms
+        self.next_reserves.get(&account.name).is_some_and(|(reserve, since_ms)| {
+            next == Some(*reserve) && now_ms > since_ms + account.backup_age_ms
         })
     }
 
--- a/core/src/ledger_writer/due.rs
+++ b/core/src/ledger_writer/due.rs
@@ -12,21 +12,22 @@
 /// The interval at which an exhausted budget is checked for payments while no request waits for tokens.
 const EMPTY_CHECK_INTERVAL_MS: u64 = 10_000;
 
-/// Whether an account requires a sync, `since_ms` after the last one.
-pub(super) fn is_due(account: &grants::Account, since_ms: u64, context: &Context<'_>) -> bool {
+/// Whether an account requires a sync, `elapsed_ms` after the last one.
+pub(super) fn is_due(account: &grants::Account, elapsed_ms: u64, context: &Context<'_>) -> bool {
     if context.stopping {
-        let returns = account.returnable_tokens() > 0 && since_ms >= REFILL_INTERVAL_MS;
-        return account.has_row && (account.reserved_tokens == 0 || returns);
+        let can_return = account.returnable_tokens() > 0 && elapsed_ms >= REFILL_INTERVAL_MS;
+        return account.has_row && (account.reserved_tokens == 0 || can_return);
     }
     if account.awaits_recovery {
         return true;
     }
     // A router that is not a holder sends its tokens to the holder, and has nothing to report.
-    let reports = account.holder;
-    let unreported = reports && account.has_row && account.spent_tokens() > account.reported_tokens;
-    let lacks_row =
+    let reports_spending = account.holder;
+    let unreported =
+        reports_spending && account.has_row && account.spent_tokens() > account.reported_tokens;
+    let grant_missing =
         !account.has_row && account.received_tokens > 0 && account.settings.holders == 0;
-    let empty = account.remaining_tokens == Some(0);
+    let exhausted = account.remaining_tokens == Some(0);
     if account.confirm_version > 0 && (account.holder || account.has_row) {
         return true;
     }
@@ -34,10 +35,10 @@
         0 => REFILL_INTERVAL_MS,
         _ => SHARE_REFILL_INTERVAL_MS,
     };
-    (account.needs_draw() && !empty && since_ms >= refill_ms)
-        || (account.surplus_tokens() > 0 && since_ms >= refill_ms)
+    (account.needs_draw() && !exhausted && elapsed_ms >= refill_ms)
+        || (account.surplus_tokens() > 0 && elapsed_ms >= refill_ms)
         || (account.overdrawn && account.surplus_tokens() > 0)
-        || ((unreported || lacks_row) && since_ms >= REPORT_INTERVAL_MS)
-        || (account.should_raise_reserve() && since_ms >= REFILL_INTERVAL_MS)
-        || (account.needs_draw() && since_ms >= EMPTY_CHECK_INTERVAL_MS)
+        || ((unreported || grant_missing) && elapsed_ms >= REPORT_INTERVAL_MS)
+        || (account.should_raise_reserve() && elapsed_ms >= REFILL_INTERVAL_MS)
+        || (account.needs_draw() && elapsed_ms >= EMPTY_CHECK_INTERVAL_MS)
 }
--- a/core/src/ledger_writer/replies.rs
+++ b/core/src/ledger_writer/replies.rs
@@ -80,12 +80,15 @@
         rng: &mut rngs::StdRng,
     ) -> (Option<Write>, Vec<Event>) {
         let (index, value) = match reply {
-            store::Reply::Found { index, value } if index >= self.seen_index => (index, value),
+            store::Reply::Found { index, value } if index >= self.latest_index => (index, value),
             store::Reply::Missing { era }
-                if self.seen_index.revision > 0
-                    && (era == self.seen_index.era || self.last_seen.is_none()) =>
+                if self.latest_index.revision > 0
+                    && (era == self.latest_index.era || self.last_seen.is_none()) =>
             {
-                return (None, self.report_unusable(self.seen_index, REMOVED_FAULT, context, rng));
+                return (
+                    None,
+                    self.report_unusable(self.latest_index, REMOVED_FAULT, context, rng),
+                );
             }
             store::Reply::Missing { era } => {
                 return self.handle_missing(era, table, context, rng);
@@ -98,7 +101,7 @@
                 return (None, Vec::new());
             }
         };
-        self.seen_index = index;
+        self.latest_index = index;
         self.record_read(index.era);
         let shard = match ledger::Shard::decode(&value) {
             Ok(shard) => shard,
@@ -200,7 +203,7 @@
                 let is_of_current_era = reply.era().is_none_or(|era| draft.written_era() == era);
                 match reply {
                     store::Reply::WrittenAt { index } => {
-                        self.seen_index = index;
+                        self.latest_index = index;
                         self.store_last_seen(index, draft.clone());
                     }
                     // The reply has no index, so the state is stored with the index of the one that it replaced.
--- a/core/src/ledger_writer/restores.rs
+++ b/core/src/ledger_writer/restores.rs
@@ -19,16 +19,16 @@
         self.overtaken_writes = 0;
         self.backoff.reset();
         self.not_before_ms = 0;
-        let known = self.last_seen.iter().chain(&self.peer_copy);
-        self.sync_requested |= known.into_iter().any(|(position, _)| position.era < era);
+        let copies = self.last_seen.iter().chain(&self.peer_copy);
+        self.sync_requested |= copies.into_iter().any(|(position, _)| position.era < era);
         if self.unresolved_write_index.is_some() && self.interrupted_returns.is_empty() {
             let accounts =
                 table.in_shard(self.shard).iter().map(|slot| (*slot, table.account(*slot)));
             let returning = accounts.filter(|(_, account)| account.returning_tokens > 0);
-            let row = |(slot, account): (ids::BudgetSlot, &grants::Account)| {
+            let interrupted_return = |(slot, account): (ids::BudgetSlot, &grants::Account)| {
                 (slot, account.granted_tokens, account.returning_tokens)
             };
-            self.interrupted_returns = returning.map(row).collect();
+            self.interrupted_returns = returning.map(interrupted_return).collect();
         }
     }
 
@@ -37,7 +37,7 @@
     pub fn merge_peer_copy(&mut self, position: store::Position, shard: ledger::Shard, era: u64) {
         let copy = match self.peer_copy.take() {
             Some((_, copy)) if shard.includes(&copy) => (position, shard),
-            Some((known, copy)) => (known.min(position), shard.combine(copy)),
+            Some((copy_position, copy)) => (copy_position.min(position), shard.combine(copy)),
             None => (position, shard),
         };
         self.sync_requested |= position.era < era;
@@ -111,14 +111,14 @@
 
     /// The latest state of an earlier era than `era` that this router read, wrote or received.
     pub(super) fn latest_before(&self, era: u64) -> Option<(store::Position, ledger::Shard)> {
-        let is_before = |known: &&(store::Position, ledger::Shard)| known.0.era < era;
+        let is_before = |state: &&(store::Position, ledger::Shard)| state.0.era < era;
         let seen = self.last_seen.as_ref().filter(is_before);
         let copy = self.peer_copy.as_ref().filter(is_before);
         match (seen, copy) {
-            (Some((seen, shard)), Some((copied, copy))) => {
-                Some(((*seen).max(*copied), shard.clone().combine(copy.clone())))
+            (Some((seen_position, shard)), Some((copy_position, copy))) => {
+                Some(((*seen_position).max(*copy_position), shard.clone().combine(copy.clone())))
             }
-            (known, None) | (None, known) => known.cloned(),
+            (state, None) | (None, state) => state.cloned(),
         }
     }
 
@@ -131,8 +131,8 @@
         table: &grants::Table,
         context: &Context<'_>,
     ) -> Option<ledger::Shard> {
-        let known = self.latest_before(index.era);
-        let mut recovered = shard.recover(index, known.as_ref(), context.recovery_window_over);
+        let latest = self.latest_before(index.era);
+        let mut recovered = shard.recover(index, latest.as_ref(), context.recovery_window_over);
         if !self.interrupted_returns.is_empty() {
             let recovered = recovered.get_or_insert_with(|| shard.clone());
             self.repeat_returns(recovered, table, context);
--- a/core/src/log_index.rs
+++ b/core/src/log_index.rs
@@ -156,9 +156,9 @@
             clock_s: self.clock_s,
             ..Index::default()
         };
-        for (key, state, seen_s) in self.ids {
-            index.order.push_back((seen_s, key));
-            index.ids.insert(key, (state, seen_s));
+        for (key, state, recorded_s) in self.ids {
+            index.order.push_back((recorded_s, key));
+            index.ids.insert(key, (state, recorded_s));
         }
         for (budget, region, totals) in self.totals {
             index.totals.insert((budget, region), totals);
@@ -201,9 +201,9 @@
 
     /// Returns the checkpoint to store once all segments below `upto` are applied.
     pub fn checkpoint(&self, upto: u64) -> Checkpoint {
-        let ids = self.order.iter().filter_map(|(seen_s, key)| {
-            let (state, last_s) = self.ids.get(key)?;
-            (last_s == seen_s).then(|| (*key, state.clone(), *seen_s))
+        let ids = self.order.iter().filter_map(|(recorded_s, key)| {
+            let (state, latest_s) = self.ids.get(key)?;
+            (latest_s == recorded_s).then(|| (*key, state.clone(), *recorded_s))
         });
         let totals = self
             .totals
@@ -281,12 +281,12 @@
 
     fn expire_old(&mut self) {
         let clock_s = self.clock_s;
-        while let Some((seen_s, key)) = self.order.front().copied() {
-            if seen_s + ID_RETENTION_S > clock_s {
+        while let Some((recorded_s, key)) = self.order.front().copied() {
+            if recorded_s + ID_RETENTION_S > clock_s {
                 break;
             }
             self.order.pop_front();
-            if self.ids.get(&key).is_some_and(|(_, last_s)| *last_s == seen_s) {
+            if self.ids.get(&key).is_some_and(|(_, latest_s)| *latest_s == recorded_s) {
                 self.ids.remove(&key);
             }
         }
--- a/core/src/log_writer.rs
+++ b/core/src/log_writer.rs
@@ -180,8 +180,8 @@
             Urgency::Immediate => now_ms,
             Urgency::Batched => now_ms + BATCH_DELAY_MS,
         };
-        let mut same = self.pending.iter_mut().filter(|other| other.waiter == waiter);
-        match same.find(|other| other.entry == entry) {
+        let mut of_waiter = self.pending.iter_mut().filter(|pending| pending.waiter == waiter);
+        match of_waiter.find(|pending| pending.entry == entry) {
             Some(existing) => existing.due_ms = existing.due_ms.min(due_ms),
             None => self.pending.push(Pending { entry, waiter, due_ms }),
         }
@@ -198,9 +198,9 @@
         if !matches!(self.state, State::Idle) || now_ms < self.not_before_ms {
             return false;
         }
-        let created = self.read_state == ReadState::Unverified && !self.pending.is_empty();
+        let must_verify = self.read_state == ReadState::Unverified && !self.pending.is_empty();
         if self.unresolved.is_some()
-            || created
+            || must_verify
             || self.checkpoint_due()
             || !self.obsolete_epochs.is_empty()
         {
--- a/core/src/node.rs
+++ b/core/src/node.rs
@@ -65,8 +65,9 @@
         server: ids::ServerSlot,
         /// Whether this router appended the claim itself.
         appended: bool,
-        /// When the log last showed that another attempt has claimed the id: this one waits for its outcome.
-        other_attempt_seen_ms: Option<u64>,
+        /// When the log was last checked for the outcome of another attempt that has claimed the id; `None` if none
+        /// has.
+        other_claim_checked_ms: Option<u64>,
     },
     /// Sent to a server, whose answer has not ended.
     Running {
@@ -162,7 +163,7 @@
     is_first_start: bool,
     pauses: process_pauses::PauseDetector,
     quarantine: quarantine::Quarantine,
-    limits: limits::Sharing,
+    limits: limits::PermitState,
     /// The subscriptions to the store's topics; `None` where the shell follows the store.
     watching: Option<watching::Watching>,
     relay: relay::Relay,
--- a/core/src/node/admit.rs
+++ b/core/src/node/admit.rs
@@ -51,28 +51,30 @@
     /// for the outcome of another attempt, and refuses requests that have waited too long.
     pub(super) fn tick_waiting_claims(&mut self, now_ms: u64) {
         let mut undecided = Vec::new();
-        let mut held_by_other = Vec::new();
+        let mut claimed_by_other = Vec::new();
         let mut expired = Vec::new();
         for (slot, request) in &self.requests {
-            let Stage::WaitingClaim { appended, other_attempt_seen_ms, .. } = &request.stage else {
+            let Stage::WaitingClaim { appended, other_claim_checked_ms, .. } = &request.stage
+            else {
                 continue;
             };
             let waited_ms = now_ms.saturating_sub(request.stage_since_ms);
             if waited_ms >= self.settings.claim_wait_ms || now_ms >= request.admission.deadline_ms {
-                expired.push((slot, other_attempt_seen_ms.is_some()));
-            } else if other_attempt_seen_ms
-                .is_some_and(|seen_ms| now_ms >= seen_ms + CLAIM_CHECK_INTERVAL_MS)
+                expired.push((slot, other_claim_checked_ms.is_some()));
+            } else if other_claim_checked_ms
+                .is_some_and(|checked_ms| now_ms >= checked_ms + CLAIM_CHECK_INTERVAL_MS)
             {
-                held_by_other.push(slot);
+                claimed_by_other.push(slot);
             } else if !appended && waited_ms >= CLAIM_HOME_TIMEOUT_MS {
                 undecided.push(slot);
             }
         }
-        for slot in undecided.into_iter().chain(held_by_other) {
+        for slot in undecided.into_iter().chain(claimed_by_other) {
             self.append_own_claim(slot, now_ms);
         }
-        for (slot, held_by_other) in expired {
-            let reason = if held_by_other { Reason::InProgress } else { Reason::ClaimUnreachable };
+        for (slot, claimed_by_other) in expired {
+            let reason =
+                if claimed_by_other { Reason::InProgress } else { Reason::ClaimUnreachable };
             self.refuse(slot, reason, now_ms);
         }
     }
@@ -86,11 +88,11 @@
     ) {
         let Some(slot) = self.by_attempt.get(&claim.attempt).copied() else { return };
         let Some(request) = self.requests.get_mut(slot) else { return };
-        let Stage::WaitingClaim { other_attempt_seen_ms, .. } = &mut request.stage else { return };
+        let Stage::WaitingClaim { other_claim_checked_ms, .. } = &mut request.stage else { return };
         match verdict {
             log_index::ClaimVerdict::Granted => self.dispatch(slot, now_ms),
             // Another attempt is running: its outcome answers this caller as well.
-            log_index::ClaimVerdict::Taken => *other_attempt_seen_ms = Some(now_ms),
+            log_index::ClaimVerdict::Taken => *other_claim_checked_ms = Some(now_ms),
             log_index::ClaimVerdict::Conflict => self.refuse(slot, Reason::IdConflict, now_ms),
             log_index::ClaimVerdict::Done(outcome) => {
                 self.counters.replayed += 1;
@@ -194,7 +196,7 @@
             reservation,
             server,
             appended: false,
-            other_attempt_seen_ms: None,
+            other_claim_checked_ms: None,
         };
         request.stage_since_ms = now_ms;
         if request.admission.unrepeatable && !self.logs.is_empty() {
@@ -220,12 +222,12 @@
     fn append_own_claim(&mut self, slot: ids::RequestSlot, now_ms: u64) {
         let Some(claim) = self.build_claim(slot) else { return };
         if let Some(Request {
-            stage: Stage::WaitingClaim { appended, other_attempt_seen_ms, .. },
+            stage: Stage::WaitingClaim { appended, other_claim_checked_ms, .. },
             ..
         }) = self.requests.get_mut(slot)
         {
             *appended = true;
-            *other_attempt_seen_ms = other_attempt_seen_ms.map(|_| now_ms);
+            *other_claim_checked_ms = other_claim_checked_ms.map(|_| now_ms);
         }
         let (entry, waiter) = (log_index::Entry::Claim(claim), log_writer::Waiter::Local(slot));
         self.append_to_log(entry, waiter, log_writer::Urgency::Immediate, now_ms);
@@ -373,11 +375,11 @@
     now_ms: u64,
     rng: &mut rand::rngs::StdRng,
 ) -> Result<servers::Choice, servers::Unavailable> {
-    table.choose(&servers_for(request), now_ms, rng)
+    table.choose(&server_criteria(request), now_ms, rng)
 }
 
 /// The criteria for servers that may run a request.
-pub(super) fn servers_for(request: &Request) -> servers::Criteria<'_> {
+pub(super) fn server_criteria(request: &Request) -> servers::Criteria<'_> {
     servers::Criteria {
         service: &request.admission.service,
         classes: &request.admission.classes,
--- a/core/src/node/config_and_vms.rs
+++ b/core/src/node/config_and_vms.rs
@@ -114,12 +114,12 @@
         self.members.add_seeds(routers.map(|vm| vm.address.clone()));
         self.servers.apply_list(&self.backends(&vms), now_ms);
         self.report_restarted();
-        let earlier = std::mem::take(&mut self.vms);
+        let previous_vms = std::mem::take(&mut self.vms);
         self.vms = vms.into_iter().map(|vm| (vm.vm.clone(), vm)).collect();
         let removed = |vm: &&servers::Vm| !self.vms.contains_key(&vm.vm);
         let router_removed =
-            earlier.values().filter(removed).any(|vm| vm.service == ROUTER_SERVICE);
-        for vm in earlier.values().filter(removed) {
+            previous_vms.values().filter(removed).any(|vm| vm.service == ROUTER_SERVICE);
+        for vm in previous_vms.values().filter(removed) {
             self.eras.record_removal(&vm.vm, vm.incarnation, previous_index, now_ms);
         }
         if self.listed_index == store::Position::START && self.vms.contains_key(&self.settings.vm) {
@@ -137,8 +137,9 @@
     /// The backend servers: the listed ones, and those whose records expired but may be listed again soon. A server
     /// that is leaving counts as leaving whatever the state in its record.
     fn backends(&self, vms: &[servers::Vm]) -> Vec<servers::Vm> {
-        let stays = |vm: &&servers::Vm| !self.leaving_servers.contains(&vm.vm, vm.incarnation);
-        let lapsed = self.lapsed.iter().filter(stays);
+        let is_not_leaving =
+            |vm: &&servers::Vm| !self.leaving_servers.contains(&vm.vm, vm.incarnation);
+        let lapsed = self.lapsed.iter().filter(is_not_leaving);
         let mut backends: Vec<servers::Vm> = vms
             .iter()
             .chain(lapsed)
--- a/core/src/node/confirmations.rs
+++ b/core/src/node/confirmations.rs
@@ -14,7 +14,7 @@
 /// Time after which the replies of routers are considered final.
 const REPLIES_FINAL_MS: u64 = 3_000;
 /// Maximum number of routers to which recovery requests are sent at once.
-const ASKED_MAX: usize = 32;
+const RECIPIENTS_MAX: usize = 32;
 
 /// The replies of other routers in an era.
 #[derive(Debug, Default)]
@@ -134,7 +134,7 @@
         others.filter(|address| is_unconfirmed && awaited(address)).collect()
     }
 
-    /// Up to [`ASKED_MAX`] live routers that have not confirmed the full recovery of each of the shards.
+    /// Up to [`RECIPIENTS_MAX`] live routers that have not confirmed the full recovery of each of the shards.
     fn unconfirmed_routers(&self, shards: &[(u32, u64)]) -> Vec<ids::Incarnation> {
         let replies = &self.confirmations.replies;
         let unconfirmed = |record: &&members::Record| {
@@ -143,7 +143,7 @@
             })
         };
         let live = self.members.live().filter(unconfirmed);
-        live.map(|record| record.id).take(ASKED_MAX).collect()
+        live.map(|record| record.id).take(RECIPIENTS_MAX).collect()
     }
 
     /// The addresses of all routers that may be running, in this router's view of the membership.
--- a/core/src/node/directives.rs
+++ b/core/src/node/directives.rs
@@ -92,8 +92,8 @@
     ) {
         let message::LeavingUpdate { vm, incarnation, source } = leaving;
         // Without a live record here the report is ignored: the peer's list may be the older one.
-        let live = |known: &servers::Vm| {
-            known.state == servers::VmState::Live && known.incarnation == *incarnation
+        let live = |listed: &servers::Vm| {
+            listed.state == servers::VmState::Live && listed.incarnation == *incarnation
         };
         if *source == leaving_servers::Source::Answer || self.vms.get(vm).is_some_and(live) {
             self.record_leaving(vm, *incarnation, *source, Some(from));
--- a/core/src/node/era_record.rs
+++ b/core/src/node/era_record.rs
@@ -30,7 +30,7 @@
             _ if era == 0 => ledger_writer::Payments::Drawable,
             Some(record) if record.settled => ledger_writer::Payments::Drawable,
             Some(_) => ledger_writer::Payments::Withheld,
-            None if self.saw_restore() => ledger_writer::Payments::Withheld,
+            None if self.detected_restore() => ledger_writer::Payments::Withheld,
             None => ledger_writer::Payments::Undecided,
         }
     }
@@ -115,7 +115,7 @@
             }
             (store::Reply::Missing { .. }, None) => {
                 self.era_record.index = store::Position::new(era, 0);
-                let settled = self.is_first_start && !self.saw_restore();
+                let settled = self.is_first_start && !self.detected_restore();
                 self.write_era_record(ledger::EraRecord { era, settled }, now_ms);
             }
             _ => {}
--- a/core/src/node/eras.rs
+++ b/core/src/node/eras.rs
@@ -133,12 +133,14 @@
             self.eras.first_answer_ms.pop_first();
         }
         self.eras.unconfirmed = self.eras.unconfirmed.filter(|unconfirmed| unconfirmed.era > era);
-        let copies = self.latest_copy();
-        if previous.is_none() && copies.era > era {
+        let latest_copy = self.latest_copy();
+        if previous.is_none() && latest_copy.era > era {
             // The copies come from peers that reported an era which the store has not reached.
             self.reset_copies(now_ms);
-        } else if previous.is_some() || (copies != store::Position::START && copies.era < era) {
-            let previous = previous.unwrap_or(copies.era);
+        } else if previous.is_some()
+            || (latest_copy != store::Position::START && latest_copy.era < era)
+        {
+            let previous = previous.unwrap_or(latest_copy.era);
             self.actions.push(Action::Notice(Notice::StoreRestored { era, previous }));
             self.counters.store_restores += 1;
             let before_ms = self
@@ -202,8 +204,8 @@
     ) {
         for change in &digest.changes {
             let watch::ServerRecord::Listed(vm) = &change.record else { continue };
-            let leaves = vm.state == servers::VmState::Leaving;
-            if leaves
+            let is_leaving = vm.state == servers::VmState::Leaving;
+            if is_leaving
                 && self.vms.get(&vm.vm).is_some_and(|listed| listed.incarnation == vm.incarnation)
             {
                 let source = crate::leaving_servers::Source::Record;
@@ -255,10 +257,10 @@
         eras.removed.retain(|_, removed| now_ms < removed.at_ms + REMOVED_TTL_MS);
         for vm in &all.listed {
             let revision = all.revisions.get(&vm.vm).copied().unwrap_or(0);
-            let as_before = |removed: &Removed| {
+            let is_unchanged = |removed: &Removed| {
                 vm.incarnation <= removed.incarnation && revision <= removed.revision
             };
-            if eras.removed.get(&vm.vm).is_some_and(as_before) {
+            if eras.removed.get(&vm.vm).is_some_and(is_unchanged) {
                 eras.held_back_until_ms.insert(vm.vm.clone(), until_ms);
                 let notice =
                     Notice::ServerHeldBack { vm: vm.vm.clone(), for_ms: REWRITE_WINDOW_MS };
@@ -331,7 +333,7 @@
     }
 
     /// Whether the store was restored while this router ran.
-    pub(super) fn saw_restore(&self) -> bool {
+    pub(super) fn detected_restore(&self) -> bool {
         self.eras.restored_ms.is_some()
     }
 
--- a/core/src/node/holders.rs
+++ b/core/src/node/holders.rs
@@ -15,7 +15,7 @@
 /// How long a holder that did not answer is skipped.
 const SKIP_MS: u64 = 2_000;
 /// Number of holders that are sent a request, one after the other, before this router draws from the ledger itself.
-const HOLDERS_ASKED_MAX: usize = 2;
+const HOLDERS_TRIED_MAX: usize = 2;
 /// How long a router draws from the ledger itself after no holder answered.
 const DIRECT_DRAW_MS: u64 = 2_000;
 /// Headroom that is requested beyond the waiting requests, in milliseconds of this router's spending rate.
@@ -41,11 +41,11 @@
     /// When the request was last sent to this holder.
     sent_ms: u64,
     /// The holders to which requests were sent before.
-    earlier: Vec<ids::Incarnation>,
+    tried_holders: Vec<ids::Incarnation>,
     /// Whether one of the earlier holders answered, even if it could not determine whether tokens are left.
     answered: bool,
     /// Whether this holder reported that it waits for the store.
-    waits: bool,
+    awaits_store: bool,
 }
 
 /// Transfer requests between this router and other routers.
@@ -83,14 +83,14 @@
             (membership_settled || account.holder)
                 && ranked.iter().take(account.settings.holders as usize).any(|id| *id == own)
         };
-        let draws = |budget| {
+        let draws_on_demand = |budget| {
             let direct = self
                 .token_searches
                 .get(&budget)
                 .is_some_and(|search| now_ms < search.direct_draw_until_ms);
             direct || self.holders.received_requests.iter().any(|request| request.budget == budget)
         };
-        self.grants.set_holders(routers, is_holder, draws);
+        self.grants.set_holders(routers, is_holder, draws_on_demand);
     }
 
     /// Continues the search for a waiting request's tokens: requests a transfer from a holder, or refuses the request
@@ -111,7 +111,7 @@
     pub(super) fn tick_holders(&mut self, now_ms: u64) {
         self.holders.skipped_until_ms.retain(|_, until_ms| now_ms < *until_ms);
         let timed_out = |pending: &PendingTransfer| {
-            let timeout_ms = if pending.waits {
+            let timeout_ms = if pending.awaits_store {
                 ANSWER_TIMEOUT_MS + transfer_requests::STORE_WAIT_MS
             } else {
                 ANSWER_TIMEOUT_MS
@@ -133,7 +133,9 @@
             .holders
             .sent_requests
             .iter()
-            .filter(|(_, pending)| !pending.waits && now_ms >= pending.sent_ms + RESEND_INTERVAL_MS)
+            .filter(|(_, pending)| {
+                !pending.awaits_store && now_ms >= pending.sent_ms + RESEND_INTERVAL_MS
+            })
             .map(|(budget, _)| *budget)
             .collect();
         for budget in repeated {
@@ -164,22 +166,22 @@
     /// Sends a transfer request to the first holder that is not skipped, unless one is unanswered.
     pub(super) fn request_from_holder(&mut self, budget: ids::BudgetSlot, now_ms: u64) {
         if !self.holders.sent_requests.contains_key(&budget) {
-            self.ask_another_holder(Vec::new(), false, budget, now_ms);
+            self.try_next_holder(Vec::new(), false, budget, now_ms);
         }
     }
 
     /// Sends a transfer request to the next holder. If none is left, this router draws from the ledger itself, but only
     /// if no holder answered: a holder that answered can reach the ledger as well as this router can.
-    fn ask_another_holder(
+    fn try_next_holder(
         &mut self,
-        earlier: Vec<ids::Incarnation>,
+        tried_holders: Vec<ids::Incarnation>,
         answered: bool,
         budget: ids::BudgetSlot,
         now_ms: u64,
     ) {
-        let Some(holder) = self.next_holder(budget, &earlier) else {
+        let Some(holder) = self.next_holder(budget, &tried_holders) else {
             // In this router's view of the membership it is the first holder itself, or all holders are skipped.
-            let is_first = earlier.is_empty();
+            let is_first = tried_holders.is_empty();
             self.grants.account_mut(budget).holder |= is_first;
             match answered {
                 true => self.refuse_waiting_requests(budget, Reason::BudgetUnreachable, now_ms),
@@ -189,9 +191,16 @@
         };
         self.holders.last_number += 1;
         let number = self.holders.last_number;
-        let (requested_ms, sent_ms, waits) = (now_ms, now_ms, false);
-        let pending =
-            PendingTransfer { number, holder, requested_ms, sent_ms, earlier, answered, waits };
+        let (requested_ms, sent_ms, awaits_store) = (now_ms, now_ms, false);
+        let pending = PendingTransfer {
+            number,
+            holder,
+            requested_ms,
+            sent_ms,
+            tried_holders,
+            answered,
+            awaits_store,
+        };
         self.holders.sent_requests.insert(budget, pending);
         self.send_transfer_request(budget, now_ms);
     }
@@ -221,7 +230,7 @@
         if let Some(pending) =
             self.holders.sent_requests.get_mut(&budget).filter(|pending| pending.number == number)
         {
-            pending.waits = true;
+            pending.awaits_store = true;
         }
     }
 
@@ -241,10 +250,10 @@
         answered: bool,
         now_ms: u64,
     ) {
-        let mut earlier = pending.earlier;
-        earlier.push(pending.holder);
+        let mut tried_holders = pending.tried_holders;
+        tried_holders.push(pending.holder);
         if self.has_waiting_requests(budget) {
-            self.ask_another_holder(earlier, pending.answered || answered, budget, now_ms);
+            self.try_next_holder(tried_holders, pending.answered || answered, budget, now_ms);
         }
     }
 
@@ -260,7 +269,7 @@
 
     /// Sends, or sends again, the transfer request for a budget.
     fn send_transfer_request(&mut self, budget: ids::BudgetSlot, now_ms: u64) {
-        let (smallest, all) = self.waiting_tokens(budget);
+        let (smallest_tokens, total_tokens) = self.waiting_tokens(budget);
         let Some(pending) = self.holders.sent_requests.get_mut(&budget) else { return };
         pending.sent_ms = now_ms;
         let (holder, number) = (pending.holder, pending.number);
@@ -271,8 +280,11 @@
         let message = message::Message::TransferRequest {
             number,
             budget: account.name.clone(),
-            needed_tokens: smallest.saturating_sub(free_tokens).max(1),
-            wanted_tokens: all.saturating_add(headroom_tokens).saturating_sub(free_tokens).max(1),
+            needed_tokens: smallest_tokens.saturating_sub(free_tokens).max(1),
+            wanted_tokens: total_tokens
+                .saturating_add(headroom_tokens)
+                .saturating_sub(free_tokens)
+                .max(1),
             requester: self.members.own().clone(),
         };
         self.send(holder, message);
@@ -300,8 +312,8 @@
 
     /// Refuses all requests that wait for a budget, and records that it is exhausted or unreachable.
     fn refuse_waiting_requests(&mut self, budget: ids::BudgetSlot, reason: Reason, now_ms: u64) {
-        let (smallest, _) = self.waiting_tokens(budget);
-        self.record_exhausted(budget, smallest, reason, now_ms);
+        let (smallest_tokens, _) = self.waiting_tokens(budget);
+        self.record_exhausted(budget, smallest_tokens, reason, now_ms);
         let waiting: Vec<ids::RequestSlot> = self
             .requests
             .iter()
@@ -320,20 +332,20 @@
     fn next_holder(
         &self,
         budget: ids::BudgetSlot,
-        earlier: &[ids::Incarnation],
+        tried_holders: &[ids::Incarnation],
     ) -> Option<ids::Incarnation> {
-        if earlier.len() >= HOLDERS_ASKED_MAX {
+        if tried_holders.len() >= HOLDERS_TRIED_MAX {
             return None;
         }
         let account = self.grants.account(budget);
         let mut holders = rank_holders(&account.name, &self.alive());
-        holders.truncate((account.settings.holders as usize).max(HOLDERS_ASKED_MAX));
+        holders.truncate((account.settings.holders as usize).max(HOLDERS_TRIED_MAX));
         // Spreads the requesting routers over the holders; the routers ranked next are the fallback.
         let first = self.settings.incarnation.0 % account.settings.holders.max(1);
         let offset = holders.len().min(first as usize);
         holders.rotate_left(offset);
         let skipped = |id: &ids::Incarnation| self.holders.skipped_until_ms.contains_key(id);
-        let holder = holders.into_iter().find(|id| !earlier.contains(id) && !skipped(id))?;
+        let holder = holders.into_iter().find(|id| !tried_holders.contains(id) && !skipped(id))?;
         (holder != self.settings.incarnation).then_some(holder)
     }
 
@@ -373,13 +385,13 @@
 /// The tokens that a router may return to a holder; `None` if there are none, or if a restore of the store may have
 /// lost its grant.
 fn excess_tokens(account: &grants::Account, stopping: bool) -> Option<u64> {
-    let kept = match stopping || account.confirm_version > 0 {
+    let kept_tokens = match stopping || account.confirm_version > 0 {
         true => 0,
         false => account.rate_tokens_per_s().saturating_mul(KEPT_HEADROOM_MS) / 1_000,
     };
     // Tokens drawn from the ledger are returned to the ledger.
-    let drawn = account.surplus_tokens();
-    let excess = account.free_tokens().saturating_sub(kept).saturating_sub(drawn);
+    let to_ledger_tokens = account.surplus_tokens();
+    let excess = account.free_tokens().saturating_sub(kept_tokens).saturating_sub(to_ledger_tokens);
     (excess > 0 && !account.awaits_recovery).then_some(excess)
 }
 
--- a/core/src/node/ledger_copies.rs
+++ b/core/src/node/ledger_copies.rs
@@ -52,7 +52,7 @@
                 (same_domain, rendezvous::weight(key, record.id.0), record.id)
             })
             .collect();
-        peers.sort_unstable_by(|one, other| other.cmp(one));
+        peers.sort_unstable_by(|left, right| right.cmp(left));
         for (_, _, peer) in peers.into_iter().take(LEDGER_COPIES.saturating_sub(copied_to.len())) {
             let value = value.clone();
             self.send(peer, message::Message::LedgerCopy { shard: shard as u32, position, value });
--- a/core/src/node/limits.rs
+++ b/core/src/node/limits.rs
@@ -34,7 +34,7 @@
 
 /// State of the permit protocol that is not part of the servers' table.
 #[derive(Debug, Default)]
-pub(super) struct Sharing {
+pub(super) struct PermitState {
     /// When changed limits were last pushed to peers.
     pushed_ms: u64,
     /// Number of answers in which servers stated something about their limits to this router.
@@ -233,16 +233,16 @@
     pub(super) fn request_trials(&mut self, service: &str, now_ms: u64) {
         for slot in self.limited_slots(service, now_ms) {
             let Some(limited) = self.servers.limits().limited(slot) else { continue };
-            let every_ms =
+            let interval_ms =
                 servers::trial_interval_ms(limited.report.limit_milli_per_s.unwrap_or_default());
             let age_ms = now_ms.saturating_sub(limited.report.received_ms);
-            if age_ms < every_ms || !limited.share.may_request(now_ms) {
+            if age_ms < interval_ms || !limited.share.may_request(now_ms) {
                 continue;
             }
             let Some(server) = self.servers.get(slot) else { continue };
             let own = self.settings.incarnation;
             let spread_ms = rendezvous::weight(own.0, server.name_hash()) % TRIAL_SPREAD_MS;
-            let others_after_ms = every_ms + PACER_TRIAL_LEAD_MS + spread_ms;
+            let others_after_ms = interval_ms + PACER_TRIAL_LEAD_MS + spread_ms;
             if self.pacing_router(slot) != Some(own) && age_ms < others_after_ms {
                 continue;
             }
@@ -324,9 +324,9 @@
             };
         };
         let limit_milli_per_s = limited.report.limit_milli_per_s.unwrap_or_default();
-        let every_ms = servers::trial_interval_ms(limit_milli_per_s);
+        let interval_ms = servers::trial_interval_ms(limit_milli_per_s);
         let last_evidence_ms = limited.report.received_ms.max(limited.pacer.trial_ms());
-        let trial_in_ms = (last_evidence_ms + every_ms).saturating_sub(now_ms);
+        let trial_in_ms = (last_evidence_ms + interval_ms).saturating_sub(now_ms);
         if trial_in_ms > 0 && (requested.trial || limit_milli_per_s == 0) {
             return servers::PermitsGranted::none(trial_in_ms);
         }
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -35,8 +35,8 @@
                 self.handle_transfer_request(requester.clone(), message, now_ms);
             }
             message::Message::Transfer { number, open_from, in_reply_to, budget, tokens } => {
-                let seen = (from, number, open_from);
-                self.handle_transfer(seen, in_reply_to, &budget, tokens, now_ms);
+                let transfer_id = (from, number, open_from);
+                self.handle_transfer(transfer_id, in_reply_to, &budget, tokens, now_ms);
             }
             message::Message::TransferApplied { number } => {
                 self.outbox.transfers.remove(&number);
@@ -247,16 +247,17 @@
             return;
         };
         let slot = self.grants.find(budget);
-        let held = slot.is_some_and(|slot| self.grants.account(slot).settings.holders > 0);
-        if held {
+        let has_holders = slot.is_some_and(|slot| self.grants.account(slot).settings.holders > 0);
+        if has_holders {
             self.handle_request_as_holder(requester, request, now_ms);
             return;
         }
         let ready = self.lifecycle == super::Lifecycle::Ready;
         // Of two routers that both lack tokens, the one with the higher id sends its tokens to the other one.
-        let gives_way = requester.id < self.settings.incarnation;
-        let spare = slot.map_or(0, |slot| self.grants.account(slot).spare_tokens(gives_way));
-        let sent_tokens = if ready { spare.min(*wanted_tokens) } else { 0 };
+        let peer_has_priority = requester.id < self.settings.incarnation;
+        let available_tokens =
+            slot.map_or(0, |slot| self.grants.account(slot).spare_tokens(peer_has_priority));
+        let sent_tokens = if ready { available_tokens.min(*wanted_tokens) } else { 0 };
         let is_member = self.members.find(requester.id).is_some();
         match slot.filter(|_| sent_tokens > 0 && is_member) {
             Some(slot) => self.send_tokens(requester.id, slot, sent_tokens, *number, now_ms),
--- a/core/src/node/quarantine.rs
+++ b/core/src/node/quarantine.rs
@@ -173,8 +173,8 @@
             Some(vm) if vm.incarnation > server.incarnation => true,
             Some(vm) if vm.state == servers::VmState::Leaving => false,
             Some(_) => {
-                let succeeds = |vm: &servers::Vm| vm.address == address && vm.vm != server.vm;
-                self.vms.values().any(succeeds)
+                let has_taken_over = |vm: &servers::Vm| vm.address == address && vm.vm != server.vm;
+                self.vms.values().any(has_taken_over)
             }
             None => true,
         }
--- a/core/src/node/queue.rs
+++ b/core/src/node/queue.rs
@@ -20,7 +20,7 @@
 /// Rate at which a service's queue drains, for `Retry-After`, and a count of dequeued requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct DrainRate {
-    pub(super) window_ms: u64,
+    pub(super) window_start_ms: u64,
     pub(super) ended: u64,
     pub(super) per_s: u64,
     pub(super) dequeued: u64,
@@ -29,11 +29,11 @@
 impl DrainRate {
     /// Updates the rate once a second, from the requests that ended since the last update.
     pub(super) fn measure(&mut self, now_ms: u64) {
-        let elapsed_ms = now_ms.saturating_sub(self.window_ms);
+        let elapsed_ms = now_ms.saturating_sub(self.window_start_ms);
         if elapsed_ms >= 1_000 {
             self.per_s = (self.per_s + self.ended * 1_000 / elapsed_ms).div_ceil(2);
             self.ended = 0;
-            self.window_ms = now_ms;
+            self.window_start_ms = now_ms;
         }
     }
 }
@@ -137,9 +137,11 @@
     /// priority, which [`LOWEST_PRIORITY_EVERY`] reserves a share for.
     pub(super) fn shed(&mut self, service: &str, length_max: usize, reason: Reason, now_ms: u64) {
         while self.queue(service).count() > length_max {
-            let spared = self.oldest_of_lowest_priority(service).map(|position| position.slot);
-            let spared = spared.filter(|_| length_max > 0);
-            let last = self.queue(service).rev().find(|position| Some(position.slot) != spared);
+            let protected_slot =
+                self.oldest_of_lowest_priority(service).map(|position| position.slot);
+            let protected_slot = protected_slot.filter(|_| length_max > 0);
+            let last =
+                self.queue(service).rev().find(|position| Some(position.slot) != protected_slot);
             let Some(slot) = last.map(|position| position.slot) else { return };
             self.refuse(slot, reason, now_ms);
         }
@@ -160,8 +162,8 @@
     }
 
     fn oldest_of_lowest_priority<'a>(&'a self, service: &'a str) -> Option<&'a QueuePosition> {
-        let lowest = self.queue(service).next_back()?.priority;
-        self.queue(service).find(|position| position.priority == lowest)
+        let lowest_priority = self.queue(service).next_back()?.priority;
+        self.queue(service).find(|position| position.priority == lowest_priority)
     }
 
     fn next_in_queue(&self, service: &str) -> Option<QueuePosition> {
--- a/core/src/node/relay.rs
+++ b/core/src/node/relay.rs
@@ -44,7 +44,7 @@
     /// `changes` is complete after this position.
     changes_after: store::Position,
     /// The configuration in force, encoded for peers, with its version.
-    encoded: Option<(u64, Vec<u8>)>,
+    encoded_config: Option<(u64, Vec<u8>)>,
     config_requested_ms: Option<u64>,
     vms_requested_ms: Option<u64>,
     members_requested_ms: Option<u64>,
@@ -182,8 +182,8 @@
         {
             return;
         }
-        let same = digest.config_version == self.config_version();
-        let position = if same { reported } else { store::Position::START };
+        let same_version = digest.config_version == self.config_version();
+        let position = if same_version { reported } else { store::Position::START };
         let copy_state = message::CopyState { position, ..digest.configuration };
         self.confirm_copy(watch::Topic::Configuration, copy_state, now_ms);
     }
@@ -246,8 +246,8 @@
 
     fn request_members(&mut self, from: ids::Incarnation, routers: u64, now_ms: u64) {
         let live_count = self.members.live_count();
-        let more = routers > live_count + (live_count / MEMBERS_TOLERANCE_DIVISOR).max(1);
-        if more
+        let peer_has_more = routers > live_count + (live_count / MEMBERS_TOLERANCE_DIVISOR).max(1);
+        if peer_has_more
             && may_request(
                 &mut self.relay.members_requested_ms,
                 MEMBERS_REQUEST_INTERVAL_MS,
@@ -265,7 +265,7 @@
 
     pub(super) fn send_vms(&mut self, to: ids::Incarnation, now_ms: u64) {
         let mut vms: Vec<_> = self.vms.values().cloned().collect();
-        vms.sort_by(|one, other| one.vm.cmp(&other.vm));
+        vms.sort_by(|left, right| left.vm.cmp(&right.vm));
         let copy_state = self.digest(now_ms).servers;
         self.send(to, message::Message::Vms { copy_state, vms });
     }
@@ -273,9 +273,12 @@
     pub(super) fn send_config(&mut self, to: ids::Incarnation, now_ms: u64) {
         let Some(published) = &self.config else { return };
         let version = published.version;
-        let kept =
-            self.relay.encoded.take().filter(|(encoded_version, _)| *encoded_version == version);
-        let value = match kept {
+        let cached = self
+            .relay
+            .encoded_config
+            .take()
+            .filter(|(encoded_version, _)| *encoded_version == version);
+        let value = match cached {
             Some((_, value)) => value,
             None => match postcard::to_stdvec(published) {
                 Ok(value) => value,
@@ -286,7 +289,7 @@
                 }
             },
         };
-        self.relay.encoded = Some((version, value.clone()));
+        self.relay.encoded_config = Some((version, value.clone()));
         let copy_state = self.digest(now_ms).configuration;
         let evacuations = self.evacuations.clone();
         self.send(to, message::Message::Config { version, copy_state, evacuations, value });
@@ -310,7 +313,7 @@
                 let version = published.version;
                 self.apply_config(published, ConfigSource::Peer(from), now_ms);
                 if version == self.config_version() {
-                    self.relay.encoded = Some((version, value));
+                    self.relay.encoded_config = Some((version, value));
                     self.record_peer_update(watch::Topic::Configuration, now_ms);
                     if accepted {
                         self.confirm_copy(watch::Topic::Configuration, copy_state, now_ms);
--- a/core/src/node/retries.rs
+++ b/core/src/node/retries.rs
@@ -86,7 +86,7 @@
 
     /// Time at which the first of a request's servers accepts requests again, if all of them back off.
     fn backoffs_end_ms(&self, slot: ids::RequestSlot, now_ms: u64) -> Option<u64> {
-        self.servers.backoffs_end_ms(&admit::servers_for(self.requests.get(slot)?), now_ms)
+        self.servers.backoffs_end_ms(&admit::server_criteria(self.requests.get(slot)?), now_ms)
     }
 
     /// Time in milliseconds after which a request that is refused because of backoffs may be repeated, randomized so
--- a/core/src/node/settle.rs
+++ b/core/src/node/settle.rs
@@ -271,7 +271,7 @@
                 (in_other_domain, rendezvous::weight(shard, record.id.0), record.id)
             })
             .collect();
-        ranked.sort_unstable_by(|one, other| other.cmp(one));
+        ranked.sort_unstable_by(|left, right| right.cmp(left));
         let index = tries.checked_rem(ranked.len())?;
         ranked.get(index).map(|(_, _, id)| *id)
     }
--- a/core/src/node/tokens.rs
+++ b/core/src/node/tokens.rs
@@ -85,7 +85,7 @@
         let deadline_ms = request.admission.deadline_ms;
         let waited_ms = now_ms.saturating_sub(since_ms);
         let search = self.token_searches.entry(budget).or_default();
-        let read = search.synced_ms >= since_ms && search.synced_ms > 0;
+        let synced = search.synced_ms >= since_ms && search.synced_ms > 0;
         let account = self.grants.account(budget);
         let left_tokens = account.remaining_tokens.unwrap_or(0);
         let sufficient = left_tokens.saturating_add(account.free_or_locked_tokens()) >= bound;
@@ -95,7 +95,7 @@
             false => Reason::BudgetExhausted,
         };
         // If enough is left, the sync that ended began before this shortage was recorded.
-        let known_insufficient = read && !sufficient;
+        let certainly_insufficient = synced && !sufficient;
         // Holders get no tokens from one another, and other routers have none of the budget to spare, so a single
         // holder sends no requests to peers.
         let single_holder = account.settings.holders == 1;
@@ -104,18 +104,18 @@
         let answered = requested
             && (search.unanswered.is_empty()
                 || now_ms >= search.requested_ms + PEER_REPLY_TIMEOUT_MS);
-        if !requested && (known_insufficient || waited_ms >= PEER_REQUEST_DELAY_MS) {
+        if !requested && (certainly_insufficient || waited_ms >= PEER_REQUEST_DELAY_MS) {
             self.request_transfers(budget, now_ms);
-        } else if known_insufficient && answered {
+        } else if certainly_insufficient && answered {
             self.record_exhausted(budget, bound, shortage_reason, now_ms);
             self.refuse(slot, shortage_reason, now_ms);
         } else if waited_ms < self.settings.budget_wait_ms && now_ms < deadline_ms {
-            if read && sufficient {
+            if synced && sufficient {
                 self.request_ledger_sync(budget);
             }
         } else {
             let reason =
-                if known_insufficient { shortage_reason } else { Reason::BudgetUnreachable };
+                if certainly_insufficient { shortage_reason } else { Reason::BudgetUnreachable };
             self.refuse(slot, reason, now_ms);
         }
     }
--- a/core/src/node/transfer_requests.rs
+++ b/core/src/node/transfer_requests.rs
@@ -108,8 +108,8 @@
         let shard = self.ledger_shard(request.budget);
         let store_unanswered =
             self.ledgers.get(shard).is_none_or(ledger_writer::Writer::unanswered);
-        let waited = now_ms >= request.since_ms + STORE_WAIT_MS;
-        if certain || store_unanswered || waited || self.lifecycle != Lifecycle::Ready {
+        let wait_over = now_ms >= request.since_ms + STORE_WAIT_MS;
+        if certain || store_unanswered || wait_over || self.lifecycle != Lifecycle::Ready {
             let budget = self.grants.account(request.budget).name.clone();
             let number = request.number;
             self.send(
