--- a/core/src/grants.rs
+++ b/core/src/grants.rs
@@ -9,7 +9,7 @@
 mod reserve;
 
 pub use account::{Account, Prepaid};
-pub use reserve::{DEFAULT_BACKUP_AGE_MS, Undrawn};
+pub use reserve::{DEFAULT_BACKUP_AGE_MS, UndrawnSnapshot};
 
 use crate::{config, ids, ledger, request};
 use std::collections;
@@ -103,12 +103,12 @@
     ) {
         for slot in self.slots_with_shortage.drain(..) {
             self.accounts[slot].shortage_tokens = 0;
-            self.accounts[slot].claimed_tokens = 0;
+            self.accounts[slot].own_shortage_tokens = 0;
         }
         for (slot, tokens) in waiting {
             let account = &mut self.accounts[slot];
             account.shortage_tokens = account.shortage_tokens.saturating_add(tokens);
-            account.claimed_tokens = account.claimed_tokens.saturating_add(tokens);
+            account.own_shortage_tokens = account.own_shortage_tokens.saturating_add(tokens);
             account.record_need(tokens);
             self.slots_with_shortage.push(slot);
         }
@@ -131,7 +131,7 @@
         }
         let account = &mut self.accounts[slot];
         if account.free_tokens() < bound_tokens
-            || account.confirm_version > 0
+            || account.awaited_config_version > 0
             || account.awaits_recovery
         {
             return None;
@@ -170,15 +170,15 @@
     /// Blocks spending from grants that a restore of the store may have lost, until they are in the ledger again.
     pub fn await_recovery(&mut self) {
         for account in self.accounts.values_mut() {
-            account.awaits_recovery |= account.has_row;
+            account.awaits_recovery |= account.has_grant;
         }
     }
 
     /// Clears the wait for a lowered prepaid amount where this router has no tokens of the budget left.
-    pub fn confirm_empty(&mut self) {
+    pub fn clear_awaited_versions(&mut self) {
         for account in self.accounts.values_mut() {
-            if !account.holder && !account.has_row && account.free_tokens() == 0 {
-                account.confirm_version = 0;
+            if !account.holder && !account.has_grant && account.free_tokens() == 0 {
+                account.awaited_config_version = 0;
             }
         }
     }
@@ -197,7 +197,7 @@
             account.holder = account.settings.holders == 0 || is_holder(account);
             account.routers = match account.settings.holders {
                 0 => routers,
-                holders => holders.min(routers).max(account.rows),
+                holders => holders.min(routers).max(account.grant_count),
             };
         }
     }
--- a/core/src/grants/account.rs
+++ b/core/src/grants/account.rs
@@ -54,7 +54,7 @@
     /// This router's grant in the ledger, as last read or written.
     pub granted_tokens: u64,
     /// Whether the ledger contains a grant of this router.
-    pub has_row: bool,
+    pub has_grant: bool,
     /// Whether this router has closed its own grant, which returned all its free tokens to the ledger.
     pub closed: bool,
     /// Tokens that are being returned to the ledger, in a write whose result is not known.
@@ -77,11 +77,11 @@
     /// Tokens that waiting requests and transfer requests of peers need in total.
     pub shortage_tokens: u64,
     /// The part of `shortage_tokens` that waiting requests of this router need.
-    pub claimed_tokens: u64,
+    pub own_shortage_tokens: u64,
     /// The tokens that could be drawn when the ledger was last read.
     pub remaining_tokens: Option<u64>,
     /// The tokens that no router had drawn at the last read, the reserve among them, and the use by other holders.
-    pub undrawn: reserve::Undrawn,
+    pub undrawn: reserve::UndrawnSnapshot,
     /// The tokens withheld at the last read, because a restore of the store may have lost the record of their spending.
     pub withheld: ledger::Withheld,
     /// The greatest age of a backup of the store when it is restored.
@@ -97,14 +97,14 @@
     /// When the ledger was last read; `None` if it never was.
     pub ledger_read_ms: Option<u64>,
     /// The number of grants in the budget at the last read.
-    pub rows: u64,
+    pub grant_count: u64,
     /// The prepaid amount that the configuration sets; `None` if payments in the ledger do.
     pub prepaid: Option<Prepaid>,
     /// Whether more is granted than was paid in, so that all free tokens are returned.
     pub overdrawn: bool,
     /// The configuration version that lowered the prepaid amount; 0 if there is none. Nothing is spent until the ledger
     /// was read with this version.
-    pub confirm_version: u64,
+    pub awaited_config_version: u64,
     /// Whether a restore of the store may have lost this router's grant. Nothing is spent until the ledger contains it
     /// again.
     pub awaits_recovery: bool,
@@ -135,7 +135,7 @@
             name: name.to_owned(),
             settings,
             granted_tokens: 0,
-            has_row: false,
+            has_grant: false,
             closed: false,
             returning_tokens: 0,
             locked_tokens: 0,
@@ -146,9 +146,9 @@
             needed_tokens: 0,
             reported_tokens: 0,
             shortage_tokens: 0,
-            claimed_tokens: 0,
+            own_shortage_tokens: 0,
             remaining_tokens: None,
-            undrawn: reserve::Undrawn::default(),
+            undrawn: reserve::UndrawnSnapshot::default(),
             withheld: ledger::Withheld::default(),
             backup_age_ms: reserve::DEFAULT_BACKUP_AGE_MS,
             held_tokens: 0,
@@ -156,10 +156,10 @@
             closed_spent_tokens: 0,
             written_off_tokens: 0,
             ledger_read_ms: None,
-            rows: 0,
+            grant_count: 0,
             prepaid: None,
             overdrawn: false,
-            confirm_version: 0,
+            awaited_config_version: 0,
             awaits_recovery: false,
             routers: 1,
             holder: settings.holders == 0,
@@ -299,7 +299,7 @@
         self.remaining_tokens = Some(budget.drawable_tokens());
         self.held_tokens = budget.held_tokens();
         self.withheld = budget.withheld;
-        self.undrawn = reserve::Undrawn::new(budget, holder);
+        self.undrawn = reserve::UndrawnSnapshot::new(budget, holder);
         self.others_rate_tokens_per_s = budget.others_rate_tokens_per_s(holder);
         self.overdrawn = budget.remaining_tokens().is_none();
     }
@@ -311,8 +311,8 @@
             _ => false,
         };
         // A router without tokens of the budget cannot spend more than the lowered amount.
-        if lowered && (self.holder || self.has_row || self.free_tokens() > 0) {
-            self.confirm_version = prepaid.map_or(0, |prepaid| prepaid.version);
+        if lowered && (self.holder || self.has_grant || self.free_tokens() > 0) {
+            self.awaited_config_version = prepaid.map_or(0, |prepaid| prepaid.version);
         }
         self.prepaid = prepaid;
     }
@@ -386,18 +386,19 @@
     }
 
     /// The free tokens that no waiting request of this router needs; 0 while nothing may be spent here.
-    pub fn unclaimed_tokens(&self) -> u64 {
-        if self.confirm_version > 0 || self.awaits_recovery {
+    pub fn unneeded_tokens(&self) -> u64 {
+        if self.awaited_config_version > 0 || self.awaits_recovery {
             return 0;
         }
-        self.free_tokens().saturating_sub(self.claimed_tokens)
+        self.free_tokens().saturating_sub(self.own_shortage_tokens)
     }
 
     /// The tokens that may be sent to another holder that lacks tokens for a waiting request: all free tokens, or none
-    /// if requests need tokens here as well and the peer has no priority (`yields`).
-    pub fn spare_tokens(&self, yields: bool) -> u64 {
-        let spares = (self.shortage_tokens == 0 || yields) && !self.awaits_recovery;
-        if spares { self.free_tokens() } else { 0 }
+    /// if requests need tokens here as well and `peer_has_priority` is not set.
+    pub fn transferable_tokens(&self, peer_has_priority: bool) -> u64 {
+        let may_transfer =
+            (self.shortage_tokens == 0 || peer_has_priority) && !self.awaits_recovery;
+        if may_transfer { self.free_tokens() } else { 0 }
     }
 
     /// Records that the ledger was read.
@@ -419,10 +420,10 @@
 
     /// Applies this router's grant in the ledger, `None` if it has none. `definite` means that no earlier write can
     /// still take effect.
-    pub fn apply_row(&mut self, row: Option<&ledger::Grant>, definite: bool) {
-        self.granted_tokens = row.map_or(0, |grant| grant.granted_tokens);
-        self.reported_tokens = row.map_or(0, |grant| grant.consumed_tokens);
-        self.has_row = row.is_some();
+    pub fn apply_grant(&mut self, grant: Option<&ledger::Grant>, definite: bool) {
+        self.granted_tokens = grant.map_or(0, |grant| grant.granted_tokens);
+        self.reported_tokens = grant.map_or(0, |grant| grant.consumed_tokens);
+        self.has_grant = grant.is_some();
         if definite {
             self.returning_tokens = 0;
         }
--- a/core/src/grants/reserve.rs
+++ b/core/src/grants/reserve.rs
@@ -20,7 +20,7 @@
 /// taken, and how much other routers use the budget. The router computes from it the [`ledger::Reserve`], the part of
 /// these tokens that no router may take yet.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Undrawn {
+pub struct UndrawnSnapshot {
     /// The tokens that are neither drawn, that is, in a router's grant, nor withheld ([`ledger::Withheld`]).
     pub tokens: u64,
     /// The part of them that may not be drawn yet.
@@ -30,19 +30,19 @@
     /// Whether all other holders last reported that they are idle.
     pub others_idle: bool,
     /// Whether this router's grant is marked as idle in the ledger or does not exist.
-    pub row_is_idle: bool,
+    pub grant_is_idle: bool,
 }
 
-impl Undrawn {
+impl UndrawnSnapshot {
     /// Takes the figures from the budget's state in the ledger; `holder` is this router.
     pub fn new(budget: &ledger::Budget, holder: ids::Incarnation) -> Self {
-        let row = budget.grants.get(&holder);
+        let grant = budget.grants.get(&holder);
         Self {
             tokens: budget.undrawn_tokens(),
             reserve: budget.reserve,
             others_rate_tokens_per_s: budget.others_rate_tokens_per_s(holder),
             others_idle: budget.others_idle(holder),
-            row_is_idle: row.is_none_or(|row| row.idle),
+            grant_is_idle: grant.is_none_or(|grant| grant.idle),
         }
     }
 
@@ -112,7 +112,7 @@
         let reserve_target_tokens = self.target_reserve_tokens();
         let should_report_idle = self.has_usage_history()
             && self.idle()
-            && !self.undrawn.row_is_idle
+            && !self.undrawn.grant_is_idle
             && self.is_significant_change(reserve_target_tokens, self.undrawn.reserve.tokens);
         self.holder && (should_report_idle || self.higher_reserve_tokens().is_some())
     }
--- a/core/src/ledger/era_record.rs
+++ b/core/src/ledger/era_record.rs
@@ -7,7 +7,7 @@
 
 /// A value in the store for its present era, the time since the store was last restored from a backup: whether a budget
 /// that the ledger lacks is new, or may have been lost in the restore. Routers determine from it whether tokens that
-/// the configuration pays in may be drawn ([`crate::ledger_writer::Payments`]).
+/// the configuration pays in may be drawn ([`crate::ledger_writer::PrepaidState`]).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EraRecord {
     /// The era in which the record was written.
--- a/core/src/ledger/recovery.rs
+++ b/core/src/ledger/recovery.rs
@@ -138,7 +138,7 @@
     }
 
     /// Merges a state of the lost history; `of_earlier_era` is set if it is of an earlier era than this state.
-    /// `is_later` and `is_earlier` return whether this state has a later or an earlier row of a holder than the other
+    /// `is_later` and `is_earlier` return whether this state has a later or an earlier grant of a holder than the other
     /// one.
     fn merge(
         &mut self,
@@ -186,8 +186,8 @@
         self.closed_consumed_tokens += added(lost_closed.consumed_tokens, before.consumed_tokens);
         self.written_off_tokens += added(lost_closed.written_off_tokens, before.written_off_tokens);
         self.closed_before = before.max(lost_closed);
-        // Only the holder writes its row, so the row of its latest write is the valid one, even if it returned tokens
-        // and the granted amount is lower.
+        // Only the holder changes its grant, so the state of its latest write is the valid one, even if it returned
+        // tokens and the granted amount is lower.
         for (holder, lost) in &lost.grants {
             let grant = self.grants.entry(*holder).or_insert(*lost);
             if is_earlier(*holder) {
--- a/core/src/ledger/reserve.rs
+++ b/core/src/ledger/reserve.rs
@@ -129,22 +129,23 @@
 }
 
 impl Shard {
-    /// Makes withheld tokens drawable, except those that `silent` routers may have drawn without the others having a
-    /// copy. If `is_final`, no router is left that could report such draws, and the rest is recorded as lost.
-    pub fn apply_recovery_decision(&mut self, silent: Option<u64>, is_final: bool) {
+    /// Makes withheld tokens drawable, except those that so many silent routers may have drawn without the others
+    /// having a copy; `None` if there are too many to bound these tokens. If `is_final`, no router is left that could
+    /// report such draws, and the rest is recorded as lost.
+    pub fn apply_recovery_decision(&mut self, silent_routers: Option<u64>, is_final: bool) {
         // Only a lower number is applied. The bound depends on the undrawn tokens, and later there are fewer of them
         // than when these routers may have drawn.
-        let fewer = |silent: &u64| self.silent_routers.is_none_or(|current| *silent < current);
-        let silent = silent.filter(fewer);
-        self.silent_routers = silent.or(self.silent_routers);
-        if is_final || silent == Some(0) {
+        let fewer = |count: &u64| self.silent_routers.is_none_or(|current| *count < current);
+        let silent_routers = silent_routers.filter(fewer);
+        self.silent_routers = silent_routers.or(self.silent_routers);
+        if is_final || silent_routers == Some(0) {
             self.unconfirmed_since_era = None;
         }
         for budget in self.budgets.values_mut() {
-            if let Some(silent) = silent {
+            if let Some(silent_routers) = silent_routers {
                 let tokens_per_router =
                     budget.remaining_tokens().unwrap_or(0).div_ceil(SILENT_ROUTER_DIVISOR);
-                let max_tokens = tokens_per_router.saturating_mul(silent);
+                let max_tokens = tokens_per_router.saturating_mul(silent_routers);
                 let withheld = &mut budget.withheld;
                 withheld.unconfirmed_tokens = withheld.unconfirmed_tokens.min(max_tokens);
             }
--- a/core/src/ledger_writer.rs
+++ b/core/src/ledger_writer.rs
@@ -94,7 +94,7 @@
     /// The number of silent routers: those that have not confirmed that all their draws are recorded again. Each of
     /// them can have spent only a part of the undrawn tokens by draws that no other router has a copy of. `None` if
     /// there are too many for this bound.
-    pub silent: Option<u64>,
+    pub silent_routers: Option<u64>,
     /// Whether no router is left that could still report those draws.
     pub is_final: bool,
 }
@@ -102,7 +102,7 @@
 impl fmt::Display for RecoveryDecision {
     /// The value of the key `verdict` in log lines.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "Verdict {{ silent: {:?}, is_final: {} }}", self.silent, self.is_final)
+        write!(f, "Verdict {{ silent: {:?}, is_final: {} }}", self.silent_routers, self.is_final)
     }
 }
 
@@ -110,7 +110,7 @@
 /// grant. The cases depend on whether the store was restored recently, since the tokens may have been paid in and drawn
 /// before the restore.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Payments {
+pub enum PrepaidState {
     /// It is not known yet whether the store was restored recently, so nothing is paid in.
     Undecided,
     /// The store was restored recently. The tokens are paid in but withheld, as they may have been paid in and drawn
@@ -165,7 +165,7 @@
     /// The index of the last unusable value that was reported, so that it is reported once.
     unusable_index: Option<store::Position>,
     /// Whether tokens that the configuration pays in may be drawn.
-    payments: Payments,
+    prepaid_state: PrepaidState,
     /// Lower reserves that are not in effect yet, by budget, and when each was first read from the store.
     next_reserves: collections::BTreeMap<String, (ledger::NextReserve, u64)>,
     /// Budgets whose withheld tokens an operator has released.
@@ -205,7 +205,7 @@
             draft_count: 0,
             overtaken_writes: 0,
             unusable_index: None,
-            payments: Payments::default(),
+            prepaid_state: PrepaidState::default(),
             next_reserves: Default::default(),
             released: Default::default(),
             unreplicated: Vec::new(),
@@ -257,7 +257,7 @@
         if self.stale {
             // A router that neither holds nor draws from a budget of the shard needs no current state of it.
             return accounts
-                .any(|account| account.holder || account.draws_on_demand || account.has_row);
+                .any(|account| account.holder || account.draws_on_demand || account.has_grant);
         }
         accounts.any(|account| {
             due::is_due(account, elapsed_ms, context)
--- a/core/src/ledger_writer/accounts.rs
+++ b/core/src/ledger_writer/accounts.rs
@@ -32,18 +32,18 @@
         let mut accounts = table.in_shard(self.shard).iter().map(|slot| table.account(*slot));
         let changed = accounts.any(|account| {
             let budget = shard.budgets.get(&account.name);
-            let row = budget.and_then(|budget| budget.grants.get(&context.holder));
-            match row {
-                Some(row) => row.granted_tokens > account.granted_tokens,
-                None => account.has_row,
+            let grant = budget.and_then(|budget| budget.grants.get(&context.holder));
+            match grant {
+                Some(grant) => grant.granted_tokens > account.granted_tokens,
+                None => account.has_grant,
             }
         });
         changed || !self.terminated_in_draft.is_empty()
     }
 
     /// Updates the accounts from a state of the shard and returns the resulting events. `definite` means that no
-    /// earlier write can still take effect. If this router was written off, the accounts after the missing row are not
-    /// updated.
+    /// earlier write can still take effect. If this router was written off, the accounts after the missing grant are
+    /// not updated.
     pub(super) fn apply_shard(
         &mut self,
         shard: &ledger::Shard,
@@ -58,14 +58,14 @@
         for slot in table.in_shard(self.shard).to_vec() {
             let account = table.account_mut(slot);
             let budget = shard.budgets.get(&account.name);
-            let row = budget.and_then(|budget| budget.grants.get(&context.holder));
-            if account.has_row && row.is_none() && !context.stopping {
+            let grant = budget.and_then(|budget| budget.grants.get(&context.holder));
+            if account.has_grant && grant.is_none() && !context.stopping {
                 events.push(Event::WrittenOff);
                 return events;
             }
-            account.closed |= account.has_row && row.is_none() && context.stopping;
+            account.closed |= account.has_grant && grant.is_none() && context.stopping;
             let granted_tokens = account.granted_tokens;
-            account.apply_row(row, definite);
+            account.apply_grant(grant, definite);
             if account.granted_tokens > granted_tokens {
                 drawn.push((slot, account.granted_tokens - granted_tokens));
             }
@@ -77,9 +77,9 @@
             account.closed_spent_tokens = budget.closed_spent_tokens;
             account.written_off_tokens = budget.written_off_tokens;
             account.record_ledger_read(context.now_ms);
-            account.rows = budget.grants.len() as u64;
-            if exists && budget.paid_version >= account.confirm_version {
-                account.confirm_version = 0;
+            account.grant_count = budget.grants.len() as u64;
+            if exists && budget.paid_version >= account.awaited_config_version {
+                account.awaited_config_version = 0;
             }
         }
         self.record_draws(shard, drawn, context.holder, context.now_ms);
--- a/core/src/ledger_writer/draft.rs
+++ b/core/src/ledger_writer/draft.rs
@@ -1,6 +1,6 @@
 //! Drafts the next value of the shard: closes grants of terminated holders, returns surplus tokens and draws grants.
 
-use super::{Context, Event, Payments, Writer};
+use super::{Context, Event, PrepaidState, Writer};
 use crate::{grants, ids, ledger};
 
 impl Writer {
@@ -15,9 +15,9 @@
         let mut draft = shard.clone();
         self.terminated_in_draft.clear();
         let slots = table.in_shard(self.shard).iter();
-        self.draft_payments(&mut draft, slots.map(|slot| table.account(*slot)));
+        self.draft_prepaid(&mut draft, slots.map(|slot| table.account(*slot)));
         if let Some(decision) = self.recovery_decision(era).filter(|_| shard.era == Some(era)) {
-            draft.apply_recovery_decision(decision.silent, decision.is_final);
+            draft.apply_recovery_decision(decision.silent_routers, decision.is_final);
         }
         for name in &self.released {
             if let Some(budget) = draft.budgets.get_mut(name) {
@@ -54,19 +54,19 @@
 
     /// Applies the prepaid amounts of the configuration. Soon after a restore they are withheld, because they may have
     /// been paid in before it, and been drawn.
-    fn draft_payments<'a>(
+    fn draft_prepaid<'a>(
         &self,
         draft: &mut ledger::Shard,
         accounts: impl Iterator<Item = &'a grants::Account>,
     ) {
         for account in accounts {
             let Some(prepaid) = account.prepaid else { continue };
-            match self.payments {
-                Payments::Undecided => continue,
-                Payments::Drawable => {
+            match self.prepaid_state {
+                PrepaidState::Undecided => continue,
+                PrepaidState::Drawable => {
                     draft.set_prepaid(&account.name, prepaid.tokens, prepaid.version);
                 }
-                Payments::Withheld => {
+                PrepaidState::Withheld => {
                     let before = draft.budgets.get(&account.name).cloned().unwrap_or_default();
                     draft.set_prepaid(&account.name, prepaid.tokens, prepaid.version);
                     if let Some(budget) = draft.budgets.get_mut(&account.name) {
--- a/core/src/ledger_writer/due.rs
+++ b/core/src/ledger_writer/due.rs
@@ -16,7 +16,7 @@
 pub(super) fn is_due(account: &grants::Account, elapsed_ms: u64, context: &Context<'_>) -> bool {
     if context.stopping {
         let can_return = account.returnable_tokens() > 0 && elapsed_ms >= REFILL_INTERVAL_MS;
-        return account.has_row && (account.reserved_tokens == 0 || can_return);
+        return account.has_grant && (account.reserved_tokens == 0 || can_return);
     }
     if account.awaits_recovery {
         return true;
@@ -24,11 +24,11 @@
     // A router that is not a holder sends its tokens to the holder, and has nothing to report.
     let reports_spending = account.holder;
     let unreported =
-        reports_spending && account.has_row && account.spent_tokens() > account.reported_tokens;
+        reports_spending && account.has_grant && account.spent_tokens() > account.reported_tokens;
     let grant_missing =
-        !account.has_row && account.received_tokens > 0 && account.settings.holders == 0;
+        !account.has_grant && account.received_tokens > 0 && account.settings.holders == 0;
     let exhausted = account.remaining_tokens == Some(0);
-    if account.confirm_version > 0 && (account.holder || account.has_row) {
+    if account.awaited_config_version > 0 && (account.holder || account.has_grant) {
         return true;
     }
     let refill_ms = match account.settings.held_percent {
--- a/core/src/ledger_writer/replies.rs
+++ b/core/src/ledger_writer/replies.rs
@@ -1,6 +1,6 @@
 //! Handles the store's replies to a writer's calls.
 
-use super::{BACKOFF_LIMIT_MS, Context, Event, Payments, State, Write, Writer};
+use super::{BACKOFF_LIMIT_MS, Context, Event, PrepaidState, State, Write, Writer};
 use crate::{grants, ids, ledger, store};
 use rand::rngs;
 
@@ -163,7 +163,7 @@
         rng: &mut rngs::StdRng,
     ) -> (Option<Write>, Vec<Event>) {
         self.record_read(era);
-        if self.payments == Payments::Undecided {
+        if self.prepaid_state == PrepaidState::Undecided {
             self.record_failure(context, rng);
             return (None, Vec::new());
         }
--- a/core/src/ledger_writer/restores.rs
+++ b/core/src/ledger_writer/restores.rs
@@ -1,6 +1,6 @@
 //! Recovers the shard after a restore of the store, from the latest state that this router read, wrote or received.
 
-use super::{Context, Payments, RecoveryDecision, State, Writer};
+use super::{Context, PrepaidState, RecoveryDecision, State, Writer};
 use crate::{grants, ids, ledger, store};
 
 /// The number of eras for which the time of the last read is kept.
@@ -45,8 +45,8 @@
     }
 
     /// Sets whether tokens that the configuration pays in may be drawn.
-    pub fn set_payments(&mut self, payments: Payments) {
-        self.payments = payments;
+    pub fn set_prepaid_state(&mut self, prepaid_state: PrepaidState) {
+        self.prepaid_state = prepaid_state;
     }
 
     /// Releases the withheld tokens of a budget, as an operator requested, and requests a sync.
@@ -152,8 +152,9 @@
     ) {
         for (slot, granted_tokens, tokens) in &self.interrupted_returns {
             let name = &table.account(*slot).name;
-            let row = shard.budgets.get(name).and_then(|budget| budget.grants.get(&context.holder));
-            if row.is_some_and(|row| row.granted_tokens == *granted_tokens) {
+            let grant =
+                shard.budgets.get(name).and_then(|budget| budget.grants.get(&context.holder));
+            if grant.is_some_and(|grant| grant.granted_tokens == *granted_tokens) {
                 let before = shard.budgets.get(name).cloned().unwrap_or_default();
                 shard.return_tokens(name, context.holder, *tokens);
                 // If the interrupted return was applied, these tokens may have been drawn again.
--- a/core/src/node/config_and_vms.rs
+++ b/core/src/node/config_and_vms.rs
@@ -64,7 +64,7 @@
             let mut slots = self.grants.in_shard(shard as u32).iter();
             let is_held = |slot: &ids::BudgetSlot| {
                 let account = self.grants.account(*slot);
-                account.holder || account.has_row
+                account.holder || account.has_grant
             };
             if slots.any(is_held) {
                 ledger.request_sync();
--- a/core/src/node/confirmations.rs
+++ b/core/src/node/confirmations.rs
@@ -91,16 +91,16 @@
         let replies = &self.confirmations.replies;
         let reply = |address| replies.get(address)?.shards.get(&shard).copied();
         let all: Vec<_> = others.iter().map(reply).chain([Some(own)]).collect();
-        let silent =
+        let silent_routers =
             all.iter().filter(|recovered| **recovered != Some(message::Recovered::All)).count()
                 as u64;
         let answered = all.iter().all(|recovered| {
             recovered.is_some_and(|recovered| recovered != message::Recovered::Nothing)
         });
-        let is_final = replies_final && answered && silent > 0;
-        let silent = Some(silent).filter(|silent| *silent <= self.unavailable_max());
-        (is_final || silent.is_some())
-            .then_some(ledger_writer::RecoveryDecision { silent, is_final })
+        let is_final = replies_final && answered && silent_routers > 0;
+        let silent_routers = Some(silent_routers).filter(|count| *count <= self.unavailable_max());
+        (is_final || silent_routers.is_some())
+            .then_some(ledger_writer::RecoveryDecision { silent_routers, is_final })
     }
 
     /// Releases the tokens of a budget that are withheld since restores of the store, on an operator's command. Returns
--- a/core/src/node/era_record.rs
+++ b/core/src/node/era_record.rs
@@ -24,14 +24,14 @@
 
 impl Node {
     /// How the ledger treats prepaid tokens of the configuration that it does not contain yet.
-    fn payments(&self) -> ledger_writer::Payments {
+    fn prepaid_state(&self) -> ledger_writer::PrepaidState {
         let era = self.store_era();
         match self.era_record.record.filter(|record| record.era == era) {
-            _ if era == 0 => ledger_writer::Payments::Drawable,
-            Some(record) if record.settled => ledger_writer::Payments::Drawable,
-            Some(_) => ledger_writer::Payments::Withheld,
-            None if self.detected_restore() => ledger_writer::Payments::Withheld,
-            None => ledger_writer::Payments::Undecided,
+            _ if era == 0 => ledger_writer::PrepaidState::Drawable,
+            Some(record) if record.settled => ledger_writer::PrepaidState::Drawable,
+            Some(_) => ledger_writer::PrepaidState::Withheld,
+            None if self.detected_restore() => ledger_writer::PrepaidState::Withheld,
+            None => ledger_writer::PrepaidState::Undecided,
         }
     }
 
@@ -40,8 +40,8 @@
         if self.store_era() == 0 {
             return;
         }
-        let payments = self.payments();
-        self.ledgers.iter_mut().for_each(|ledger| ledger.set_payments(payments));
+        let prepaid_state = self.prepaid_state();
+        self.ledgers.iter_mut().for_each(|ledger| ledger.set_prepaid_state(prepaid_state));
         let state = self.era_record;
         let ready = self.era_age_ms(now_ms).is_some() && self.lifecycle == Lifecycle::Ready;
         if !ready || state.in_flight || now_ms < state.not_before_ms {
--- a/core/src/node/holders.rs
+++ b/core/src/node/holders.rs
@@ -357,7 +357,7 @@
 
     /// Returns excess tokens to the holders of their budgets.
     fn return_excess(&mut self, now_ms: u64) {
-        self.grants.confirm_empty();
+        self.grants.clear_awaited_versions();
         let stopping = self.lifecycle == Lifecycle::Stopping;
         if !stopping && self.lifecycle != Lifecycle::Ready {
             return;
@@ -368,7 +368,7 @@
             .filter(|(_, account)| account.settings.holders > 0 && account.shortage_tokens == 0)
             .filter(|(_, account)| match stopping {
                 // A grant drawn from the ledger is closed in the ledger; its tokens must not be sent elsewhere as well.
-                true => !account.has_row,
+                true => !account.has_grant,
                 false => !account.holder,
             })
             .filter_map(|(slot, account)| Some((slot, excess_tokens(account, stopping)?)))
@@ -385,7 +385,7 @@
 /// The tokens that a router may return to a holder; `None` if there are none, or if a restore of the store may have
 /// lost its grant.
 fn excess_tokens(account: &grants::Account, stopping: bool) -> Option<u64> {
-    let kept_tokens = match stopping || account.confirm_version > 0 {
+    let kept_tokens = match stopping || account.awaited_config_version > 0 {
         true => 0,
         false => account.rate_tokens_per_s().saturating_mul(KEPT_HEADROOM_MS) / 1_000,
     };
--- a/core/src/node/lifecycle.rs
+++ b/core/src/node/lifecycle.rs
@@ -33,7 +33,7 @@
             && self.outbox.transfers.is_empty()
             && self.logs.iter().all(|log| log.pending() == 0)
             && self.ledgers.iter().all(|ledger| !ledger.busy())
-            && self.grants.iter().all(|(_, account)| !account.has_row);
+            && self.grants.iter().all(|(_, account)| !account.has_grant);
         if idle {
             self.members.leave();
             self.announce_leaving(now_ms);
--- a/core/src/node/notices.rs
+++ b/core/src/node/notices.rs
@@ -223,7 +223,7 @@
         /// The position of the answer.
         position: store::Position,
         /// The position of this router's copy.
-        known: store::Position,
+        own_position: store::Position,
     },
     /// The store was restored from a backup.
     StoreRestored {
--- a/core/src/node/settle.rs
+++ b/core/src/node/settle.rs
@@ -68,7 +68,7 @@
             if unsettled.due(now_ms) {
                 due.push(*attempt);
             }
-            let waited_ms = now_ms.saturating_sub(unsettled.since_ms);
+            let waited_ms = now_ms.saturating_sub(unsettled.ended_ms);
             if unsettled.waiting_request.is_some() && waited_ms >= self.settings.handover_wait_ms {
                 timed_out.push(*attempt);
             }
@@ -223,10 +223,10 @@
         let unsettled = outbox::PendingSettlement {
             settlement,
             waiting_request: Some(slot),
-            tries: 0,
+            handover_count: 0,
             safe: false,
             sent_ms: now_ms,
-            since_ms: now_ms,
+            ended_ms: now_ms,
         };
         self.outbox.settlements.insert(attempt, unsettled);
         self.hand_over(attempt, now_ms);
@@ -237,17 +237,17 @@
     fn hand_over(&mut self, attempt: ids::AttemptId, now_ms: u64) {
         let Some(unsettled) = self.outbox.settlements.get(&attempt) else { return };
         let settlement = unsettled.settlement.clone();
-        let (tries, safe) = (unsettled.tries, unsettled.safe);
-        let append_due = now_ms.saturating_sub(unsettled.since_ms) >= OWN_APPEND_AFTER_MS;
-        let committer = self.committer(settlement.key, if safe { 0 } else { tries });
+        let (handover_count, safe) = (unsettled.handover_count, unsettled.safe);
+        let append_due = now_ms.saturating_sub(unsettled.ended_ms) >= OWN_APPEND_AFTER_MS;
+        let committer = self.committer(settlement.key, if safe { 0 } else { handover_count });
         if let Some(unsettled) = self.outbox.settlements.get_mut(&attempt) {
             unsettled.sent_ms = now_ms;
-            unsettled.tries += 1;
+            unsettled.handover_count += 1;
         }
         if let Some(peer) = committer {
             self.send(peer, message::Message::Settle(settlement.clone()));
         }
-        let not_stored = !safe && tries >= HANDOVERS_BEFORE_OWN_APPEND;
+        let not_stored = !safe && handover_count >= HANDOVERS_BEFORE_OWN_APPEND;
         if committer.is_none() || not_stored || append_due {
             let entry = log_index::Entry::Settle(settlement);
             let urgency = match safe {
@@ -260,7 +260,7 @@
 
     /// The peer that appends this router's settlement to the log, in another failure domain if there is one. Never this
     /// router itself, so that two routers have the settlement. Each attempt selects the next peer in rank.
-    fn committer(&self, key: ids::RequestKey, tries: usize) -> Option<ids::Incarnation> {
+    fn committer(&self, key: ids::RequestKey, handover_count: usize) -> Option<ids::Incarnation> {
         let shard = u64::from(key.shard(self.logs.len() as u32));
         let own_domain = &self.settings.failure_domain;
         let mut ranked: Vec<(bool, u64, ids::Incarnation)> = self
@@ -272,7 +272,7 @@
             })
             .collect();
         ranked.sort_unstable_by(|left, right| right.cmp(left));
-        let index = tries.checked_rem(ranked.len())?;
+        let index = handover_count.checked_rem(ranked.len())?;
         ranked.get(index).map(|(_, _, id)| *id)
     }
 
--- a/core/src/node/transfer_requests.rs
+++ b/core/src/node/transfer_requests.rs
@@ -93,7 +93,7 @@
 
     fn answer_transfer_request(&mut self, request: TransferRequest, now_ms: u64) {
         let account = self.grants.account(request.budget);
-        let free_tokens = account.unclaimed_tokens();
+        let free_tokens = account.unneeded_tokens();
         if free_tokens >= request.needed_tokens && self.lifecycle == Lifecycle::Ready {
             let tokens = free_tokens.min(request.wanted_tokens.max(request.needed_tokens));
             self.send_tokens(request.requester, request.budget, tokens, request.number, now_ms);
@@ -163,7 +163,7 @@
             budget,
             tokens,
             in_reply_to,
-            since_ms: now_ms,
+            first_sent_ms: now_ms,
             sent_ms: now_ms,
         };
         let number = self.outbox.add_transfer(outgoing.clone());
--- a/core/src/node/watching.rs
+++ b/core/src/node/watching.rs
@@ -171,8 +171,8 @@
                 self.apply_changes(position.max(own_position), changes, was_refused, now_ms);
             }
             watch::Update::AllServers(_) if position < self.vms_index => {
-                let (topic, known) = (watch::Topic::Servers, self.vms_index);
-                let notice = Notice::StaleAnswerIgnored { topic, position, known };
+                let (topic, own_position) = (watch::Topic::Servers, self.vms_index);
+                let notice = Notice::StaleAnswerIgnored { topic, position, own_position };
                 self.actions.push(Action::Notice(notice));
             }
             watch::Update::AllServers(all) => {
--- a/core/src/outbox.rs
+++ b/core/src/outbox.rs
@@ -22,13 +22,13 @@
     /// The request whose last chunk waits until the settlement is safe; `None` after this wait.
     pub waiting_request: Option<ids::RequestSlot>,
     /// The number of attempts to hand the settlement over to another router or to the log.
-    pub tries: usize,
+    pub handover_count: usize,
     /// Whether another router or the log has the settlement.
     pub safe: bool,
     /// When the settlement was last sent or appended.
     pub sent_ms: u64,
     /// When the answer to the request ended.
-    pub since_ms: u64,
+    pub ended_ms: u64,
 }
 
 impl PendingSettlement {
@@ -52,7 +52,7 @@
     /// The number of the receiver's request that this is the reply to; 0 if there is none.
     pub in_reply_to: u64,
     /// When the transfer was first sent.
-    pub since_ms: u64,
+    pub first_sent_ms: u64,
     /// When the transfer was last sent.
     pub sent_ms: u64,
 }
@@ -60,13 +60,13 @@
 impl OutgoingTransfer {
     /// Returns whether the transfer is due to be sent again. The delay grows while there is no acknowledgment.
     pub fn due(&self, now_ms: u64) -> bool {
-        let age_ms = self.sent_ms.saturating_sub(self.since_ms);
+        let age_ms = self.sent_ms.saturating_sub(self.first_sent_ms);
         now_ms >= self.sent_ms + age_ms.clamp(TRANSFER_RESEND_FIRST_MS, RESEND_MS)
     }
 
     /// Returns whether the transfer is too old to expect an acknowledgment.
     pub fn is_expired(&self, now_ms: u64) -> bool {
-        now_ms >= self.since_ms + TRANSFER_TIMEOUT_MS
+        now_ms >= self.first_sent_ms + TRANSFER_TIMEOUT_MS
     }
 }
 
--- a/core/src/request.rs
+++ b/core/src/request.rs
@@ -31,7 +31,7 @@
 /// The budget and the number of tokens of a [`Reservation`] that has ended, because its request was not sent or its
 /// cost is final. [`crate::grants::Table`] uses it to make the tokens available again or to charge them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ended {
+pub struct EndedReservation {
     /// The budget from which the tokens were reserved.
     pub budget: ids::BudgetSlot,
     /// The number of tokens that were reserved.
@@ -66,14 +66,14 @@
     }
 
     /// Ends the reservation of a request that was not sent; the caller returns the tokens.
-    pub(crate) fn release(self) -> Ended {
-        Ended { budget: self.budget, bound_tokens: self.bound_tokens }
+    pub(crate) fn release(self) -> EndedReservation {
+        EndedReservation { budget: self.budget, bound_tokens: self.bound_tokens }
     }
 }
 
 impl Reservation<Sent> {
     /// Ends the reservation of a request that was sent; the caller records what was consumed.
-    pub(crate) fn settle(self) -> Ended {
-        Ended { budget: self.budget, bound_tokens: self.bound_tokens }
+    pub(crate) fn settle(self) -> EndedReservation {
+        EndedReservation { budget: self.budget, bound_tokens: self.bound_tokens }
     }
 }
--- a/core/tests/external_names.rs
+++ b/core/tests/external_names.rs
@@ -307,9 +307,9 @@
     headers: [servers::Header::Limit, servers::Header::Leaving, servers::Header::Backoff]
         .map(servers::Header::as_str)
         .join(" ") => "Limit Leaving Backoff";
-    recovery_decision: ledger_writer::RecoveryDecision { silent: Some(2), is_final: false }
+    recovery_decision: ledger_writer::RecoveryDecision { silent_routers: Some(2), is_final: false }
         .to_string() => "Verdict { silent: Some(2), is_final: false }";
-    final_recovery_decision: ledger_writer::RecoveryDecision { silent: None, is_final: true }
+    final_recovery_decision: ledger_writer::RecoveryDecision { silent_routers: None, is_final: true }
         .to_string() => "Verdict { silent: None, is_final: true }";
     a_service_in_publish: format!("{:?}", service()) => r#"Service { name: "notes", kind: Model, policy: "all", models: ["roast"], answer_tokens_max: 1, call_tokens: 2, unrepeatable: [Call { method: "POST", path_prefix: "/pay" }], queue_length: 3, queue_age_ms: 4, answer_time_ms: 5, connections_max: Some(6), event_tokens: 7, cold_milli_per_s: 8, cold_start_ms: 9 }"#;
     a_budget_in_publish: format!("{:?}", budget().cover()) => "Cover { cover_s: 1, minimum_grant_tokens: 2, held_percent: 4, holders: 5 }";
--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -100,7 +100,7 @@
             let budget = account.name.clone();
             let free = account.free_tokens() as f64;
             metrics::gauge!("doorswitch_budget_free_tokens", "budget" => budget).set(free);
-            if account.has_row || account.consumed_tokens > 0 {
+            if account.has_grant || account.consumed_tokens > 0 {
                 report_tokens(account);
             }
         }
@@ -168,7 +168,7 @@
 fn log_fleet(node: &node::Node) {
     let counters = node.counters();
     let holds = node.grants().iter().filter(|(_, account)| account.holder).count();
-    let rows = node.grants().iter().filter(|(_, account)| account.has_row).count();
+    let rows = node.grants().iter().filter(|(_, account)| account.has_grant).count();
     log::info!(
         "event=fleet routers={} suspected={} budgets_held={holds} budgets_with_grant={rows} \
          store_reads={} store_writes={} store_unanswered={} store_conflicts={} messages={} \
@@ -231,7 +231,7 @@
 
 /// Logs each budget of which this router has a grant or consumed tokens.
 fn log_balances(node: &node::Node, now_ms: u64) {
-    let used = |account: &&grants::Account| account.consumed_tokens > 0 || account.has_row;
+    let used = |account: &&grants::Account| account.consumed_tokens > 0 || account.has_grant;
     for account in node.grants().iter().map(|(_, account)| account).filter(used) {
         log_balance(account, now_ms);
     }
@@ -261,7 +261,7 @@
         account.paid_tokens,
         account.remaining_tokens.unwrap_or(0),
         account.held_tokens,
-        account.rows,
+        account.grant_count,
         account.written_off_tokens,
         account.undrawn.reserve.tokens,
         account.withheld.tokens(),
--- a/src/telemetry/notices.rs
+++ b/src/telemetry/notices.rs
@@ -70,13 +70,13 @@
             call.evidence.as_str(),
             call.waited_ms,
         ),
-        node::Notice::StaleAnswerIgnored { topic, position, known } => log::info!(
+        node::Notice::StaleAnswerIgnored { topic, position, own_position } => log::info!(
             "event=stale_answer_ignored topic={} era={} revision={} known_era={} known_revision={}",
             topic.as_str(),
             position.era,
             position.revision,
-            known.era,
-            known.revision,
+            own_position.era,
+            own_position.revision,
         ),
         node::Notice::RecoveryDecided { shard, era, decision } => {
             log::info!("event=withheld_tokens_decided shard={shard} era={era} verdict={decision}");
