--- a/core/src/grants/account.rs
+++ b/core/src/grants/account.rs
@@ -3,8 +3,8 @@
 use super::{refill, reserve};
 use crate::{config, ids, ledger};
 
-/// Limits of the window over which the spend rate is averaged, which is half the cover time. With a shorter window,
-/// single requests would make routers draw and return tokens in turn.
+/// Limits of the window over which the spend rate of budgets without `held_percent` is averaged, which is half the
+/// cover time. With a shorter window, single requests would make routers draw and return tokens in turn.
 const RATE_WINDOW_MIN_MS: u64 = 20_000;
 const RATE_WINDOW_MAX_MS: u64 = 600_000;
 /// Windows of the spend rate of budgets with `held_percent`, where the headroom of all holders is at most a share of
@@ -12,9 +12,9 @@
 const SHARE_RATE_WINDOW_MS: u64 = 10_000;
 const SHARE_RATE_WINDOW_FIRST_MS: u64 = 3_000;
 /// The shortest window for a budget that no other holder has spent from. A first window of 3 s underestimates the rate
-/// for 3 s: in an outage of 8 s that began 2 s after the first request, 81 requests were refused instead of none (the
-/// core's fleet of seven, one seed). For a budget that was spent from before, a window of 1 s would mistake the backlog
-/// of an outage for the rate.
+/// for 3 s: the headroom is then too small, and requests are refused in an outage that begins soon after the first
+/// request. For a budget that was spent from before, a window of 1 s would mistake the backlog of an outage for the
+/// rate.
 const SHARE_RATE_WINDOW_UNSPENT_MS: u64 = 1_000;
 /// Holders keep a smaller share of a budget that lasts for less than this at the present rate: what is left of it would
 /// not cover an outage of the length that holders are to bridge. See docs/POLICY.md.
@@ -23,8 +23,9 @@
 const PEAK_DECAY_MS: u64 = 600_000;
 /// A holder is low on tokens if its free tokens last for less than this at its present rate.
 const LOW_HEADROOM_MS: u64 = 2_000;
-/// While a budget is in use, the headroom covers at least this many requests of the largest size that had to wait for
-/// tokens: a client that sent one request soon sends more, and the spend rate is not known yet.
+/// While a budget with `held_percent` is in use, the headroom covers at least this many requests of the largest size
+/// that had to wait for tokens, as far as the holder's limit permits: a caller that sent one request soon sends more,
+/// and the spend rate is not known yet.
 const HEADROOM_REQUESTS: u64 = 8;
 /// One part in this many of the share is divided equally among the holders, the rest in proportion to their spend
 /// rates.
@@ -41,8 +42,9 @@
 }
 
 /// One router's state of one token budget: its grant (the tokens of the budget that it may spend), the part of them
-/// that requests have reserved or consumed, and the amounts in the ledger at the last read. It determines whether
-/// tokens can be reserved for a request, and how many the router takes from the ledger or returns.
+/// that requests have reserved or consumed, and what the ledger, the stored record of all budgets, contained at the
+/// last read. It determines whether tokens can be reserved for a request, and how many the router takes from the ledger
+/// or returns to it.
 #[derive(Clone, Debug)]
 pub struct Account {
     /// The budget's name in the ledger.
@@ -52,7 +54,7 @@
     /// This router's grant in the ledger, as last read or written.
     pub granted_tokens: u64,
     /// Whether the ledger contains a grant of this router.
-    pub has_row: bool,
+    pub has_grant: bool,
     /// Whether this router has closed its own grant, which returned all its free tokens to the ledger.
     pub closed: bool,
     /// Tokens that are being returned to the ledger, in a write whose result is not known.
@@ -67,18 +69,19 @@
     pub consumed_tokens: u64,
     /// Tokens reserved for requests that have not ended.
     pub reserved_tokens: u64,
-    /// The largest number of tokens that a waiting request needed; reset once nothing is spent any more.
+    /// The largest number of tokens that a waiting request, or a peer's transfer request, needed; reset once nothing is
+    /// spent any more.
     pub needed_tokens: u64,
-    /// The tokens that this router has reported to the ledger as consumed.
+    /// The spent tokens ([`Account::spent_tokens`]) that this router last reported to the ledger.
     pub reported_tokens: u64,
-    /// Tokens that waiting requests and transfer requests of peers lack.
+    /// Tokens that waiting requests and transfer requests of peers need in total.
     pub shortage_tokens: u64,
-    /// The part of `shortage_tokens` that waiting requests of this router lack.
-    pub claimed_tokens: u64,
+    /// The part of `shortage_tokens` that waiting requests of this router need.
+    pub own_shortage_tokens: u64,
     /// The tokens that could be drawn when the ledger was last read.
     pub remaining_tokens: Option<u64>,
-    /// The undrawn tokens at the last read, the reserve among them, and the use by other holders.
-    pub undrawn: reserve::Undrawn,
+    /// The tokens that no router had drawn at the last read, the reserve among them, and the use by other holders.
+    pub undrawn: reserve::UndrawnSnapshot,
     /// The tokens withheld at the last read, because a restore of the store may have lost the record of their spending.
     pub withheld: ledger::Withheld,
     /// The greatest age of a backup of the store when it is restored.
@@ -94,14 +97,14 @@
     /// When the ledger was last read; `None` if it never was.
     pub ledger_read_ms: Option<u64>,
     /// The number of grants in the budget at the last read.
-    pub rows: u64,
+    pub grant_count: u64,
     /// The prepaid amount that the configuration sets; `None` if payments in the ledger do.
     pub prepaid: Option<Prepaid>,
     /// Whether more is granted than was paid in, so that all free tokens are returned.
     pub overdrawn: bool,
     /// The configuration version that lowered the prepaid amount; 0 if there is none. Nothing is spent until the ledger
     /// was read with this version.
-    pub confirm_version: u64,
+    pub awaited_config_version: u64,
     /// Whether a restore of the store may have lost this router's grant. Nothing is spent until the ledger contains it
     /// again.
     pub awaits_recovery: bool,
@@ -120,7 +123,7 @@
     pub(super) peak_milli_tokens_per_s: u64,
     pub(super) spending_since_ms: u64,
     /// When the budget was last spent or drawn from, as known here.
-    pub(super) spent_ms: u64,
+    pub(super) last_use_ms: u64,
     last_undrawn_tokens: u64,
     pub(super) measured_tokens: u64,
     pub(super) measured_ms: u64,
@@ -132,7 +135,7 @@
             name: name.to_owned(),
             settings,
             granted_tokens: 0,
-            has_row: false,
+            has_grant: false,
             closed: false,
             returning_tokens: 0,
             locked_tokens: 0,
@@ -143,9 +146,9 @@
             needed_tokens: 0,
             reported_tokens: 0,
             shortage_tokens: 0,
-            claimed_tokens: 0,
+            own_shortage_tokens: 0,
             remaining_tokens: None,
-            undrawn: reserve::Undrawn::default(),
+            undrawn: reserve::UndrawnSnapshot::default(),
             withheld: ledger::Withheld::default(),
             backup_age_ms: reserve::DEFAULT_BACKUP_AGE_MS,
             held_tokens: 0,
@@ -153,10 +156,10 @@
             closed_spent_tokens: 0,
             written_off_tokens: 0,
             ledger_read_ms: None,
-            rows: 0,
+            grant_count: 0,
             prepaid: None,
             overdrawn: false,
-            confirm_version: 0,
+            awaited_config_version: 0,
             awaits_recovery: false,
             routers: 1,
             holder: settings.holders == 0,
@@ -167,7 +170,7 @@
             declared_ms: now_ms,
             peak_milli_tokens_per_s: 0,
             spending_since_ms: now_ms,
-            spent_ms: now_ms,
+            last_use_ms: now_ms,
             last_undrawn_tokens: 0,
             measured_tokens: 0,
             measured_ms: now_ms,
@@ -198,15 +201,17 @@
         self.consumed_tokens.saturating_add(self.sent_tokens).saturating_sub(self.received_tokens)
     }
 
-    /// The averaged spend rate.
+    /// The averaged spend rate, rounded up.
     pub fn rate_tokens_per_s(&self) -> u64 {
         self.rate_milli_tokens_per_s.div_ceil(1000)
     }
 
-    /// The least headroom that this holder keeps: what it spends in the cover time, or the minimum grant.
+    /// The headroom that this holder refills: what it spends in the cover time, but at least the minimum grant. With
+    /// `held_percent` it is also enough for the next requests of the size that had to wait, it is at most this holder's
+    /// part of the share, and the cover time is limited at first after an outage.
     ///
-    /// A crash of the holder costs the workspace these tokens, so the headroom follows the spend rate; the paid-in
-    /// amount is only its limit.
+    /// A crash of the holder costs the workspace these tokens, so the headroom follows the spend rate and not the
+    /// paid-in amount.
     pub fn target_tokens(&self) -> u64 {
         if !self.holder {
             return 0;
@@ -289,12 +294,12 @@
         // Routers that cannot reach this one draw as well, so fewer undrawn tokens mean that the budget is in use.
         let undrawn_tokens = budget.remaining_tokens().unwrap_or(0);
         if undrawn_tokens < std::mem::replace(&mut self.last_undrawn_tokens, undrawn_tokens) {
-            self.spent_ms = self.measured_ms;
+            self.last_use_ms = self.measured_ms;
         }
         self.remaining_tokens = Some(budget.drawable_tokens());
         self.held_tokens = budget.held_tokens();
         self.withheld = budget.withheld;
-        self.undrawn = reserve::Undrawn::new(budget, holder);
+        self.undrawn = reserve::UndrawnSnapshot::new(budget, holder);
         self.others_rate_tokens_per_s = budget.others_rate_tokens_per_s(holder);
         self.overdrawn = budget.remaining_tokens().is_none();
     }
@@ -306,8 +311,8 @@
             _ => false,
         };
         // A router without tokens of the budget cannot spend more than the lowered amount.
-        if lowered && (self.holder || self.has_row || self.free_tokens() > 0) {
-            self.confirm_version = prepaid.map_or(0, |prepaid| prepaid.version);
+        if lowered && (self.holder || self.has_grant || self.free_tokens() > 0) {
+            self.awaited_config_version = prepaid.map_or(0, |prepaid| prepaid.version);
         }
         self.prepaid = prepaid;
     }
@@ -320,16 +325,17 @@
         if !self.needs_draw() {
             return 0;
         }
-        let high = match self.settings.held_percent {
+        let draw_target_tokens = match self.settings.held_percent {
             0 => self.target_tokens().saturating_mul(3) / 2,
             _ => self.target_tokens(),
         };
-        let high = high.max(self.extra_draw_tokens());
+        let draw_target_tokens = draw_target_tokens.max(self.extra_draw_tokens());
         let available = self.free_or_locked_tokens();
-        let lacking = high.saturating_add(self.shortage_tokens).saturating_sub(available);
-        let fair = remaining_tokens / routers.max(1).saturating_mul(2);
-        let needed = self.shortage_tokens.saturating_sub(available);
-        lacking.min(fair.max(needed)).min(remaining_tokens)
+        let missing_tokens =
+            draw_target_tokens.saturating_add(self.shortage_tokens).saturating_sub(available);
+        let fair_share_tokens = remaining_tokens / routers.max(1).saturating_mul(2);
+        let shortfall_tokens = self.shortage_tokens.saturating_sub(available);
+        missing_tokens.min(fair_share_tokens.max(shortfall_tokens)).min(remaining_tokens)
     }
 
     /// The tokens that a draw on demand takes beyond the present need, on a router that is not a holder.
@@ -364,39 +370,41 @@
             // Unneeded tokens are sent to the holder of the budget by message, which costs no call of the store.
             return 0;
         }
-        let keep = match (self.overdrawn, self.settings.held_percent) {
+        let kept_tokens = match (self.overdrawn, self.settings.held_percent) {
             (true, _) => 0,
             (false, 0) => self.target_tokens().saturating_mul(3),
             (false, _) => self.target_tokens().saturating_mul(3) / 2,
         };
-        let keep = keep.saturating_add(self.shortage_tokens);
-        self.returnable_tokens().min(self.free_tokens().saturating_sub(keep))
+        let kept_tokens = kept_tokens.saturating_add(self.shortage_tokens);
+        self.returnable_tokens().min(self.free_tokens().saturating_sub(kept_tokens))
     }
 
-    /// The tokens that a stopping router may return to the ledger before its last request has ended.
+    /// The free tokens that this router may return to the ledger, at most those of its grant there: tokens received
+    /// from other holders are not part of it.
     pub fn returnable_tokens(&self) -> u64 {
         self.free_tokens().min(self.granted_tokens.saturating_sub(self.returning_tokens))
     }
 
-    /// The free tokens that no request of this router waits for.
-    pub fn unclaimed_tokens(&self) -> u64 {
-        if self.confirm_version > 0 || self.awaits_recovery {
+    /// The free tokens that no waiting request of this router needs; 0 while nothing may be spent here.
+    pub fn unneeded_tokens(&self) -> u64 {
+        if self.awaited_config_version > 0 || self.awaits_recovery {
             return 0;
         }
-        self.free_tokens().saturating_sub(self.claimed_tokens)
+        self.free_tokens().saturating_sub(self.own_shortage_tokens)
     }
 
-    /// The tokens that may be sent to another holder that lacks tokens for a waiting request: all free tokens, unless
-    /// requests wait for them here as well. In that case `yields` decides: if set, the peer gets them.
-    pub fn spare_tokens(&self, yields: bool) -> u64 {
-        let spares = (self.shortage_tokens == 0 || yields) && !self.awaits_recovery;
-        if spares { self.free_tokens() } else { 0 }
+    /// The tokens that may be sent to another holder that lacks tokens for a waiting request: all free tokens, or none
+    /// if requests need tokens here as well and `peer_has_priority` is not set.
+    pub fn transferable_tokens(&self, peer_has_priority: bool) -> u64 {
+        let may_transfer =
+            (self.shortage_tokens == 0 || peer_has_priority) && !self.awaits_recovery;
+        if may_transfer { self.free_tokens() } else { 0 }
     }
 
     /// Records that the ledger was read.
     pub fn record_ledger_read(&mut self, now_ms: u64) {
-        let low_tokens = self.rate_tokens_per_s().saturating_mul(LOW_HEADROOM_MS) / 1_000;
-        let low = self.holder && self.free_tokens() < low_tokens;
+        let low_threshold_tokens = self.rate_tokens_per_s().saturating_mul(LOW_HEADROOM_MS) / 1_000;
+        let low = self.holder && self.free_tokens() < low_threshold_tokens;
         self.refill.record_read(low, now_ms);
         self.ledger_read_ms = Some(now_ms);
     }
@@ -410,11 +418,12 @@
         }
     }
 
-    /// Applies this router's row of the ledger. `definite` means that no earlier write can still take effect.
-    pub fn apply_row(&mut self, row: Option<&ledger::Grant>, definite: bool) {
-        self.granted_tokens = row.map_or(0, |grant| grant.granted_tokens);
-        self.reported_tokens = row.map_or(0, |grant| grant.consumed_tokens);
-        self.has_row = row.is_some();
+    /// Applies this router's grant in the ledger, `None` if it has none. `definite` means that no earlier write can
+    /// still take effect.
+    pub fn apply_grant(&mut self, grant: Option<&ledger::Grant>, definite: bool) {
+        self.granted_tokens = grant.map_or(0, |grant| grant.granted_tokens);
+        self.reported_tokens = grant.map_or(0, |grant| grant.consumed_tokens);
+        self.has_grant = grant.is_some();
         if definite {
             self.returning_tokens = 0;
         }
@@ -425,6 +434,7 @@
         self.measured_tokens = self.measured_tokens.saturating_add(tokens);
     }
 
+    /// Updates the averaged spend rate and its peak.
     pub(super) fn measure_rate(&mut self, now_ms: u64) {
         let elapsed_ms = now_ms.saturating_sub(self.measured_ms);
         if elapsed_ms == 0 {
@@ -434,7 +444,7 @@
         let spent = self.spent_tokens().saturating_sub(self.measured_tokens);
         let rate = spent.saturating_mul(1_000_000) / elapsed_ms;
         let window_ms = self.settings.cover_s.saturating_mul(500);
-        let (window_ms, least_ms) = match self.settings.held_percent {
+        let (window_ms, window_min_ms) = match self.settings.held_percent {
             0 => (window_ms.clamp(RATE_WINDOW_MIN_MS, RATE_WINDOW_MAX_MS), RATE_WINDOW_MIN_MS),
             _ if self.is_unspent_by_others() => {
                 (SHARE_RATE_WINDOW_MS, SHARE_RATE_WINDOW_UNSPENT_MS)
@@ -442,18 +452,19 @@
             _ => (SHARE_RATE_WINDOW_MS, SHARE_RATE_WINDOW_FIRST_MS),
         };
         if spent > 0 || self.reserved_tokens > 0 || self.shortage_tokens > 0 {
-            self.spent_ms = now_ms;
+            self.last_use_ms = now_ms;
         }
         if spent > 0 && self.rate_milli_tokens_per_s == 0 {
             self.spending_since_ms = self.measured_ms;
         }
         // The first average covers only the time since spending began.
-        let past_ms = now_ms.saturating_sub(self.spending_since_ms).max(least_ms);
-        let window_ms = window_ms.min(past_ms);
+        let spending_ms = now_ms.saturating_sub(self.spending_since_ms).max(window_min_ms);
+        let window_ms = window_ms.min(spending_ms);
         let weight_ms = elapsed_ms.min(window_ms);
-        let kept = self.rate_milli_tokens_per_s.saturating_mul(window_ms - weight_ms) / window_ms;
+        let previous_part =
+            self.rate_milli_tokens_per_s.saturating_mul(window_ms - weight_ms) / window_ms;
         self.rate_milli_tokens_per_s =
-            kept.saturating_add(rate.saturating_mul(weight_ms) / window_ms);
+            previous_part.saturating_add(rate.saturating_mul(weight_ms) / window_ms);
         let decay = self.peak_milli_tokens_per_s.saturating_mul(elapsed_ms) / PEAK_DECAY_MS;
         let peak = self.peak_milli_tokens_per_s.saturating_sub(decay);
         self.peak_milli_tokens_per_s = peak.max(self.rate_milli_tokens_per_s);
--- a/core/src/ledger/recovery.rs
+++ b/core/src/ledger/recovery.rs
@@ -1,7 +1,7 @@
 //! Recovers a shard after the store was restored from a backup.
 //!
-//! Version vectors order the states that routers saw and the restored value. A state that includes all writes of the
-//! restored value replaces it; concurrent states are merged.
+//! Version vectors order the states that routers have copies of and the restored value. A state that includes all
+//! writes of the restored value replaces it; concurrent states are merged.
 
 use super::{Budget, ClosedTotals, Grant, Shard};
 use crate::{ids, store};
@@ -23,8 +23,9 @@
     }
 
     /// Returns the recovered value, or `None` if this value, which was read at `found`, needs no change. `last_seen` is
-    /// the latest state that this router saw. If this value is of an earlier era and strictly later than that state, or
-    /// the router saw none, it starts the current era only once the recovery window is over.
+    /// the latest state that this router has a copy of. If this value is of an earlier era and strictly later than that
+    /// state, or the router has no copy of an earlier era, it starts the current era only once the recovery window is
+    /// over.
     pub fn recover(
         &self,
         found: store::Position,
@@ -97,8 +98,8 @@
     /// Merges the changes of a state of the lost history, which are missing from the state with which this era started.
     fn merge(&self, lost: &Self) -> Self {
         let mut merged = self.clone();
-        for (holder, known) in &lost.holders {
-            merged.holders.entry(*holder).or_insert_with(|| known.clone());
+        for (holder, description) in &lost.holders {
+            merged.holders.entry(*holder).or_insert_with(|| description.clone());
         }
         let of_earlier_era = lost.written_era() < self.written_era();
         let since_era = match (self.unconfirmed_since_era, lost.unconfirmed_since_era) {
@@ -109,8 +110,8 @@
         merged.unconfirmed_since_era = since_era;
         let (later, earlier) = (self.later_writers(lost), lost.later_writers(self));
         for (name, lost) in &lost.budgets {
-            let known = merged.budgets.entry(name.clone()).or_default();
-            known.merge(
+            let merged_budget = merged.budgets.entry(name.clone()).or_default();
+            merged_budget.merge(
                 lost,
                 of_earlier_era,
                 |holder| later.contains(&holder),
@@ -118,8 +119,8 @@
             );
         }
         for (writer, count) in &lost.writes {
-            let merged = merged.writes.entry(*writer).or_default();
-            *merged = *count.max(merged);
+            let merged_count = merged.writes.entry(*writer).or_default();
+            *merged_count = *count.max(merged_count);
         }
         merged
     }
@@ -137,7 +138,7 @@
     }
 
     /// Merges a state of the lost history; `of_earlier_era` is set if it is of an earlier era than this state.
-    /// `is_later` and `is_earlier` return whether this state has a later or an earlier row of a holder than the other
+    /// `is_later` and `is_earlier` return whether this state has a later or an earlier grant of a holder than the other
     /// one.
     fn merge(
         &mut self,
@@ -171,7 +172,7 @@
             self.paid_tokens = lost.paid_tokens;
         }
         for payment in &lost.payments {
-            if self.payments.iter().all(|known| known.operation != payment.operation) {
+            if self.payments.iter().all(|existing| existing.operation != payment.operation) {
                 self.payments.push(payment.clone());
                 if self.paid_version == 0 {
                     self.paid_tokens = self.paid_tokens.saturating_add(payment.tokens);
@@ -185,8 +186,8 @@
         self.closed_consumed_tokens += added(lost_closed.consumed_tokens, before.consumed_tokens);
         self.written_off_tokens += added(lost_closed.written_off_tokens, before.written_off_tokens);
         self.closed_before = before.max(lost_closed);
-        // Only the holder writes its row, so the row of its latest write is the valid one, even if it returned tokens
-        // and the granted amount is lower.
+        // Only the holder changes its grant, so the state of its latest write is the valid one, even if it returned
+        // tokens and the granted amount is lower.
         for (holder, lost) in &lost.grants {
             let grant = self.grants.entry(*holder).or_insert(*lost);
             if is_earlier(*holder) {
--- a/core/src/ledger/reserve.rs
+++ b/core/src/ledger/reserve.rs
@@ -3,7 +3,7 @@
 //!
 //! The reserve limits the draws that a restore can lose. It is raised at once, and lowered only after the lower value
 //! has been in the store for longer than the age of any backup. So the draws since a backup was taken never exceed the
-//! undrawn tokens above the least reserve in that backup.
+//! undrawn tokens above the lower one of the two reserves in that backup.
 
 use super::{Budget, Shard, UNLIMITED_TOKENS};
 use crate::ids;
@@ -12,8 +12,9 @@
 /// One part in this many of the reserve in a backup stays in reserve in the era that restored it.
 const ERA_RESERVE_DIVISOR: u64 = 4;
 
-/// One part in this many of the undrawn tokens is withheld for each silent router, for draws that the others have no
-/// copy of. It is twice what a router spends of such draws, because tokens may have been returned meanwhile.
+/// One part in this many of the undrawn tokens is withheld for each silent router (one that has not confirmed that its
+/// draws are recorded again), for draws that the others have no copy of. It is twice what a router spends of such
+/// draws, because tokens may have been returned meanwhile.
 const SILENT_ROUTER_DIVISOR: u64 = 4;
 
 /// The tokens of a [`Budget`] that are in no router's grant and may not be moved into one yet. It limits how many
@@ -40,13 +41,13 @@
     pub write: u64,
 }
 
-/// The tokens of a [`Budget`] that routers may not take after a restore of the store, because a router may have taken
-/// and spent them before and the restore lost the record of it. The fields separate tokens that running routers can
-/// still confirm from those that only an operator can release.
+/// The tokens of a [`Budget`] that routers may not take because the store was restored from a backup: a router may have
+/// taken and spent them before, and the restore lost the record of it. Fewer tokens are withheld once the routers have
+/// written such records back; an operator can release the others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Withheld {
-    /// Tokens that can be drawn again once every router that could have drawn them has written back the states that it
-    /// saw.
+    /// Tokens that can be drawn again once every router that could have drawn them has written its copy of the shard
+    /// back to the store.
     pub unconfirmed_tokens: u64,
     /// Tokens whose possible draws no running router can report any more. Only an operator can release them.
     pub lost_tokens: u64,
@@ -59,13 +60,13 @@
     }
 
     /// The lower one of the present reserve and the pending one.
-    fn least_tokens(&self) -> u64 {
+    fn min_tokens(&self) -> u64 {
         self.next.map_or(self.tokens, |next| next.tokens.min(self.tokens))
     }
 }
 
 impl Withheld {
-    /// Whether nothing is withheld.
+    /// Whether no tokens of the budget are withheld.
     pub fn is_none(&self) -> bool {
         *self == Self::default()
     }
@@ -114,7 +115,7 @@
     /// Begins an era that restored this budget from `backup`, which was written `eras` eras before: withholds the
     /// tokens that may have been drawn since.
     pub(super) fn begin_era(&mut self, backup: Option<&Budget>, eras: u64) {
-        let mut reserve_tokens = backup.map_or(0, |backup| backup.reserve.least_tokens());
+        let mut reserve_tokens = backup.map_or(0, |backup| backup.reserve.min_tokens());
         for _ in 1..eras {
             reserve_tokens = reserve_after_allowance(reserve_tokens);
             if reserve_tokens == 0 {
@@ -128,24 +129,25 @@
 }
 
 impl Shard {
-    /// Makes withheld tokens drawable, except those that `silent` routers may have drawn without the others having a
-    /// copy. If `is_final`, no router is left that could report such draws, and the rest is recorded as lost.
-    pub fn apply_recovery_decision(&mut self, silent: Option<u64>, is_final: bool) {
+    /// Makes withheld tokens drawable, except those that so many silent routers may have drawn without the others
+    /// having a copy; `None` if there are too many to bound these tokens. If `is_final`, no router is left that could
+    /// report such draws, and the rest is recorded as lost.
+    pub fn apply_recovery_decision(&mut self, silent_routers: Option<u64>, is_final: bool) {
         // Only a lower number is applied. The bound depends on the undrawn tokens, and later there are fewer of them
         // than when these routers may have drawn.
-        let fewer = |silent: &u64| self.silent_routers.is_none_or(|known| *silent < known);
-        let silent = silent.filter(fewer);
-        self.silent_routers = silent.or(self.silent_routers);
-        if is_final || silent == Some(0) {
+        let fewer = |count: &u64| self.silent_routers.is_none_or(|current| *count < current);
+        let silent_routers = silent_routers.filter(fewer);
+        self.silent_routers = silent_routers.or(self.silent_routers);
+        if is_final || silent_routers == Some(0) {
             self.unconfirmed_since_era = None;
         }
         for budget in self.budgets.values_mut() {
-            if let Some(silent) = silent {
-                let part_tokens =
+            if let Some(silent_routers) = silent_routers {
+                let tokens_per_router =
                     budget.remaining_tokens().unwrap_or(0).div_ceil(SILENT_ROUTER_DIVISOR);
-                let most_tokens = part_tokens.saturating_mul(silent);
+                let max_tokens = tokens_per_router.saturating_mul(silent_routers);
                 let withheld = &mut budget.withheld;
-                withheld.unconfirmed_tokens = withheld.unconfirmed_tokens.min(most_tokens);
+                withheld.unconfirmed_tokens = withheld.unconfirmed_tokens.min(max_tokens);
             }
             if is_final {
                 let tokens = std::mem::take(&mut budget.withheld.unconfirmed_tokens);
@@ -155,7 +157,7 @@
     }
 }
 
-/// The part of a reserve that stays in reserve after an era that may have drawn the rest at once.
+/// The part of a reserve that stays in reserve when an era begins; the rest may be drawn at once in that era.
 fn reserve_after_allowance(reserve_tokens: u64) -> u64 {
     reserve_tokens / ERA_RESERVE_DIVISOR
 }
--- a/core/src/ledger_writer/replies.rs
+++ b/core/src/ledger_writer/replies.rs
@@ -1,10 +1,11 @@
 //! Handles the store's replies to a writer's calls.
 
-use super::{BACKOFF_LIMIT_MS, Context, Event, Payments, State, Write, Writer};
+use super::{BACKOFF_LIMIT_MS, Context, Event, PrepaidState, State, Write, Writer};
 use crate::{grants, ids, ledger, store};
 use rand::rngs;
 
-/// After this many writes in a row that lost to another router's, the writer backs off before it writes again.
+/// The number of writes in a row that are repeated at once after another router's write was applied before them. After
+/// one more, the writer backs off before it writes again.
 const OVERTAKEN_WRITES_MAX: u32 = 3;
 const BACKOFF_LIMIT_MIN_MS: u64 = 400;
 const BACKOFF_LIMIT_PER_ROUTER_MS: u64 = 6;
@@ -79,12 +80,15 @@
         rng: &mut rngs::StdRng,
     ) -> (Option<Write>, Vec<Event>) {
         let (index, value) = match reply {
-            store::Reply::Found { index, value } if index >= self.seen_index => (index, value),
+            store::Reply::Found { index, value } if index >= self.latest_index => (index, value),
             store::Reply::Missing { era }
-                if self.seen_index.revision > 0
-                    && (era == self.seen_index.era || self.last_seen.is_none()) =>
+                if self.latest_index.revision > 0
+                    && (era == self.latest_index.era || self.last_seen.is_none()) =>
             {
-                return (None, self.report_unusable(self.seen_index, REMOVED_FAULT, context, rng));
+                return (
+                    None,
+                    self.report_unusable(self.latest_index, REMOVED_FAULT, context, rng),
+                );
             }
             store::Reply::Missing { era } => {
                 return self.handle_missing(era, table, context, rng);
@@ -97,7 +101,7 @@
                 return (None, Vec::new());
             }
         };
-        self.seen_index = index;
+        self.latest_index = index;
         self.record_read(index.era);
         let shard = match ledger::Shard::decode(&value) {
             Ok(shard) => shard,
@@ -159,7 +163,7 @@
         rng: &mut rngs::StdRng,
     ) -> (Option<Write>, Vec<Event>) {
         self.record_read(era);
-        if self.payments == Payments::Undecided {
+        if self.prepaid_state == PrepaidState::Undecided {
             self.record_failure(context, rng);
             return (None, Vec::new());
         }
@@ -199,7 +203,7 @@
                 let is_of_current_era = reply.era().is_none_or(|era| draft.written_era() == era);
                 match reply {
                     store::Reply::WrittenAt { index } => {
-                        self.seen_index = index;
+                        self.latest_index = index;
                         self.store_last_seen(index, draft.clone());
                     }
                     // The reply has no index, so the state is stored with the index of the one that it replaced.
--- a/core/src/ledger_writer/restores.rs
+++ b/core/src/ledger_writer/restores.rs
@@ -1,6 +1,6 @@
 //! Recovers the shard after a restore of the store, from the latest state that this router read, wrote or received.
 
-use super::{Context, Payments, RecoveryDecision, State, Writer};
+use super::{Context, PrepaidState, RecoveryDecision, State, Writer};
 use crate::{grants, ids, ledger, store};
 
 /// The number of eras for which the time of the last read is kept.
@@ -19,16 +19,16 @@
         self.overtaken_writes = 0;
         self.backoff.reset();
         self.not_before_ms = 0;
-        let known = self.last_seen.iter().chain(&self.peer_copy);
-        self.sync_requested |= known.into_iter().any(|(position, _)| position.era < era);
+        let copies = self.last_seen.iter().chain(&self.peer_copy);
+        self.sync_requested |= copies.into_iter().any(|(position, _)| position.era < era);
         if self.unresolved_write_index.is_some() && self.interrupted_returns.is_empty() {
             let accounts =
                 table.in_shard(self.shard).iter().map(|slot| (*slot, table.account(*slot)));
             let returning = accounts.filter(|(_, account)| account.returning_tokens > 0);
-            let row = |(slot, account): (ids::BudgetSlot, &grants::Account)| {
+            let interrupted_return = |(slot, account): (ids::BudgetSlot, &grants::Account)| {
                 (slot, account.granted_tokens, account.returning_tokens)
             };
-            self.interrupted_returns = returning.map(row).collect();
+            self.interrupted_returns = returning.map(interrupted_return).collect();
         }
     }
 
@@ -37,7 +37,7 @@
     pub fn merge_peer_copy(&mut self, position: store::Position, shard: ledger::Shard, era: u64) {
         let copy = match self.peer_copy.take() {
             Some((_, copy)) if shard.includes(&copy) => (position, shard),
-            Some((known, copy)) => (known.min(position), shard.combine(copy)),
+            Some((copy_position, copy)) => (copy_position.min(position), shard.combine(copy)),
             None => (position, shard),
         };
         self.sync_requested |= position.era < era;
@@ -45,8 +45,8 @@
     }
 
     /// Sets whether tokens that the configuration pays in may be drawn.
-    pub fn set_payments(&mut self, payments: Payments) {
-        self.payments = payments;
+    pub fn set_prepaid_state(&mut self, prepaid_state: PrepaidState) {
+        self.prepaid_state = prepaid_state;
     }
 
     /// Releases the withheld tokens of a budget, as an operator requested, and requests a sync.
@@ -62,7 +62,8 @@
         }
     }
 
-    /// The first era before which draws may be unknown; `None` if no tokens are withheld for such draws in `era`.
+    /// The era before which draws may have been made that a restore lost ([`ledger::Shard::unconfirmed_since_era`]);
+    /// `None` if no tokens are withheld for them in `era`.
     pub fn unconfirmed_since_era(&self, era: u64) -> Option<u64> {
         let (_, shard) = self.last_seen.as_ref()?;
         shard.unconfirmed_since_era.filter(|_| shard.written_era() == era)
@@ -73,8 +74,8 @@
         self.recovery_decision.filter(|(of_era, _)| *of_era == era).map(|(_, decision)| decision)
     }
 
-    /// Whether the shard, as this router read it in `era`, includes every state that this router saw or received
-    /// before.
+    /// Whether the shard, as this router read it in `era`, includes every state that this router read, wrote or
+    /// received before.
     pub fn has_recovered(&self, era: u64) -> bool {
         let Some((position, seen)) = &self.last_seen else { return self.peer_copy.is_none() };
         let included =
@@ -108,16 +109,16 @@
         self.last_seen.as_ref()
     }
 
-    /// The latest state of an earlier era than `era` that this router saw or received.
+    /// The latest state of an earlier era than `era` that this router read, wrote or received.
     pub(super) fn latest_before(&self, era: u64) -> Option<(store::Position, ledger::Shard)> {
-        let is_before = |known: &&(store::Position, ledger::Shard)| known.0.era < era;
+        let is_before = |state: &&(store::Position, ledger::Shard)| state.0.era < era;
         let seen = self.last_seen.as_ref().filter(is_before);
         let copy = self.peer_copy.as_ref().filter(is_before);
         match (seen, copy) {
-            (Some((seen, shard)), Some((copied, copy))) => {
-                Some(((*seen).max(*copied), shard.clone().combine(copy.clone())))
+            (Some((seen_position, shard)), Some((copy_position, copy))) => {
+                Some(((*seen_position).max(*copy_position), shard.clone().combine(copy.clone())))
             }
-            (known, None) | (None, known) => known.cloned(),
+            (state, None) | (None, state) => state.cloned(),
         }
     }
 
@@ -130,8 +131,8 @@
         table: &grants::Table,
         context: &Context<'_>,
     ) -> Option<ledger::Shard> {
-        let known = self.latest_before(index.era);
-        let mut recovered = shard.recover(index, known.as_ref(), context.recovery_window_over);
+        let latest = self.latest_before(index.era);
+        let mut recovered = shard.recover(index, latest.as_ref(), context.recovery_window_over);
         if !self.interrupted_returns.is_empty() {
             let recovered = recovered.get_or_insert_with(|| shard.clone());
             self.repeat_returns(recovered, table, context);
@@ -151,8 +152,9 @@
     ) {
         for (slot, granted_tokens, tokens) in &self.interrupted_returns {
             let name = &table.account(*slot).name;
-            let row = shard.budgets.get(name).and_then(|budget| budget.grants.get(&context.holder));
-            if row.is_some_and(|row| row.granted_tokens == *granted_tokens) {
+            let grant =
+                shard.budgets.get(name).and_then(|budget| budget.grants.get(&context.holder));
+            if grant.is_some_and(|grant| grant.granted_tokens == *granted_tokens) {
                 let before = shard.budgets.get(name).cloned().unwrap_or_default();
                 shard.return_tokens(name, context.holder, *tokens);
                 // If the interrupted return was applied, these tokens may have been drawn again.
--- a/core/src/node/config_and_vms.rs
+++ b/core/src/node/config_and_vms.rs
@@ -57,14 +57,14 @@
         true
     }
 
-    /// Has the ledger shards synced in which this router holds a budget or has a grant: a new configuration may change
-    /// prepaid amounts.
+    /// Requests a sync of the ledger shards in which this router is a holder of a budget or has a grant: a new
+    /// configuration may change prepaid amounts.
     fn request_syncs_for_config(&mut self) {
         for (shard, ledger) in self.ledgers.iter_mut().enumerate() {
             let mut slots = self.grants.in_shard(shard as u32).iter();
             let is_held = |slot: &ids::BudgetSlot| {
                 let account = self.grants.account(*slot);
-                account.holder || account.has_row
+                account.holder || account.has_grant
             };
             if slots.any(is_held) {
                 ledger.request_sync();
@@ -114,12 +114,12 @@
         self.members.add_seeds(routers.map(|vm| vm.address.clone()));
         self.servers.apply_list(&self.backends(&vms), now_ms);
         self.report_restarted();
-        let earlier = std::mem::take(&mut self.vms);
+        let previous_vms = std::mem::take(&mut self.vms);
         self.vms = vms.into_iter().map(|vm| (vm.vm.clone(), vm)).collect();
         let removed = |vm: &&servers::Vm| !self.vms.contains_key(&vm.vm);
         let router_removed =
-            earlier.values().filter(removed).any(|vm| vm.service == ROUTER_SERVICE);
-        for vm in earlier.values().filter(removed) {
+            previous_vms.values().filter(removed).any(|vm| vm.service == ROUTER_SERVICE);
+        for vm in previous_vms.values().filter(removed) {
             self.eras.record_removal(&vm.vm, vm.incarnation, previous_index, now_ms);
         }
         if self.listed_index == store::Position::START && self.vms.contains_key(&self.settings.vm) {
@@ -137,28 +137,28 @@
     /// The backend servers: the listed ones, and those whose records expired but may be listed again soon. A server
     /// that is leaving counts as leaving whatever the state in its record.
     fn backends(&self, vms: &[servers::Vm]) -> Vec<servers::Vm> {
-        let stays = |vm: &&servers::Vm| !self.leaving_servers.contains(&vm.vm, vm.incarnation);
-        let lapsed = self.lapsed.iter().filter(stays);
+        let is_not_leaving =
+            |vm: &&servers::Vm| !self.leaving_servers.contains(&vm.vm, vm.incarnation);
+        let lapsed = self.lapsed.iter().filter(is_not_leaving);
         let mut backends: Vec<servers::Vm> = vms
             .iter()
             .chain(lapsed)
             .filter(|vm| vm.service != ROUTER_SERVICE && !self.eras.holds_back(&vm.vm))
             .cloned()
             .collect();
-
-        // Where servers record when they started, a record without a start time comes from another writer.
         for vm in
             backends.iter_mut().filter(|vm| self.leaving_servers.contains(&vm.vm, vm.incarnation))
         {
             vm.state = servers::VmState::Leaving;
         }
+        // Where servers record when they started, a record without a start time comes from another writer.
         if backends.iter().any(|vm| vm.incarnation != ids::ServerIncarnation::UNKNOWN) {
             backends.retain(|vm| vm.incarnation != ids::ServerIncarnation::UNKNOWN);
         }
         backends
     }
 
-    /// Reports servers that restarted.
+    /// Reports servers that restarted to the process and to the log.
     fn report_restarted(&mut self) {
         for restarted in self.servers.take_restarted() {
             let servers::Restarted { vm, incarnation, .. } = &restarted;
@@ -168,8 +168,8 @@
         }
     }
 
-    /// Forgets leaving servers that have ended. A received report stays valid if the server's record expired meanwhile,
-    /// and does not apply to a later incarnation of the server.
+    /// Removes the entries of leaving servers that no longer apply. An entry doesn't apply to a later incarnation of
+    /// the server; one that a server's answer caused stays valid for a while if the server's record expires.
     fn expire_leaving_servers(&mut self, now_ms: u64) {
         let vms = self.vms.values().chain(&self.lapsed);
         let incarnations: collections::HashMap<&str, ids::ServerIncarnation> =
--- a/core/src/node/confirmations.rs
+++ b/core/src/node/confirmations.rs
@@ -1,5 +1,5 @@
-//! Determines whether the routers that could have drawn tokens before a restore of the store have recovered the data
-//! that they had of the ledger, so that fewer tokens have to be withheld.
+//! Determines whether the routers that could have drawn tokens before a restore of the store have written their copies
+//! of the ledger back to it, so that fewer tokens have to be withheld.
 //!
 //! A router confirms this for itself and for earlier incarnations at its address. It can confirm the latter if it read
 //! the shard before the restore, or had run for longer than the age of any backup; or if the requesting router read the
@@ -14,7 +14,7 @@
 /// Time after which the replies of routers are considered final.
 const REPLIES_FINAL_MS: u64 = 3_000;
 /// Maximum number of routers to which recovery requests are sent at once.
-const ASKED_MAX: usize = 32;
+const RECIPIENTS_MAX: usize = 32;
 
 /// The replies of other routers in an era.
 #[derive(Debug, Default)]
@@ -91,16 +91,16 @@
         let replies = &self.confirmations.replies;
         let reply = |address| replies.get(address)?.shards.get(&shard).copied();
         let all: Vec<_> = others.iter().map(reply).chain([Some(own)]).collect();
-        let silent =
+        let silent_routers =
             all.iter().filter(|recovered| **recovered != Some(message::Recovered::All)).count()
                 as u64;
         let answered = all.iter().all(|recovered| {
             recovered.is_some_and(|recovered| recovered != message::Recovered::Nothing)
         });
-        let is_final = replies_final && answered && silent > 0;
-        let silent = Some(silent).filter(|silent| *silent <= self.unavailable_max());
-        (is_final || silent.is_some())
-            .then_some(ledger_writer::RecoveryDecision { silent, is_final })
+        let is_final = replies_final && answered && silent_routers > 0;
+        let silent_routers = Some(silent_routers).filter(|count| *count <= self.unavailable_max());
+        (is_final || silent_routers.is_some())
+            .then_some(ledger_writer::RecoveryDecision { silent_routers, is_final })
     }
 
     /// Releases the tokens of a budget that are withheld since restores of the store, on an operator's command. Returns
@@ -134,7 +134,7 @@
         others.filter(|address| is_unconfirmed && awaited(address)).collect()
     }
 
-    /// Up to [`ASKED_MAX`] live routers that have not confirmed the full recovery of each of the shards.
+    /// Up to [`RECIPIENTS_MAX`] live routers that have not confirmed the full recovery of each of the shards.
     fn unconfirmed_routers(&self, shards: &[(u32, u64)]) -> Vec<ids::Incarnation> {
         let replies = &self.confirmations.replies;
         let unconfirmed = |record: &&members::Record| {
@@ -143,7 +143,7 @@
             })
         };
         let live = self.members.live().filter(unconfirmed);
-        live.map(|record| record.id).take(ASKED_MAX).collect()
+        live.map(|record| record.id).take(RECIPIENTS_MAX).collect()
     }
 
     /// The addresses of all routers that may be running, in this router's view of the membership.
--- a/core/src/node/retries.rs
+++ b/core/src/node/retries.rs
@@ -4,7 +4,8 @@
 use crate::{ids, servers};
 use rand::RngExt;
 
-/// Number of servers that may reject a request in addition to its attempts.
+/// A request is sent again until the number of failed sends exceeds `attempts_max` by more than this, so that
+/// rejections, which are not attempts, are bounded as well.
 const REJECTIONS_MAX: u32 = 2;
 const RETRY_AFTER_MIN_MS: u64 = 50;
 /// Minimum time over which the retries of callers that are refused because of backoffs are spread. Otherwise they are
@@ -85,7 +86,7 @@
 
     /// Time at which the first of a request's servers accepts requests again, if all of them back off.
     fn backoffs_end_ms(&self, slot: ids::RequestSlot, now_ms: u64) -> Option<u64> {
-        self.servers.backoffs_end_ms(&admit::servers_for(self.requests.get(slot)?), now_ms)
+        self.servers.backoffs_end_ms(&admit::server_criteria(self.requests.get(slot)?), now_ms)
     }
 
     /// Time in milliseconds after which a request that is refused because of backoffs may be repeated, randomized so
--- a/core/src/node/transfer_requests.rs
+++ b/core/src/node/transfer_requests.rs
@@ -93,7 +93,7 @@
 
     fn answer_transfer_request(&mut self, request: TransferRequest, now_ms: u64) {
         let account = self.grants.account(request.budget);
-        let free_tokens = account.unclaimed_tokens();
+        let free_tokens = account.unneeded_tokens();
         if free_tokens >= request.needed_tokens && self.lifecycle == Lifecycle::Ready {
             let tokens = free_tokens.min(request.wanted_tokens.max(request.needed_tokens));
             self.send_tokens(request.requester, request.budget, tokens, request.number, now_ms);
@@ -108,8 +108,8 @@
         let shard = self.ledger_shard(request.budget);
         let store_unanswered =
             self.ledgers.get(shard).is_none_or(ledger_writer::Writer::unanswered);
-        let waited = now_ms >= request.since_ms + STORE_WAIT_MS;
-        if certain || store_unanswered || waited || self.lifecycle != Lifecycle::Ready {
+        let wait_over = now_ms >= request.since_ms + STORE_WAIT_MS;
+        if certain || store_unanswered || wait_over || self.lifecycle != Lifecycle::Ready {
             let budget = self.grants.account(request.budget).name.clone();
             let number = request.number;
             self.send(
@@ -141,8 +141,8 @@
         insufficient && (synced_ms >= since_ms || now_ms < synced_ms + REMAINDER_VALID_MS)
     }
 
-    /// Deducts tokens from this router's account and sends them to a peer, as the reply to its request number
-    /// `answers`.
+    /// Deducts tokens from this router's account and sends them to a peer. `in_reply_to` is the number of the peer's
+    /// request that they are the reply to; 0 if there is none.
     pub(super) fn send_tokens(
         &mut self,
         to: ids::Incarnation,
@@ -163,7 +163,7 @@
             budget,
             tokens,
             in_reply_to,
-            since_ms: now_ms,
+            first_sent_ms: now_ms,
             sent_ms: now_ms,
         };
         let number = self.outbox.add_transfer(outgoing.clone());
--- a/core/src/outbox.rs
+++ b/core/src/outbox.rs
@@ -1,4 +1,4 @@
-//! The settlements that are not in the log yet and the transfers that are not acknowledged yet.
+//! A router's settlements that are not in the log yet, and its transfers of tokens that are not acknowledged yet.
 
 use crate::{ids, log_index};
 use std::collections;
@@ -13,23 +13,22 @@
 /// How long a router may take to acknowledge a settlement before it is also sent to the next one.
 pub const SETTLEMENT_TIMEOUT_MS: u64 = 150;
 
-/// The outcome and cost of a request that this router served ([`log_index::Settlement`]) and that is not in the stored
-/// log yet. It contains what is needed to hand it over to another router or to the log, again if there is no
-/// confirmation.
+/// The record of the cost of a request that this router served ([`log_index::Settlement`]), as long as it is not in the
+/// log in the platform's store. The router hands it over to another router or to the log until the log contains it.
 #[derive(Clone, Debug)]
 pub struct PendingSettlement {
     /// The settlement to append.
     pub settlement: log_index::Settlement,
-    /// The request whose last chunk is withheld until the settlement is safe.
+    /// The request whose last chunk waits until the settlement is safe; `None` after this wait.
     pub waiting_request: Option<ids::RequestSlot>,
-    /// How often the settlement was handed over.
-    pub tries: usize,
+    /// The number of attempts to hand the settlement over to another router or to the log.
+    pub handover_count: usize,
     /// Whether another router or the log has the settlement.
     pub safe: bool,
     /// When the settlement was last sent or appended.
     pub sent_ms: u64,
     /// When the answer to the request ended.
-    pub since_ms: u64,
+    pub ended_ms: u64,
 }
 
 impl PendingSettlement {
@@ -53,7 +52,7 @@
     /// The number of the receiver's request that this is the reply to; 0 if there is none.
     pub in_reply_to: u64,
     /// When the transfer was first sent.
-    pub since_ms: u64,
+    pub first_sent_ms: u64,
     /// When the transfer was last sent.
     pub sent_ms: u64,
 }
@@ -61,13 +60,13 @@
 impl OutgoingTransfer {
     /// Returns whether the transfer is due to be sent again. The delay grows while there is no acknowledgment.
     pub fn due(&self, now_ms: u64) -> bool {
-        let age_ms = self.sent_ms.saturating_sub(self.since_ms);
+        let age_ms = self.sent_ms.saturating_sub(self.first_sent_ms);
         now_ms >= self.sent_ms + age_ms.clamp(TRANSFER_RESEND_FIRST_MS, RESEND_MS)
     }
 
     /// Returns whether the transfer is too old to expect an acknowledgment.
     pub fn is_expired(&self, now_ms: u64) -> bool {
-        now_ms >= self.since_ms + TRANSFER_TIMEOUT_MS
+        now_ms >= self.first_sent_ms + TRANSFER_TIMEOUT_MS
     }
 }
 
@@ -80,8 +79,8 @@
     applied: collections::BTreeMap<u64, bool>,
 }
 
-/// Whether a transfer of tokens that arrives from another router is new, was applied or was declined before, so that a
-/// transfer that arrives more than once is applied at most once.
+/// What a router did before with a transfer of budget tokens from another router: nothing, applied it or declined it.
+/// Transfers are sent again until they are acknowledged, so a router looks this up to apply each at most once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransferStatus {
     /// The transfer has not been received before.
@@ -92,9 +91,9 @@
     Declined,
 }
 
-/// What one router must send until it is acknowledged: the settlements of its requests that are not in the log yet, and
-/// the tokens that it transfers to other routers. It also records which transfers arrived from other routers, so that
-/// each is applied at most once.
+/// What one router must send until it is acknowledged: the settlements (records of the cost) of its requests that are
+/// not in the log yet, and the tokens that it transfers to other routers. It also records which transfers arrived from
+/// other routers, so that each is applied at most once.
 #[derive(Debug, Default)]
 pub struct Outbox {
     /// The settlements that are not in the log yet, by attempt.
