--- a/core/src/config.rs
+++ b/core/src/config.rs
@@ -16,9 +16,9 @@
 
 /// The number of latest publishes whose operation ids are kept.
 const REMEMBERED_PUBLISHES: u64 = 64;
-/// The most ledger shards or log shards in a layout.
+/// The maximum number of ledger shards or log shards in a layout.
 const SHARDS_MAX: u32 = 1024;
-/// The most tokens in a field of the configuration.
+/// The maximum number of tokens in a field of the configuration.
 const TOKENS_MAX: u64 = 1 << 40;
 /// The largest headroom of a budget, in seconds.
 const COVER_MAX_S: u64 = 7 * 24 * 3600;
@@ -70,7 +70,7 @@
     /// The routes from hosts and paths to services.
     #[serde(default)]
     pub routes: Vec<routes::Route>,
-    /// The limits on the size and duration of what callers of routes send.
+    /// The limits on the size and duration of what clients of routes send.
     #[serde(default)]
     pub callers: CallerLimits,
     /// The failure domains whose servers get no new requests.
@@ -140,7 +140,7 @@
     /// The headroom that a router keeps, in seconds of spending at its present rate.
     #[serde(default = "default_cover_s")]
     pub cover_s: u64,
-    /// The least headroom that a router keeps, in tokens.
+    /// The minimum headroom that a router keeps, in tokens.
     #[serde(default = "default_minimum_grant_tokens")]
     pub minimum_grant_tokens: u64,
     /// The total of tokens paid in; `None` if it is recorded in the ledger only.
@@ -175,7 +175,7 @@
 pub struct Cover {
     /// The headroom that a router keeps, in seconds of spending at its present rate.
     pub cover_s: u64,
-    /// The least headroom that a router keeps, in tokens.
+    /// The minimum headroom that a router keeps, in tokens.
     pub minimum_grant_tokens: u64,
     /// The largest share of the unspent tokens that is granted to all routers together, in percent; 0: no such limit.
     pub held_percent: u64,
@@ -202,8 +202,9 @@
     2_000
 }
 
-/// A group of interchangeable backend servers that callers reach by one name, as the operator configures it: the
-/// protocol, the policy, and the limits on queues, answers and connections.
+/// A group of interchangeable backend servers that callers and routes refer to by one name, as the operator configures
+/// it: whether they are model servers or plain HTTP servers ([`Kind`]), the policy, and the limits on queues, answers
+/// and connections.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
@@ -216,16 +217,16 @@
     /// For a model service: the model names that callers use.
     #[serde(default)]
     pub models: Vec<String>,
-    /// For a model service: the most tokens in one answer.
+    /// For a model service: the maximum number of tokens in one answer.
     #[serde(default = "default_answer_tokens")]
     pub answer_tokens_max: u64,
     /// For a plain service: the cost of one call, in tokens.
     #[serde(default)]
     pub call_tokens: u64,
-    /// For a plain service: the calls that must run at most once.
+    /// For a plain service: the calls that must run at most once, by method and path.
     #[serde(default)]
     pub unrepeatable: Vec<Call>,
-    /// The most requests that wait for a server at one router.
+    /// The maximum number of requests that wait for a server at one router.
     #[serde(default = "default_queue_length")]
     pub queue_length: usize,
     /// The longest wait of a request for a server, in milliseconds.
@@ -234,14 +235,15 @@
     /// The longest time that a backend server may take for a whole answer, in milliseconds.
     #[serde(default = "default_answer_time_ms")]
     pub answer_time_ms: u64,
-    /// The most connections of all routers together to one backend server; `None` for no limit.
+    /// The maximum number of connections of all routers together to one backend server; `None` for no limit. The
+    /// routers do not apply it.
     #[serde(default)]
     pub connections_max: Option<u64>,
-    /// For a model service: the most tokens in one event of a streamed answer.
+    /// For a model service: the maximum number of tokens in one event of a streamed answer.
     #[serde(default = "default_event_tokens")]
     pub event_tokens: u64,
-    /// The most requests of all routers together to a cold server, in thousandths of a request per second; 0 for no
-    /// limit.
+    /// The maximum rate of requests of all routers together to a cold server, in thousandths of a request per second; 0
+    /// for no limit.
     #[serde(default)]
     pub cold_milli_per_s: u64,
     /// How long a server is considered cold after its start, in milliseconds.
@@ -280,11 +282,13 @@
     Plain,
 }
 
-/// A pattern of an HTTP method and a path prefix. It selects the calls of a plain service that must run at most once.
+/// A pattern in the configuration that selects calls by their HTTP method and the beginning of their path. It applies
+/// to a [`Service`] of plain HTTP servers ([`Kind::Plain`]) and marks the calls that must run at most once, so that a
+/// router does not repeat one that may have run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Call {
-    /// The HTTP method of the calls.
+    /// The HTTP method of the calls; its case is ignored.
     pub method: String,
     /// The prefix of the path of the calls.
     pub path_prefix: String,
@@ -323,7 +327,7 @@
     OutOfRange {
         /// The number in the document.
         found: u64,
-        /// The least number allowed.
+        /// The smallest number allowed.
         least: u64,
         /// The greatest number allowed.
         most: u64,
--- a/core/src/config/callers.rs
+++ b/core/src/config/callers.rs
@@ -1,8 +1,8 @@
-//! The limits on what callers of routes send.
+//! The limits on what clients of routes send.
 
 use serde::{Deserialize, Serialize};
 
-/// The operator's limits on the connections of callers to the routers, for requests by a [`crate::routes::Route`]: the
+/// The operator's limits on the connections of clients whose requests are forwarded by a [`crate::routes::Route`]: the
 /// largest head and body of a request, and the longest time to receive a head or to be idle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -11,7 +11,8 @@
     pub head_bytes_max: u64,
     /// The largest body of a request, in bytes.
     pub body_bytes_max: u64,
-    /// The longest time that receiving a head may take, in milliseconds.
+    /// The longest time that receiving a head may take, in milliseconds. The routers measure it together with the idle
+    /// time before the head, and the longer of the two limits applies.
     pub head_read_ms: u64,
     /// The longest time that a connection may be idle, in milliseconds.
     pub idle_ms: u64,
--- a/core/src/leaving_servers.rs
+++ b/core/src/leaving_servers.rs
@@ -13,7 +13,7 @@
 const UNLISTED_MAX: usize = 4_096;
 
 /// Whether a backend server was reported as leaving (about to stop, so that it gets no new requests) by its record in
-/// the platform's store or by one of its own answers. The later variant is kept longer.
+/// the platform's store or by one of its own answers. An entry from an answer is kept longer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Source {
@@ -33,15 +33,16 @@
     }
 }
 
-/// The incarnation of a VM's backend server that is leaving: it is about to stop and gets no new requests. The entry is
-/// kept so that an outdated record does not make the server available again, and is sent to other routers.
+/// The incarnation (run of the process) of a VM's backend server that is leaving: it is about to stop and gets no new
+/// requests. The entry is kept so that an outdated record does not make the server available again, and is sent to
+/// other routers.
 #[derive(Clone, Debug)]
 pub struct LeavingServer {
     /// Incarnation that is leaving.
     pub incarnation: ids::ServerIncarnation,
     /// Source of the information.
     pub source: Source,
-    /// Time since which no record of the server is known.
+    /// Time since which the store has no record of the server; `None` if it has one.
     unlisted_since_ms: Option<u64>,
     sends_left: u32,
 }
@@ -56,8 +57,8 @@
     }
 }
 
-/// All backend servers that are known to this router to be leaving, that is, about to stop and without new requests, by
-/// VM. It selects the entries that are sent to other routers by gossip.
+/// All backend servers that were reported to this router as leaving, that is, about to stop and without new requests,
+/// by VM. It selects the entries that are sent to other routers by gossip.
 #[derive(Debug, Default)]
 pub struct LeavingServers {
     by_vm: collections::BTreeMap<String, LeavingServer>,
@@ -83,7 +84,7 @@
         true
     }
 
-    /// Whether an incarnation of a server is known to be leaving.
+    /// Whether an incarnation of a server is leaving or has been followed by one that is.
     pub fn contains(&self, vm: &str, incarnation: ids::ServerIncarnation) -> bool {
         self.by_vm.get(vm).is_some_and(|leaving| leaving.incarnation >= incarnation)
     }
@@ -108,8 +109,8 @@
         updates.collect()
     }
 
-    /// Removes entries that no longer apply, given the incarnations of all servers with a known
-    /// record; returns the VMs and incarnations of the removed entries.
+    /// Removes entries that no longer apply, given the incarnations of all servers with a record in the store; returns
+    /// the VMs and incarnations of the removed entries.
     pub fn remove_outdated(
         &mut self,
         incarnations: &collections::HashMap<&str, ids::ServerIncarnation>,
--- a/core/src/members.rs
+++ b/core/src/members.rs
@@ -13,7 +13,7 @@
 
 /// The interval between two probes.
 pub const PROBE_EVERY_MS: u64 = 500;
-/// The interval between two probes while no other router is known: a seed may be about to start.
+/// The interval between two probes while this router has no live peer: a seed may be about to start.
 const PROBE_ALONE_EVERY_MS: u64 = 100;
 /// How long a probe waits for its reply.
 const PROBE_TIMEOUT_MS: u64 = 400;
@@ -25,9 +25,10 @@
 const DEAD_RECORD_TTL_MS: u64 = 3_600_000;
 /// One of this many probes goes to a dead member or a seed.
 const PROBE_DEAD_EVERY: u64 = 4;
-/// The most records of other members in one datagram.
+/// The maximum number of records of other members in one datagram.
 const GOSSIP_RECORDS_MAX: usize = 8;
-/// The most new addresses that are probed ahead of the rounds, one each tick; the others are found by gossip.
+/// The maximum number of new addresses that are probed ahead of the rounds, one each tick; the others are found by
+/// gossip.
 const UNPROBED_MAX: usize = 100;
 /// How often a changed record is sent.
 const RECORD_TRANSMISSIONS: u32 = 6;
@@ -36,7 +37,7 @@
 /// whether it is assumed to be alive.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The router's incarnation.
+    /// The incarnation: this run of the router process. A restarted router has another record.
     pub id: ids::Incarnation,
     /// The address at which peers reach the router, for connections as well as for datagrams.
     pub address: String,
--- a/core/src/message.rs
+++ b/core/src/message.rs
@@ -14,7 +14,7 @@
 /// incarnation is one run of a router process; a later one at the same address ignores the message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The sender's incarnation.
+    /// The router incarnation that sent the message, to which a reply is addressed.
     pub from: ids::Incarnation,
     /// The receiver's incarnation. Another incarnation at the same address must ignore the message.
     pub to: ids::Incarnation,
@@ -22,9 +22,10 @@
     pub message: Message,
 }
 
-/// What one router requests from, replies to or reports to another: claims and settlements of requests, transfers of
-/// tokens, copies of the configuration and of the list of VMs, and permits to send requests to a server that limits its
-/// request rate. A message may be lost, duplicated or delayed; the core handles all three.
+/// What one router sends to another apart from [`Gossip`]: for example a [`log_index::Claim`] or
+/// [`log_index::Settlement`] of a request, a transfer of budget tokens, a copy of the configuration, or permits to send
+/// requests to a backend server that limits its request rate. A message may be lost, duplicated or delayed; the core
+/// handles all three.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// Requests a claim through the receiver, the router responsible for the claim's shard of the log.
@@ -48,7 +49,7 @@
         number: u64,
         /// The budget, as `workspace/budget`.
         budget: String,
-        /// The least number of tokens that is useful.
+        /// The smallest number of tokens that is useful to the requester.
         needed_tokens: u64,
         /// The number of tokens that the requester lacks in total.
         wanted_tokens: u64,
--- a/core/src/quarantine.rs
+++ b/core/src/quarantine.rs
@@ -45,8 +45,8 @@
 /// Maximum number of reports in one datagram, at about 65 bytes each.
 const REPORTS_MAX: usize = 16;
 
-/// The backend server that crashed in a [`Crash`], as a hash. Routers use it to count a crash that several of them
-/// observed only once. The cases distinguish servers that report their start from those that do not.
+/// The backend server that crashed in a [`Crash`], as a hash. By it, routers count a crash only once that several of
+/// them observed. The variants distinguish servers that report their start from those that do not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Server {
     /// One incarnation of a server, which crashes only once.
@@ -121,9 +121,9 @@
     }
 }
 
-/// The effect of an observed crash, a successful run, an operator's release or a report from another router on the
-/// server crashes that count against a request, and so on its quarantine: while it lasts, no router sends the request
-/// to a server.
+/// How an observed crash, a successful run, an operator's release or a report from another router changed the server
+/// crashes that count against a request, and thereby whether the request is quarantined, that is, not sent to any
+/// server for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     /// The crashes that count against the request are the same as before.
--- a/core/src/quarantine/entry.rs
+++ b/core/src/quarantine/entry.rs
@@ -29,7 +29,7 @@
 }
 
 impl Entry {
-    /// Adds a crash unless it is known or voided; returns whether it is new.
+    /// Adds a crash unless it is recorded already or was voided; returns whether it was added.
     pub(super) fn add(&mut self, server: Server, at_ms: i64) -> bool {
         if self.cleared_ms.is_some_and(|cleared_ms| at_ms <= cleared_ms) {
             return false;
@@ -37,8 +37,8 @@
         let same =
             |known: &&mut TimedCrash| known.server.same_crash(server, known.at_ms.abs_diff(at_ms));
         if let Some(known) = self.crashes.iter_mut().find(same) {
-            // Each hop makes a crash seem younger by the time of the hop, so the oldest report is
-            // the most accurate.
+            // The age in a report does not include its transmission, so a crash appears later with
+            // each router that passes it on, and the oldest report is the most accurate.
             known.at_ms = known.at_ms.min(at_ms);
             self.sort();
             return false;
--- a/core/src/quarantine/record.rs
+++ b/core/src/quarantine/record.rs
@@ -51,8 +51,8 @@
         Self { requests: reports.into_iter().take(REQUESTS_MAX).map(kept).collect() }
     }
 
-    /// Converts the record to reports; `unix_ms` is the current time in Unix milliseconds. A clock
-    /// that was set back makes the crashes seem younger.
+    /// Converts the record to reports; `unix_ms` is the current time in Unix milliseconds. If the
+    /// clock was set back, the crashes appear more recent than they are.
     pub fn reports(self, unix_ms: u64) -> Vec<Report> {
         let report = |kept: StoredRequest| {
             let crashes = kept.crashes.iter().map(|crash| Crash {
--- a/core/src/retry.rs
+++ b/core/src/retry.rs
@@ -13,7 +13,8 @@
 const COST_MILLI: u64 = 1_000;
 
 /// The number of retries of failed requests that one router may still make for one service. Each successful request
-/// adds a fraction of a retry, so that retries cannot multiply an overload.
+/// adds a fraction of a retry, so that retries cannot multiply an overload. It has nothing to do with the prepaid token
+/// budgets.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     available_milli: u64,
--- a/core/src/routes.rs
+++ b/core/src/routes.rs
@@ -18,7 +18,7 @@
     pub kind: RouteKind,
     /// Maximum time for which a request may be held, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer is expected, in milliseconds.
+    /// Time within which an answer is expected, in milliseconds. The routers do not use it.
     pub target_ms: u64,
     /// Priority; higher values go first.
     pub priority: u8,
--- a/core/src/servers.rs
+++ b/core/src/servers.rs
@@ -1,4 +1,4 @@
-//! Backend servers as one router sees them, and the choice of a server for a request.
+//! The state of backend servers at one router, and the choice of a server for a request.
 //!
 //! Load reports are delayed. The router counts its own requests exactly and takes only the average
 //! number of other routers' requests from the reports. It samples servers at random and takes the
@@ -41,8 +41,9 @@
 const SAMPLE_PERCENT: usize = 50;
 const SAMPLE_MIN: usize = 2;
 
-/// One incarnation of a backend server in the state that is known to this router: its record in the platform's list,
-/// its load, its answer time and its failures. The router compares these values to choose a server for a request.
+/// What this router has recorded about one incarnation of a backend server, that is, one run of its process: its record
+/// in the platform's list, its load, its answer time and its failures. The router compares these values to choose a
+/// server for a request.
 #[derive(Clone, Debug)]
 pub struct Server {
     /// VM on which the server runs.
@@ -176,12 +177,12 @@
     pub excluded: &'a [ids::ServerSlot],
 }
 
-/// The reason why no backend server can be chosen for a request now: all matching servers are full, are limited to a
-/// rate of requests that they reported, have requested a pause, or there is none.
+/// The reason why [`Table::choose`] returns no backend server for a request: all matching servers are full, accept only
+/// a limited rate of requests, or requested a backoff (a time in which they are sent nothing), or there is none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unavailable {
-    /// Every matching server that does not back off is full or limited, and at least one is not
-    /// limited.
+    /// Every matching server that does not back off is full, limited or held back after its start, and at least one is
+    /// not limited.
     Full,
     /// Every matching server that does not back off is limited, and this router may send to none of
     /// them now.
@@ -192,8 +193,8 @@
     None,
 }
 
-/// All backend servers that are known to one router, with the load, limits and failures on which the choice of a server
-/// for a request depends.
+/// All backend servers of which one router has a record, with the load, limits and failures on which the choice of a
+/// server for a request depends.
 #[derive(Debug, Default)]
 pub struct Table {
     servers: slotmap::SlotMap<ids::ServerSlot, Server>,
--- a/core/src/servers/affinity.rs
+++ b/core/src/servers/affinity.rs
@@ -6,7 +6,7 @@
 
 /// Maximum cost of the server with the cached prefix, in percent of the cost of the alternative.
 const AFFINITY_MARGIN_PERCENT: u64 = 150;
-/// Maximum number of remembered prefixes over all servers.
+/// Maximum number of prefixes whose last server is recorded.
 const PREFIXES_REMEMBERED: usize = 4_096;
 
 impl Table {
--- a/core/src/servers/by_prompt.rs
+++ b/core/src/servers/by_prompt.rs
@@ -10,11 +10,13 @@
 use crate::{ids, rendezvous};
 use std::collections;
 
-/// Number of servers that are compared for a prompt, its home first.
+/// Number of servers that are compared for a prompt: those with room that are ranked highest, of which the home is the
+/// first.
 const SERVERS_COMPARED: usize = 3;
 /// Time after which a part that this router sent to a server no longer counts as cached there.
 const CACHED_MS: u64 = 30_000;
-/// Number of remembered pairs of part and server above which expired pairs are removed.
+/// Number of recorded pairs of server and part above which each send first removes the pairs that have expired. Pairs
+/// that have not expired may exceed it.
 const SENT_PARTS_CLEANUP: usize = 16_384;
 /// Assumed number of tokens that a queued request adds to a server's work.
 const QUEUED_REQUEST_TOKENS: u64 = 3_000;
@@ -112,7 +114,7 @@
         Ok(choice)
     }
 
-    /// Records that a server has processed the prompt of a request, or never will.
+    /// Records that a server has processed this many tokens of a prompt, or will not process them any more.
     pub fn has_read(&mut self, slot: ids::ServerSlot, tokens: u64) {
         if let Some(server) = self.servers.get_mut(slot) {
             server.unread_tokens = server.unread_tokens.saturating_sub(tokens);
--- a/core/src/servers/directives.rs
+++ b/core/src/servers/directives.rs
@@ -26,8 +26,10 @@
     pub backoff_ms: Directive<u64>,
 }
 
-/// The times since a request was sent to a backend server and since the headers of its answer were received, in
-/// milliseconds. They determine which of several limits in answers is valid, and how much is left of a requested pause.
+/// How long ago a request was sent to a backend server and the headers of its answer were received, in milliseconds.
+/// The process around the core reports it with the [`Directives`] in these headers: the limit in the answer to the
+/// request that was sent last is valid, and a backoff (a time in which the server is sent nothing) counts from the
+/// receipt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AnswerAge {
     /// Time since the request was sent.
@@ -36,15 +38,16 @@
     pub received_ms: u64,
 }
 
-/// A header of a backend server's answer that carries one of the [`Directives`]. It names the header in log lines when
-/// the value cannot be read.
+/// One of the headers by which a backend server instructs the routers in its answers, for example to send it fewer
+/// requests. The value of each header is one of the [`Directives`]; a log line names the header if its value cannot be
+/// parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Header {
-    /// Carries [`Directives::limit_milli_per_s`].
+    /// The rate of requests that the server accepts: [`Directives::limit_milli_per_s`].
     Limit,
-    /// Carries [`Directives::is_leaving`].
+    /// Whether the server is about to stop: [`Directives::is_leaving`].
     Leaving,
-    /// Carries [`Directives::backoff_ms`].
+    /// The time in which the server is to be sent nothing: [`Directives::backoff_ms`].
     Backoff,
 }
 
--- a/core/src/servers/health.rs
+++ b/core/src/servers/health.rs
@@ -64,8 +64,9 @@
         Some(ejected_ms)
     }
 
-    /// Records that a server's address refuses connections. The server is ejected at once and again
-    /// with its next failure, because each send to it would fail.
+    /// Records that a server's address refuses connections. The server is ejected at once instead of after
+    /// `FAILURES_TO_EJECT` failures, because every request to it would fail, and its next failure ejects it
+    /// again. An ejection that already lasts longer stays as it is.
     pub fn record_refused(&mut self, slot: ids::ServerSlot, now_ms: u64) {
         if let Some(server) = self.servers.get_mut(slot) {
             server.failures = server.failures.max(FAILURES_TO_EJECT);
--- a/core/src/servers/limits.rs
+++ b/core/src/servers/limits.rs
@@ -1,9 +1,9 @@
 //! Limits that overloaded servers report: the rate of requests that a server accepts from all
 //! routers together.
 //!
-//! Answers can overtake each other, at one router and between routers. The known state of a server
-//! therefore comes from one answer, the one whose request was sent last. A limit ends only with an
-//! answer to a request that was sent after the limit was received.
+//! Answers can overtake each other, at one router and between routers. The recorded state of a
+//! server therefore comes from one answer, the one whose request was sent last. A limit ends only
+//! with an answer to a request that was sent after the limit was received.
 
 use super::permits;
 use crate::{gossip_rotation, ids};
@@ -13,7 +13,7 @@
 /// Time after which a limit expires that no answer confirms. Long enough for a trial request where
 /// there are few requests.
 const LIMIT_TTL_MS: u64 = 120_000;
-/// Time for which an ended limit is remembered, so that delayed updates do not start it again.
+/// Time for which the record of an ended limit is kept, so that delayed updates do not start it again.
 const ENDED_LIMIT_TTL_MS: u64 = 10_000;
 /// Maximum age of updates from peers: the end of an older limit may already be removed here.
 const UPDATE_AGE_MAX_MS: u64 = ENDED_LIMIT_TTL_MS;
@@ -45,7 +45,7 @@
 }
 
 impl LimitReport {
-    /// Whether this report replaces the known one.
+    /// Whether this report replaces the recorded one.
     fn supersedes(&self, known: &Self) -> bool {
         match (self.limit_milli_per_s, known.limit_milli_per_s) {
             (None, Some(_)) => self.sent_ms > known.received_ms,
@@ -57,8 +57,8 @@
     }
 }
 
-/// A [`LimitReport`] in the form in which a router sends it to other routers by gossip, with the server that it applies
-/// to. Routers share no clock, so times are sent as ages.
+/// A [`LimitReport`] in the form in which a router sends it to other routers, by gossip or with a request for permits,
+/// with the server that it applies to. Routers share no clock, so times are sent as ages.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitUpdate {
     /// VM of the server.
@@ -106,8 +106,9 @@
     Ended,
 }
 
-/// The rate of requests that one backend server accepts from all routers together, or that this limit has ended, with
-/// the permits by which routers keep to it: each permit allows one router to send one request to the server.
+/// What this router has recorded about the limit of one backend server: the rate of requests that the server accepts
+/// from all routers together, or that the limit has ended, and the permits by which routers keep to it. Each permit
+/// allows one router to send one request to the server.
 #[derive(Clone, Debug)]
 pub struct KnownLimit {
     /// Report that is currently valid.
@@ -132,7 +133,7 @@
 }
 
 impl Limits {
-    /// Whether no limits are known, also none that ended.
+    /// Whether no limits are recorded, also none that ended.
     pub fn is_empty(&self) -> bool {
         self.by_slot.is_empty()
     }
@@ -181,7 +182,8 @@
             return self.start_limit(slot, report, now_ms);
         };
         if known.report.answer == report.answer {
-            // Each hop between routers makes an answer seem younger.
+            // The ages in an update do not include its transmission, so an answer appears later with each router that
+            // passes it on. The earliest times are the most accurate.
             known.report.sent_ms = known.report.sent_ms.min(report.sent_ms);
             known.report.received_ms = known.report.received_ms.min(report.received_ms);
             return LimitChange::Nothing;
--- a/core/src/servers/permits.rs
+++ b/core/src/servers/permits.rs
@@ -41,18 +41,19 @@
     pub trial: bool,
 }
 
-/// The pacer's reply to [`PermitsRequested`]: how many requests the other router may send to the backend server with a
-/// limited rate, and from when on, or when to request permits again.
+/// The reply to [`PermitsRequested`] by the pacer, the router that schedules the requests of all routers to a backend
+/// server with a limited rate: how many requests the receiver may send to that server and from when on, or when it is
+/// to request permits again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitsGranted {
     /// Number of granted permits; 0 if none is available in time.
     pub permits: u64,
-    /// Time until the permits are valid, or until the next request makes sense, in milliseconds.
+    /// Time until the permits are valid or, without permits, until they may be requested again, in milliseconds.
     pub in_ms: u64,
 }
 
 impl PermitsGranted {
-    /// A refusal with the time until the next request makes sense, in milliseconds.
+    /// A refusal with the time until permits may be requested again, in milliseconds.
     pub fn none(in_ms: u64) -> Self {
         Self { permits: 0, in_ms }
     }
@@ -157,12 +158,12 @@
 pub struct Pacer {
     /// When the next permit is valid.
     next_us: u64,
-    /// When the last trial was granted.
+    /// When the last trial was granted or, before the first one, when the schedule started.
     trial_ms: u64,
 }
 
 impl Pacer {
-    /// Creates a scheduler without accumulated permits.
+    /// Creates a schedule without accumulated permits.
     pub fn new(limit_milli_per_s: u64, now_ms: u64) -> Self {
         Self { next_us: now_ms * US_PER_MS + interval_us(limit_milli_per_s), trial_ms: now_ms }
     }
@@ -178,12 +179,12 @@
         self.next_us = now_us + scaled_us.min(ahead_us.max(interval_us));
     }
 
-    /// When the last trial was granted.
+    /// When the last trial was granted or, before the first one, when the schedule started.
     pub fn trial_ms(&self) -> u64 {
         self.trial_ms
     }
 
-    /// Grants permits, or refuses with the time until the next request makes sense.
+    /// Grants permits, or refuses with the time until they may be requested again.
     pub fn grant(
         &mut self,
         milli_per_s: u64,
--- a/core/src/servers/restarts.rs
+++ b/core/src/servers/restarts.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Applies the listed state of an incarnation that is already known.
+    /// Applies the listed state of an incarnation that has a slot already.
     fn update_incarnation(&mut self, slot: ids::ServerSlot, vm: &Vm, now_ms: u64) {
         let server = &mut self.servers[slot];
         // The list is delayed: a VM that was reported as leaving stays so.
--- a/core/src/servers/vm.rs
+++ b/core/src/servers/vm.rs
@@ -38,8 +38,8 @@
         texts.into_iter().map(String::len).sum()
     }
 
-    /// Returns the known record instead if it is of a later incarnation of the server, because this
-    /// one is outdated then.
+    /// Returns the router's present record of the VM instead if that is of a later incarnation of the server, because
+    /// this one is outdated then.
     pub fn unless_superseded(self, known: Option<&Self>) -> Self {
         match known {
             Some(known) if known.incarnation > self.incarnation => known.clone(),
--- a/core/src/servers/warm_up.rs
+++ b/core/src/servers/warm_up.rs
@@ -29,8 +29,8 @@
     pub start_ms: u64,
 }
 
-/// The routers of the fleet that are known to this router. It is used to compute this router's share of the rate at
-/// which all routers together may send to a backend server that has just started.
+/// The live routers of the fleet according to this router's membership list. It is used to compute this router's share
+/// of the rate at which all routers together may send to a backend server that has just started.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     /// Incarnation of this router.
@@ -45,7 +45,7 @@
 }
 
 impl Default for Fleet {
-    /// The view of a router that has no known peers.
+    /// The view of a router without peers.
     fn default() -> Self {
         let own = ids::Incarnation(0);
         Self { own, members: vec![own], routers: 1, settled: false }
--- a/core/src/watch.rs
+++ b/core/src/watch.rs
@@ -114,7 +114,8 @@
 }
 
 /// One request to the platform's store for the changes or the full state of a [`Topic`], which the store answers when
-/// there is a change or after a maximum wait. The process around the node sends it and reports its [`Outcome`].
+/// there is a change or after a maximum wait. The process around [`crate::node::Node`], which does its input and
+/// output, sends the poll and reports its [`Outcome`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Poll {
     /// Distinguishes the poll from the other polls of this topic.
@@ -146,7 +147,8 @@
     polls_started: u64,
     /// Set once an update has arrived that the long poll should have returned: when, and what showed it.
     superseded: Option<(u64, Evidence)>,
-    /// Whether the last poll got no answer: the next one may get none either, and must not wait for long.
+    /// Whether the last poll failed or was abandoned: the next one may get no answer either, and must not wait for
+    /// long.
     unanswered: bool,
     not_before_ms: u64,
     retry_backoff: backoff::Backoff,
@@ -154,7 +156,7 @@
     last_rejected_ms: Option<u64>,
     /// When a poll last failed.
     last_failed_ms: Option<u64>,
-    /// When this router polls because its copy is stale.
+    /// When this router is to poll because its copy is stale.
     stale_poll_ms: Option<u64>,
 }
 
@@ -206,7 +208,7 @@
         self.bound_ms * STALE_PERCENT / 100
     }
 
-    /// Returns the least improvement of the copy's age that is passed on to peers, in milliseconds.
+    /// Returns the smallest improvement of the copy's age that is passed on to peers, in milliseconds.
     pub fn notable_improvement_ms(&self) -> u64 {
         self.bound_ms * WATCHER_WAIT_PERCENT / 200
     }
@@ -347,7 +349,7 @@
     }
 
     /// Returns whether records that a peer reports as lapsed may have lapsed for this router as well. A router whose
-    /// copy stayed current all the while has seen them being removed.
+    /// copy has stayed current has received their removals.
     pub fn may_have_missed_removals(&self, role: Role, now_ms: u64) -> bool {
         match role {
             Role::EveryRouter | Role::Joining => self.last_rejected_ms.is_some(),
--- a/core/src/watch/copy.rs
+++ b/core/src/watch/copy.rs
@@ -7,8 +7,8 @@
 
 /// The delay of the next poll after a change, so that changes in quick succession need only one poll.
 const BATCH_DELAY_MS: u64 = 100;
-/// The same where every router polls. It must be well below the bounds of a deployment, of which the least so far is
-/// two seconds.
+/// The same where every router polls. It must be well below the bounds of a deployment, of which the smallest in
+/// use is two seconds.
 const EVERY_ROUTER_BATCH_DELAY_MS: u64 = 500;
 
 impl Subscription {
@@ -29,7 +29,7 @@
         self.confirmed_ms = None;
     }
 
-    /// Handles the answer to a poll; `changed` says whether it contained changes.
+    /// Handles the answer to a poll; `changed` is whether it contained changes.
     pub fn handle_answer(
         &mut self,
         role: Role,
@@ -65,7 +65,7 @@
         self.needs_full_state = true;
     }
 
-    /// Handles a failed poll. `rejected` says whether the store rejected it; a missing answer may be caused by this
+    /// Handles a failed poll. `rejected` is whether the store rejected it; a missing answer may be caused by this
     /// router's own connection.
     pub fn handle_failure(
         &mut self,
--- a/core/src/watch/polls.rs
+++ b/core/src/watch/polls.rs
@@ -34,8 +34,8 @@
     pub evidence: Evidence,
 }
 
-/// A poll of the platform's store that has been sent and not answered, with its age and its longest wait, as it is
-/// written to a log line.
+/// A poll that the platform's store has not answered yet, in the form in which [`super::Subscription`] reports it for a
+/// log line: its number, how long ago it was sent, and how long the store may wait for a change before it answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenPoll {
     /// The number of the poll.
--- a/core/src/watch/updates.rs
+++ b/core/src/watch/updates.rs
@@ -87,8 +87,8 @@
     }
 }
 
-/// How a poll of the platform's store ended: with an answer, with the reply that the requested history is no longer
-/// kept or that the store is unavailable, or without an answer.
+/// How a poll of the platform's store ended: with an answer, with the need to read the full state because the requested
+/// history is incomplete, with an error status, or without a usable answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
     /// The store answered the poll.
@@ -98,10 +98,10 @@
         /// The update in the answer; it may contain no change.
         update: Update,
     },
-    /// The store no longer has the history since the requested revision.
+    /// The store no longer has the history since the requested revision, or was restored while its full state was read.
     HistoryLost,
-    /// The store answered that it is unavailable.
+    /// The store answered with an error status.
     Rejected,
-    /// The poll got no answer.
+    /// The poll got no answer that can be read.
     NoAnswer,
 }
--- a/src/api_error.rs
+++ b/src/api_error.rs
@@ -123,7 +123,7 @@
         Reason::Overloaded => (
             StatusCode::TOO_MANY_REQUESTS,
             "overloaded",
-            "all matching backend servers are busy, and the queue is full or too slow",
+            "no matching backend server can take the request now, and this router's queue is full or too slow",
         ),
         Reason::NoServer => (unavailable, "no_server", "no matching backend server is live"),
         Reason::DeadlineTooClose => (
@@ -164,7 +164,7 @@
         Reason::Backoff => (
             unavailable,
             "backoff",
-            "all matching backend servers rejected requests and asked to receive none for a while",
+            "all matching backend servers rejected requests and requested a backoff that still lasts",
         ),
         Reason::RetriesExhausted => {
             (unavailable, "retries_exhausted", "the backend server failed and no retries are left")
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock.
+//! Reads the wall clock, for times that leave the process. Durations are measured with the monotonic clock instead.
 
 use std::time;
 
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -18,11 +18,11 @@
 pub(super) fn run(matches: &clap::ArgMatches) -> Result<(), Error> {
     for file in matches.get_many::<PathBuf>("settings").into_iter().flatten() {
         settings::Settings::load(file)?;
-        println!("{}: settings are good", file.display());
+        println!("{}: the settings are valid", file.display());
     }
     for file in matches.get_many::<PathBuf>("config").into_iter().flatten() {
         document::load(file, None)?;
-        println!("{}: configuration is good", file.display());
+        println!("{}: the configuration is valid", file.display());
     }
     Ok(())
 }
--- a/src/completion.rs
+++ b/src/completion.rs
@@ -33,9 +33,9 @@
 /// The endpoint that was called.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Endpoint {
-    /// `/v1/chat/completions`
+    /// `/v1/chat/completions`: the prompt is a list of chat messages.
     Chat,
-    /// `/v1/completions`
+    /// `/v1/completions`: the prompt is one text.
     Text,
 }
 
--- a/src/control/messages.rs
+++ b/src/control/messages.rs
@@ -5,7 +5,7 @@
 use doorswitch_core::{ids, node, quarantine, servers};
 use std::time::Instant;
 
-/// Asks to admit a request. The reply holds its slot, which later messages of the request name.
+/// Requests the admission of a request. The reply contains its slot, by which later messages refer to it.
 #[derive(Debug, Message)]
 #[rtype(result = "(ids::RequestSlot, Reply)")]
 pub struct Admit {
@@ -24,7 +24,7 @@
     pub outcome: node::RequestOutcome,
 }
 
-/// Asks for another server after an attempt failed.
+/// Requests another server after an attempt failed.
 #[derive(Debug, Message)]
 #[rtype(result = "Reply")]
 pub struct Retry {
@@ -43,7 +43,7 @@
     pub vm: String,
     /// The incarnation of the server that reported it.
     pub incarnation: ids::ServerIncarnation,
-    /// The reported load.
+    /// The numbers of running and queued requests and of slots at the server.
     pub load: servers::Load,
 }
 
@@ -74,7 +74,7 @@
 #[rtype(result = "()")]
 pub struct ServerRefused(pub quarantine::ServerInstance);
 
-/// A server instance that accepted a connection after a run on it broke off.
+/// A server instance that accepted a connection after the connection of a run on it was lost.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub struct ServerAccepted(pub quarantine::ServerInstance);
@@ -125,7 +125,7 @@
 #[rtype(result = "()")]
 pub struct OfferSeeds(pub Vec<String>);
 
-/// Asks for the complete state of the router as JSON.
+/// Requests the complete state of the router as JSON.
 #[derive(Debug, Message)]
 #[rtype(result = "serde_json::Value")]
 pub struct Dump;
--- a/src/fingerprint.rs
+++ b/src/fingerprint.rs
@@ -8,7 +8,7 @@
 pub struct Head<'a> {
     /// The workspace whose budget pays, so that none can affect the requests of another; empty without one.
     pub workspace: &'a str,
-    /// The HTTP method.
+    /// The HTTP method, as the client sent it.
     pub method: &'a str,
     /// The host to which the request was sent; empty if requests are not distinguished by host.
     pub host: &'a str,
--- a/src/front.rs
+++ b/src/front.rs
@@ -298,7 +298,7 @@
             reports,
         };
         // The call runs in a task of its own, so that it is not cancelled if its caller closes the connection: an
-        // unrepeatable call may be sent only once.
+        // unrepeatable call that was sent must not be sent again.
         let run = actix_web::rt::spawn(async move {
             let _open_answer = open_answer;
             call.run(placement).await
@@ -306,8 +306,8 @@
         run.await.map_err(|_| Rejection::closing())
     }
 
-    /// Creates the reporter for the runs of a request. The host of the request is not part of its fingerprint, because this
-    /// interface has no routes by host.
+    /// Creates the reporter for the runs of a request. The host of the request is not part of its fingerprint, because
+    /// this interface has no routes by host.
     fn run_reports(
         &self,
         caller: &Caller,
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -19,7 +19,7 @@
     pub uri: Uri,
     /// The headers that the client sent.
     pub headers: HeaderMap,
-    /// The request body.
+    /// The whole request body, which each attempt sends.
     pub body: Bytes,
 
     /// What this router reads from the headers: the id, the token counts and the deadline.
@@ -28,7 +28,7 @@
     pub route: routes::Route,
     /// The workspace whose budget pays; `None` on a public route without a key.
     pub workspace: Option<String>,
-    /// The most tokens in one event of the answer.
+    /// The maximum number of tokens in one event of the answer.
     pub event_tokens: u64,
     /// When the request is abandoned.
     pub deadline: Instant,
@@ -130,7 +130,7 @@
     }
 }
 
-/// Evaluates the head of an answer: reports what the server states in it, and finds out whether the request ran.
+/// Evaluates the head of an answer: reports what the server states in it, and determines whether the request ran.
 async fn handle_head(
     context: Context<'_>,
     call: &Call,
--- a/src/gateway/backends.rs
+++ b/src/gateway/backends.rs
@@ -31,8 +31,8 @@
 /// How often a connection that a probe established is checked for its end.
 const PROBE_CONNECTION_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A connection that is younger than this when a server's new incarnation is reported may already lead to the new
-/// incarnation.
+/// A connection that was established less than this before a server's new incarnation is reported may already lead to
+/// the new incarnation.
 const NEW_INCARNATION_MARGIN: Duration = Duration::from_secs(1);
 
 /// The body of a request to a server.
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Sends an admitted call to one server after the other until one answers or no further attempt is allowed.
+    /// Sends an admitted call to servers in turn until one answers or no further attempt is allowed.
     async fn dispatch(
         self: &Rc<Self>,
         call: attempt::Call,
--- a/src/plain.rs
+++ b/src/plain.rs
@@ -1,7 +1,8 @@
 //! Runs one call to a plain service.
 //!
-//! An unrepeatable call is sent once, on a connection of its own. If no answer is received, the caller gets the error
-//! that the outcome is unknown, never that the call did not run.
+//! An unrepeatable call is sent again only if it certainly did not run, and its connection is closed afterwards. If it
+//! was sent and no answer is received, the caller gets the error that the outcome is unknown, never that the call did
+//! not run.
 
 use crate::{api_error, control, upstream};
 use actix::prelude::Addr;
@@ -30,7 +31,7 @@
     pub content_type: Option<header::HeaderValue>,
     /// The caller's id for the request.
     pub id: String,
-    /// The request body.
+    /// The whole request body, which each attempt sends.
     pub body: bytes::Bytes,
     /// Whether the call must run at most once.
     pub unrepeatable: bool,
@@ -124,7 +125,8 @@
             .insert_header(("x-attempt-id", placement.attempt.0))
             .timeout(left.max(Duration::from_millis(1)));
         if self.unrepeatable {
-            // The server may be closing a pooled connection, which would leave the outcome unknown.
+            // The server may be closing a pooled connection, which would leave the outcome unknown. This closes the
+            // connection after the call; it does not exclude one that a repeatable call has left in the pool.
             request = request.force_close();
         }
         if let Some(content_type) = &self.content_type {
--- a/src/publish.rs
+++ b/src/publish.rs
@@ -15,15 +15,15 @@
 #[allow(missing_docs)]
 pub enum Error {
     #[snafu(display(
-        "the platform cannot be reached, and whether the change was made is unknown; \
-         repeat it with operation id {operation:?} ({source})"
+        "the platform cannot be reached, and it is unknown whether the change was made; \
+         repeat the command with --operation {operation:?} ({source})"
     ))]
     Unknown { operation: String, source: platform::Error },
     #[snafu(display("{source}"))]
     Unreachable { source: platform::Error },
     #[snafu(display(
-        "version {winner} was published first (you started from {base}); \
-         look at it, then publish again with --base {winner}"
+        "version {winner} is published, but the document was made from version {base}; \
+         compare the two versions, then publish again with --base {winner}"
     ))]
     Conflict { base: u64, winner: u64 },
     #[snafu(display("the published configuration is not readable: {source}"))]
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -12,7 +12,7 @@
 /// The time between two checks of whether the file was modified.
 const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Reloads the file on each change, forever.
+/// Reloads the file on each change and each SIGHUP; does not return.
 pub async fn follow(file: PathBuf, control: Addr<control::Control>) {
     // Installed first, as the default action of the signal would terminate the process.
     let mut hangup = unix::signal(unix::SignalKind::hangup()).ok();
--- a/src/router.rs
+++ b/src/router.rs
@@ -168,8 +168,8 @@
     (gateway, serving)
 }
 
-/// Accepts connections until the balancer has had time to stop sending them, then waits until the open answers have
-/// ended.
+/// Accepts connections until the load balancer has had time to exclude this router, then waits until the open answers
+/// have ended.
 async fn drain_gateway(gateway: &gateway::Gateway, shared: &front::Shared, stop_started: Instant) {
     let drain_ms = shared.settings.gateway.as_ref().map_or(0, |gateway| gateway.drain_ms);
     gateway.enter(gateway::Phase::Draining);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -65,7 +65,7 @@
 pub struct Gateway {
     /// The address to listen on.
     pub listen: net::SocketAddr,
-    /// How long a planned stop still accepts connections, in milliseconds, until the balancer has detected it.
+    /// How long a planned stop still accepts connections, in milliseconds, until the load balancer has detected it.
     #[serde(default = "default_drain_ms")]
     pub drain_ms: u64,
 }
@@ -296,7 +296,8 @@
     }
 }
 
-/// Describes a fault in settings in one line: its place, the field if it can be found, and what was expected.
+/// Describes an error in settings in one line: the number of the line, the field if it can be found, and what was
+/// expected.
 fn fault_with_field(text: &str, error: &serde_saphyr::Error) -> String {
     let without_field = error.without_snippet().to_string();
     let Ok(tree) = serde_saphyr::from_str::<serde_json::Value>(text) else { return without_field };
