--- a/core/src/config.rs
+++ b/core/src/config.rs
@@ -15,7 +15,7 @@
 pub const KEY: &str = "doorswitch/config";
 
 /// The number of latest publishes whose operation ids are kept.
-const REMEMBERED_PUBLISHES: u64 = 64;
+const OPERATION_IDS_MAX: u64 = 64;
 /// The maximum number of ledger shards or log shards in a layout.
 const SHARDS_MAX: u32 = 1024;
 /// The maximum number of tokens in a field of the configuration.
@@ -42,14 +42,14 @@
         let version = earlier.map_or(0, |earlier| earlier.version) + 1;
         let mut operations = earlier.map(|earlier| earlier.operations.clone()).unwrap_or_default();
         operations.insert(version, operation.to_owned());
-        operations.retain(|known, _| *known + REMEMBERED_PUBLISHES > version);
+        operations.retain(|recorded, _| *recorded + OPERATION_IDS_MAX > version);
         Self { version, operations, document }
     }
 
     /// Returns the version that an operation published; `None` if it is none of the latest.
     pub fn version_of(&self, operation: &str) -> Option<u64> {
         let mut operations = self.operations.iter();
-        operations.find(|(_, known)| *known == operation).map(|(version, _)| *version)
+        operations.find(|(_, recorded)| *recorded == operation).map(|(version, _)| *version)
     }
 }
 
--- a/core/src/config/check.rs
+++ b/core/src/config/check.rs
@@ -11,26 +11,26 @@
 }
 
 impl Checker {
-    fn report(&mut self, place: &str, fault: Fault) {
-        self.problems.push(Problem { place: place.to_owned(), fault });
+    fn report(&mut self, field: &str, fault: Fault) {
+        self.problems.push(Problem { place: field.to_owned(), fault });
     }
 
-    fn range(&mut self, place: &str, found: u64, least: u64, most: u64) {
-        if !(least..=most).contains(&found) {
-            self.report(place, Fault::OutOfRange { found, least, most });
+    fn range(&mut self, field: &str, found: u64, min: u64, max: u64) {
+        if !(min..=max).contains(&found) {
+            self.report(field, Fault::OutOfRange { found, least: min, most: max });
         }
     }
 
-    pub(super) fn names<'a>(&mut self, place: &str, names: impl Iterator<Item = &'a str>) {
+    pub(super) fn names<'a>(&mut self, field: &str, names: impl Iterator<Item = &'a str>) {
         let mut seen = collections::HashSet::new();
         for name in names {
             let valid = (1..=64).contains(&name.len())
                 && name.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte));
             if !valid {
-                self.report(place, Fault::BadName(name.to_owned()));
+                self.report(field, Fault::BadName(name.to_owned()));
             }
             if !seen.insert(name) {
-                self.report(place, Fault::Duplicate(name.to_owned()));
+                self.report(field, Fault::Duplicate(name.to_owned()));
             }
         }
     }
@@ -46,43 +46,43 @@
     }
 
     pub(super) fn workspace(&mut self, workspace: &Workspace) {
-        let place = format!("workspaces.{}", workspace.name);
-        self.names(&format!("{place}.keys"), workspace.keys.iter().map(|key| key.name.as_str()));
+        let field = format!("workspaces.{}", workspace.name);
+        self.names(&format!("{field}.keys"), workspace.keys.iter().map(|key| key.name.as_str()));
         let budgets = workspace.budgets.iter().map(|budget| budget.name.as_str());
-        self.names(&format!("{place}.budgets"), budgets);
+        self.names(&format!("{field}.budgets"), budgets);
         for key in &workspace.keys {
             let valid = key.sha256.len() == 64 && key.sha256.bytes().all(|b| b.is_ascii_hexdigit());
             if !valid {
-                self.report(&format!("{place}.keys.{}.sha256", key.name), Fault::BadDigest);
+                self.report(&format!("{field}.keys.{}.sha256", key.name), Fault::BadDigest);
             }
         }
         for budget in &workspace.budgets {
-            let place = format!("{place}.budgets.{}", budget.name);
+            let field = format!("{field}.budgets.{}", budget.name);
             let cover = budget.cover();
-            self.range(&format!("{place}.cover_s"), cover.cover_s, 0, COVER_MAX_S);
+            self.range(&format!("{field}.cover_s"), cover.cover_s, 0, COVER_MAX_S);
             let minimum = cover.minimum_grant_tokens;
-            self.range(&format!("{place}.minimum_grant_tokens"), minimum, 0, TOKENS_MAX);
+            self.range(&format!("{field}.minimum_grant_tokens"), minimum, 0, TOKENS_MAX);
         }
     }
 
     pub(super) fn service(&mut self, service: &Service, document: &Document) {
-        let place = format!("services.{}", service.name);
+        let field = format!("services.{}", service.name);
         if !document.policies.iter().any(|policy| policy.name == service.policy) {
-            self.report(&format!("{place}.policy"), Fault::Unknown(service.policy.clone()));
+            self.report(&format!("{field}.policy"), Fault::Unknown(service.policy.clone()));
         }
         let served_twice = |model: &String| {
             let serving = document.services.iter().filter(|other| other.models.contains(model));
             serving.count() > 1
         };
         for model in service.models.iter().filter(|model| served_twice(model)) {
-            self.report(&format!("{place}.models"), Fault::Duplicate(model.clone()));
+            self.report(&format!("{field}.models"), Fault::Duplicate(model.clone()));
         }
         let answer = service.answer_tokens_max;
-        self.range(&format!("{place}.answer_tokens_max"), answer, 1, TOKENS_MAX);
-        self.range(&format!("{place}.call_tokens"), service.call_tokens, 0, TOKENS_MAX);
+        self.range(&format!("{field}.answer_tokens_max"), answer, 1, TOKENS_MAX);
+        self.range(&format!("{field}.call_tokens"), service.call_tokens, 0, TOKENS_MAX);
         let queue = service.queue_length as u64;
-        self.range(&format!("{place}.queue_length"), queue, 0, 100_000);
-        self.range(&format!("{place}.queue_age_ms"), service.queue_age_ms, 0, 600_000);
-        self.range(&format!("{place}.answer_time_ms"), service.answer_time_ms, 1, 3_600_000);
+        self.range(&format!("{field}.queue_length"), queue, 0, 100_000);
+        self.range(&format!("{field}.queue_age_ms"), service.queue_age_ms, 0, 600_000);
+        self.range(&format!("{field}.answer_time_ms"), service.answer_time_ms, 1, 3_600_000);
     }
 }
--- a/core/src/evacuation.rs
+++ b/core/src/evacuation.rs
@@ -59,14 +59,14 @@
     pub fn apply(&mut self, position: store::Position, update: Update) {
         match update {
             Update::Changes(changes) => {
-                let known = self.position;
-                for change in changes.into_iter().filter(|change| change.position > known) {
+                let copy_position = self.position;
+                for change in changes.into_iter().filter(|change| change.position > copy_position) {
                     match change.evacuated {
                         true => self.domains.insert(change.domain),
                         false => self.domains.remove(&change.domain),
                     };
                 }
-                self.position = known.max(position);
+                self.position = copy_position.max(position);
             }
             Update::All(domains) => self.replace_if_newer(&Self { position, domains }),
         }
--- a/core/src/leaving_servers.rs
+++ b/core/src/leaving_servers.rs
@@ -122,14 +122,14 @@
             leaving.unlisted_since_ms = (!listed).then_some(since_ms);
         }
         let oldest_ms = self.oldest_kept_ms(now_ms);
-        let holds = |vm: &str, leaving: &LeavingServer| match incarnations.get(vm) {
+        let still_applies = |vm: &str, leaving: &LeavingServer| match incarnations.get(vm) {
             Some(present) => *present <= leaving.incarnation,
             None => {
                 let since_ms = leaving.unlisted_since_ms.unwrap_or(now_ms);
                 leaving.source == Source::Answer && since_ms >= oldest_ms
             }
         };
-        let removed = self.by_vm.extract_if(.., |vm, leaving| !holds(vm, leaving));
+        let removed = self.by_vm.extract_if(.., |vm, leaving| !still_applies(vm, leaving));
         removed.map(|(vm, leaving)| (vm, leaving.incarnation)).collect()
     }
 
@@ -137,7 +137,7 @@
     fn oldest_kept_ms(&self, now_ms: u64) -> u64 {
         let unlisted = self.by_vm.values().filter_map(|leaving| leaving.unlisted_since_ms);
         let mut unlisted_ms: Vec<u64> = unlisted.collect();
-        unlisted_ms.sort_unstable_by(|one, other| other.cmp(one));
+        unlisted_ms.sort_unstable_by(|a, b| b.cmp(a));
         let too_many_ms = unlisted_ms.get(UNLISTED_MAX).map_or(0, |since_ms| since_ms + 1);
         too_many_ms.max((now_ms + 1).saturating_sub(UNLISTED_TTL_MS))
     }
--- a/core/src/members.rs
+++ b/core/src/members.rs
@@ -159,10 +159,10 @@
     pub fn merge_all(&mut self, records: Vec<Record>, now_ms: u64) {
         for record in records {
             let id = record.id;
-            let known = self.members.contains_key(&id);
+            let listed_before = self.members.contains_key(&id);
             self.merge(record, now_ms);
             // A router that lacks the record can request the whole list, so it isn't queued for gossip.
-            if let Some(member) = self.members.get_mut(&id).filter(|_| !known) {
+            if let Some(member) = self.members.get_mut(&id).filter(|_| !listed_before) {
                 member.sends_left = 0;
             }
         }
@@ -283,14 +283,14 @@
 
     fn expire_suspicions(&mut self, now_ms: u64) {
         for member in self.members.values_mut() {
-            let silent_ms = now_ms.saturating_sub(member.changed_ms);
-            if member.record.health == Health::Suspect && silent_ms >= SUSPICION_TIMEOUT_MS {
+            let unchanged_ms = now_ms.saturating_sub(member.changed_ms);
+            if member.record.health == Health::Suspect && unchanged_ms >= SUSPICION_TIMEOUT_MS {
                 set_health(member, Health::Dead, now_ms);
             }
         }
         self.members.retain(|_, member| {
-            let silent_ms = now_ms.saturating_sub(member.changed_ms);
-            member.record.health <= Health::Suspect || silent_ms < DEAD_RECORD_TTL_MS
+            let unchanged_ms = now_ms.saturating_sub(member.changed_ms);
+            member.record.health <= Health::Suspect || unchanged_ms < DEAD_RECORD_TTL_MS
         });
     }
 
@@ -327,11 +327,11 @@
                 set_health(earlier, Health::Dead, now_ms);
             }
         }
-        if let Some(known) = self.members.get_mut(&record.id) {
-            known.unanswered_probes = 0;
-            if known.record.health > Health::Suspect && known.record.health != Health::Left {
+        if let Some(member) = self.members.get_mut(&record.id) {
+            member.unanswered_probes = 0;
+            if member.record.health > Health::Suspect && member.record.health != Health::Left {
                 // Its own datagram is newer than any other router's report, which it refutes on receipt.
-                set_health(known, Health::Alive, now_ms);
+                set_health(member, Health::Alive, now_ms);
             }
         }
         self.merge(record, now_ms);
@@ -357,14 +357,15 @@
                 self.last_added_ms = now_ms;
             }
             None => {}
-            Some(known) => {
-                let newer = (record.beat, record.health) > (known.record.beat, known.record.health);
-                if newer && known.record.health != Health::Left {
-                    let changed = record.health != known.record.health;
-                    known.record = record;
-                    known.sends_left = RECORD_TRANSMISSIONS;
+            Some(member) => {
+                let newer =
+                    (record.beat, record.health) > (member.record.beat, member.record.health);
+                if newer && member.record.health != Health::Left {
+                    let changed = record.health != member.record.health;
+                    member.record = record;
+                    member.sends_left = RECORD_TRANSMISSIONS;
                     if changed {
-                        known.changed_ms = now_ms;
+                        member.changed_ms = now_ms;
                     }
                 }
             }
--- a/core/src/quarantine.rs
+++ b/core/src/quarantine.rs
@@ -206,10 +206,10 @@
         self.evict_for(report.request);
         let entry = self.entries.entry(report.request).or_default();
         let voids = |cleared_ms: i64| crashes.iter().any(|(_, at_ms)| *at_ms <= cleared_ms);
-        let sender_is_behind = entry.cleared_ms.is_some_and(voids);
+        let sender_lacks_clearing = entry.cleared_ms.is_some_and(voids);
         let removed = cleared_ms.map_or(0, |cleared_ms| entry.clear(cleared_ms));
         let added = crashes.iter().filter(|(server, at_ms)| entry.add(*server, *at_ms)).count();
-        if added > 0 || removed > 0 || sender_is_behind {
+        if added > 0 || removed > 0 || sender_lacks_clearing {
             entry.enqueue();
         }
         let change = match (added, removed, entry.counted) {
@@ -254,9 +254,9 @@
     /// Quarantined requests with the remaining time in milliseconds.
     pub fn quarantined(&self, now_ms: u64) -> Vec<(ids::Fingerprint, u64)> {
         let requests = self.entries.keys();
-        let kept =
+        let with_left_ms =
             |request: &ids::Fingerprint| Some((*request, self.quarantined_ms(request, now_ms)?));
-        let mut quarantined: Vec<_> = requests.filter_map(kept).collect();
+        let mut quarantined: Vec<_> = requests.filter_map(with_left_ms).collect();
         quarantined.sort_unstable();
         quarantined
     }
@@ -303,7 +303,7 @@
         let queued = self.entries.iter().filter(|(_, entry)| entry.sends_left > 0);
         let mut queued: Vec<(usize, i64, ids::Fingerprint)> =
             queued.map(|(request, entry)| (entry.counted, entry.latest_ms(), *request)).collect();
-        queued.sort_unstable_by(|one, other| other.cmp(one));
+        queued.sort_unstable_by(|a, b| b.cmp(a));
         queued.truncate(REPORTS_MAX);
         let mut selected: Vec<ids::Fingerprint> =
             queued.into_iter().map(|(_, _, request)| request).collect();
@@ -334,11 +334,11 @@
         let counts = |at_ms: i64| at_ms + CRASH_TTL_MS > signed(now_ms);
         let mut dropped = 0;
         self.entries.retain(|_, entry| {
-            let known = entry.crashes.len();
+            let crashes_before = entry.crashes.len();
             if !entry.crashes.iter().all(|crash| counts(crash.at_ms)) {
                 entry.retain_crashes(|crash| counts(crash.at_ms));
             }
-            dropped += known - entry.crashes.len();
+            dropped += crashes_before - entry.crashes.len();
             !entry.crashes.is_empty() || entry.cleared_ms.is_some_and(counts)
         });
         if dropped > 0 || self.entries.len() < before {
@@ -348,7 +348,7 @@
 
     /// Selects requests for a peer with a different state; each call continues after the previous
     /// one.
-    fn next_reply(&mut self, most: usize, selected: &[ids::Fingerprint]) -> Vec<ids::Fingerprint> {
+    fn next_reply(&mut self, max: usize, selected: &[ids::Fingerprint]) -> Vec<ids::Fingerprint> {
         let mut urgent: Vec<ids::Fingerprint> = self
             .entries
             .iter()
@@ -356,10 +356,10 @@
             .map(|(request, _)| *request)
             .collect();
         urgent.sort_unstable();
-        let most = most.min(urgent.len());
+        let count = max.min(urgent.len());
         let start = if self.reply_position < urgent.len() { self.reply_position } else { 0 };
-        self.reply_position = start + most;
-        urgent.iter().cycle().skip(start).take(most).copied().collect()
+        self.reply_position = start + count;
+        urgent.iter().cycle().skip(start).take(count).copied().collect()
     }
 
     fn report(&self, request: &ids::Fingerprint, now_ms: u64) -> Option<Report> {
@@ -382,11 +382,11 @@
         if self.entries.len() < ENTRIES_MAX || self.entries.contains_key(&request) {
             return;
         }
-        let least = self
+        let evicted = self
             .entries
             .iter()
             .min_by_key(|(request, entry)| (entry.counted, entry.latest_ms(), **request));
-        if let Some(request) = least.map(|(request, _)| *request) {
+        if let Some(request) = evicted.map(|(request, _)| *request) {
             self.entries.remove(&request);
         }
     }
--- a/core/src/quarantine/entry.rs
+++ b/core/src/quarantine/entry.rs
@@ -34,12 +34,13 @@
         if self.cleared_ms.is_some_and(|cleared_ms| at_ms <= cleared_ms) {
             return false;
         }
-        let same =
-            |known: &&mut TimedCrash| known.server.same_crash(server, known.at_ms.abs_diff(at_ms));
-        if let Some(known) = self.crashes.iter_mut().find(same) {
+        let same = |recorded: &&mut TimedCrash| {
+            recorded.server.same_crash(server, recorded.at_ms.abs_diff(at_ms))
+        };
+        if let Some(recorded) = self.crashes.iter_mut().find(same) {
             // The age in a report does not include its transmission, so a crash appears later with
             // each router that passes it on, and the oldest report is the most accurate.
-            known.at_ms = known.at_ms.min(at_ms);
+            recorded.at_ms = recorded.at_ms.min(at_ms);
             self.sort();
             return false;
         }
--- a/core/src/quarantine/record.rs
+++ b/core/src/quarantine/record.rs
@@ -41,32 +41,32 @@
 impl Record {
     /// Creates a record of reports; `unix_ms` is the current time in Unix milliseconds.
     pub fn new(reports: Vec<Report>, unix_ms: u64) -> Self {
-        let kept = |report: Report| {
+        let stored = |report: Report| {
             let crashes = report.crashes.iter().map(|crash| StoredCrash {
                 server: crash.server,
                 at_unix_ms: unix_ms.saturating_sub(crash.age_ms),
             });
             StoredRequest { request: report.request, crashes: crashes.collect() }
         };
-        Self { requests: reports.into_iter().take(REQUESTS_MAX).map(kept).collect() }
+        Self { requests: reports.into_iter().take(REQUESTS_MAX).map(stored).collect() }
     }
 
     /// Converts the record to reports; `unix_ms` is the current time in Unix milliseconds. If the
     /// clock was set back, the crashes appear more recent than they are.
     pub fn reports(self, unix_ms: u64) -> Vec<Report> {
-        let report = |kept: StoredRequest| {
-            let crashes = kept.crashes.iter().map(|crash| Crash {
+        let report = |stored: StoredRequest| {
+            let crashes = stored.crashes.iter().map(|crash| Crash {
                 server: crash.server,
                 age_ms: unix_ms.saturating_sub(crash.at_unix_ms),
             });
-            Report { request: kept.request, crashes: crashes.collect(), cleared_age_ms: None }
+            Report { request: stored.request, crashes: crashes.collect(), cleared_age_ms: None }
         };
         self.requests.into_iter().map(report).collect()
     }
 
     /// Whether the record contains a request.
     pub fn contains(&self, request: ids::Fingerprint) -> bool {
-        self.requests.iter().any(|kept| kept.request == request)
+        self.requests.iter().any(|stored| stored.request == request)
     }
 
     /// Encodes the record as JSON.
--- a/core/src/routes.rs
+++ b/core/src/routes.rs
@@ -68,10 +68,10 @@
     /// Selects the service for a request; equal digests select the same service.
     pub fn service(&self, digest: u64) -> Option<&str> {
         let sum: u64 = self.targets.iter().map(|target| target.weight).sum();
-        let mut place = rendezvous::mix(digest).checked_rem(sum)?;
+        let mut position = rendezvous::mix(digest).checked_rem(sum)?;
         for target in &self.targets {
-            match place.checked_sub(target.weight) {
-                Some(left) => place = left,
+            match position.checked_sub(target.weight) {
+                Some(rest) => position = rest,
                 None => return Some(&target.service),
             }
         }
--- a/core/src/servers.rs
+++ b/core/src/servers.rs
@@ -155,8 +155,8 @@
 
     /// Estimated time for one more request, in microseconds: the server's answer time scaled by its
     /// load.
-    fn cost_us(&self, service: answer_time::ServiceAnswerTime, now_ms: u64) -> u64 {
-        (self.estimated_load() + 1) * self.answer_time.answer_us(service, now_ms).max(1)
+    fn cost_us(&self, service_average: answer_time::ServiceAnswerTime, now_ms: u64) -> u64 {
+        (self.estimated_load() + 1) * self.answer_time.answer_us(service_average, now_ms).max(1)
             / self.slots()
     }
 }
@@ -261,7 +261,7 @@
         }
         let open = matching.iter().copied().filter(|slot| self.is_open(*slot, now_ms));
         let open: Vec<ids::ServerSlot> = open.collect();
-        let trial = open.iter().copied().find(|slot| self.wants_trial(*slot, now_ms));
+        let trial = open.iter().copied().find(|slot| self.is_trial_due(*slot, now_ms));
         let chosen = match trial {
             Some(slot) => slot,
             None => {
@@ -273,7 +273,7 @@
         self.count_held_back(criteria.service, &matching, now_ms);
         self.count_sent(chosen, now_ms);
         if let Some(hash) = criteria.prefix_hash {
-            self.remember_prefix(hash, chosen);
+            self.record_prefix(hash, chosen);
         }
         Ok(Choice { slot: chosen, unread_tokens: 0 })
     }
@@ -366,9 +366,9 @@
         now_ms: u64,
         rng: &mut rngs::StdRng,
     ) -> Option<ids::ServerSlot> {
-        let service = self.service_answer_time(open);
+        let service_average = self.service_answer_time(open);
         let sampled = open.sample(rng, (open.len() * SAMPLE_PERCENT).div_ceil(100).max(SAMPLE_MIN));
-        sampled.min_by_key(|slot| self.servers[**slot].cost_us(service, now_ms)).copied()
+        sampled.min_by_key(|slot| self.servers[**slot].cost_us(service_average, now_ms)).copied()
     }
 
     /// Average answer time of the service to which these servers belong.
--- a/core/src/servers/backoff.rs
+++ b/core/src/servers/backoff.rs
@@ -109,8 +109,10 @@
     ) -> bool {
         let routers = self.fleet.members.len() as u64;
         let Some(server) = self.servers.get_mut(slot) else { return false };
-        let known = server.backoff.filter(|known| known.is_active(now_ms));
-        if known.is_some_and(|known| known.requested_until_ms >= until_ms) || until_ms <= now_ms {
+        let active = server.backoff.filter(|backoff| backoff.is_active(now_ms));
+        if active.is_some_and(|backoff| backoff.requested_until_ms >= until_ms)
+            || until_ms <= now_ms
+        {
             return false;
         }
         let proportional_ms = (until_ms - now_ms) / SPREAD_DIVISOR;
@@ -118,7 +120,7 @@
         server.backoff = Some(Backoff::new(until_ms, rng.random_range(0..=spread_ms)));
         self.backing_off.insert(slot);
         self.reset_answer_time(slot);
-        known.is_none_or(|known| until_ms >= known.requested_until_ms + NOTABLE_EXTENSION_MS)
+        active.is_none_or(|backoff| until_ms >= backoff.requested_until_ms + NOTABLE_EXTENSION_MS)
     }
 
     /// Servers whose backoff, or the return from it, is not over yet.
@@ -160,7 +162,8 @@
     /// Counts a successful answer of a server, complete or just begun, for the return from its
     /// backoff.
     pub fn record_answer(&mut self, slot: ids::ServerSlot, sent_ms: u64) {
-        if let Some(backoff) = self.servers.get_mut(slot).and_then(|found| found.backoff.as_mut()) {
+        if let Some(backoff) = self.servers.get_mut(slot).and_then(|server| server.backoff.as_mut())
+        {
             backoff.record_answer(sent_ms);
         }
     }
--- a/core/src/servers/by_prompt.rs
+++ b/core/src/servers/by_prompt.rs
@@ -17,7 +17,7 @@
 const CACHED_MS: u64 = 30_000;
 /// Number of recorded pairs of server and part above which each send first removes the pairs that have expired. Pairs
 /// that have not expired may exceed it.
-const SENT_PARTS_CLEANUP: usize = 16_384;
+const SENT_PARTS_CLEANUP_THRESHOLD: usize = 16_384;
 /// Assumed number of tokens that a queued request adds to a server's work.
 const QUEUED_REQUEST_TOKENS: u64 = 3_000;
 /// Cost of a running request for another one on the same server, in tokens.
@@ -48,21 +48,21 @@
 /// estimate which parts of a prompt a server has cached.
 #[derive(Debug, Default)]
 pub struct SentParts {
-    at_ms: collections::HashMap<(ids::ServerSlot, u64), u64>,
+    sent_ms: collections::HashMap<(ids::ServerSlot, u64), u64>,
 }
 
 impl SentParts {
     fn record(&mut self, slot: ids::ServerSlot, parts: &[Part], now_ms: u64) {
-        if self.at_ms.len() > SENT_PARTS_CLEANUP {
-            self.at_ms.retain(|_, at_ms| now_ms < *at_ms + CACHED_MS);
+        if self.sent_ms.len() > SENT_PARTS_CLEANUP_THRESHOLD {
+            self.sent_ms.retain(|_, sent_ms| now_ms < *sent_ms + CACHED_MS);
         }
         for part in parts {
-            self.at_ms.insert((slot, part.chain), now_ms);
+            self.sent_ms.insert((slot, part.chain), now_ms);
         }
     }
 
     fn contains(&self, slot: ids::ServerSlot, part: &Part, now_ms: u64) -> bool {
-        self.at_ms.get(&(slot, part.chain)).is_some_and(|at_ms| now_ms < *at_ms + CACHED_MS)
+        self.sent_ms.get(&(slot, part.chain)).is_some_and(|sent_ms| now_ms < *sent_ms + CACHED_MS)
     }
 }
 
@@ -95,7 +95,7 @@
             let unread_tokens = self.unread_tokens(*slot, criteria.parts, rank == 0, now_ms);
             Choice { slot: *slot, unread_tokens }
         };
-        let trial = open.clone().find(|(_, slot)| self.wants_trial(**slot, now_ms));
+        let trial = open.clone().find(|(_, slot)| self.is_trial_due(**slot, now_ms));
         let cheapest = || {
             open.take(SERVERS_COMPARED)
                 .map(choice)
--- a/core/src/servers/limit_checks.rs
+++ b/core/src/servers/limit_checks.rs
@@ -71,11 +71,11 @@
 
     /// Whether a request may still be sent to the server that was chosen for it at `chosen_ms`.
     pub fn may_still_send(&self, slot: ids::ServerSlot, chosen_ms: u64, now_ms: u64) -> bool {
-        let limit_holds = self.limits.limited(slot).is_none_or(|known| {
+        let limit_permits = self.limits.limited(slot).is_none_or(|known| {
             known.since_ms < chosen_ms && now_ms < chosen_ms + super::PERMIT_TTL_MS
         });
         let accepts = |server: &Server| server.is_live() && !server.backs_off(now_ms);
-        limit_holds && self.servers.get(slot).is_some_and(accepts)
+        limit_permits && self.servers.get(slot).is_some_and(accepts)
     }
 
     /// Whether a server has room and its limit permits a request of this router now.
@@ -84,7 +84,7 @@
     }
 
     /// Whether a trial request is to be sent to a limited server now.
-    pub(super) fn wants_trial(&self, slot: ids::ServerSlot, now_ms: u64) -> bool {
+    pub(super) fn is_trial_due(&self, slot: ids::ServerSlot, now_ms: u64) -> bool {
         self.limits.limited(slot).is_some_and(|known| known.share.trial(now_ms))
     }
 
--- a/core/src/servers/limits.rs
+++ b/core/src/servers/limits.rs
@@ -46,12 +46,12 @@
 
 impl LimitReport {
     /// Whether this report replaces the recorded one.
-    fn supersedes(&self, known: &Self) -> bool {
-        match (self.limit_milli_per_s, known.limit_milli_per_s) {
-            (None, Some(_)) => self.sent_ms > known.received_ms,
+    fn supersedes(&self, recorded: &Self) -> bool {
+        match (self.limit_milli_per_s, recorded.limit_milli_per_s) {
+            (None, Some(_)) => self.sent_ms > recorded.received_ms,
             (new, old) => {
                 let lower = new.unwrap_or(u64::MAX) < old.unwrap_or(u64::MAX);
-                self.sent_ms > known.sent_ms || (self.sent_ms == known.sent_ms && lower)
+                self.sent_ms > recorded.sent_ms || (self.sent_ms == recorded.sent_ms && lower)
             }
         }
     }
--- a/core/src/servers/permits.rs
+++ b/core/src/servers/permits.rs
@@ -138,9 +138,9 @@
             self.refused_until_ms = now_ms + in_ms;
             return;
         }
-        let most = pending.map_or(granted.permits, |(_, _, requested)| requested.permits);
+        let permits_max = pending.map_or(granted.permits, |(_, _, requested)| requested.permits);
         let ttl_ms = if trial { TRIAL_TTL_MS } else { PERMIT_TTL_MS };
-        self.permits = granted.permits.min(most);
+        self.permits = granted.permits.min(permits_max);
         self.valid_from_ms = now_ms + in_ms;
         self.expires_ms = self.valid_from_ms + ttl_ms;
         self.trial = trial;
--- a/core/src/servers/vm.rs
+++ b/core/src/servers/vm.rs
@@ -40,9 +40,9 @@
 
     /// Returns the router's present record of the VM instead if that is of a later incarnation of the server, because
     /// this one is outdated then.
-    pub fn unless_superseded(self, known: Option<&Self>) -> Self {
-        match known {
-            Some(known) if known.incarnation > self.incarnation => known.clone(),
+    pub fn unless_superseded(self, present: Option<&Self>) -> Self {
+        match present {
+            Some(present) if present.incarnation > self.incarnation => present.clone(),
             _ => self,
         }
     }
--- a/core/src/watch.rs
+++ b/core/src/watch.rs
@@ -233,8 +233,9 @@
         if let Some(in_flight) = self.long_poll {
             // A poll that was sent in a small fleet has a long wait and may never be answered, whatever the fleet's
             // size is now.
-            let long = role == Role::EveryRouter || in_flight.wait_ms >= EVERY_ROUTER_WAIT_MS;
-            let check_now = long && stale && self.freshness_check.is_none();
+            let has_long_wait =
+                role == Role::EveryRouter || in_flight.wait_ms >= EVERY_ROUTER_WAIT_MS;
+            let check_now = has_long_wait && stale && self.freshness_check.is_none();
             if !check_now || !self.is_turn_to_check(fleet, now_ms) {
                 return None;
             }
--- a/src/auth.rs
+++ b/src/auth.rs
@@ -29,8 +29,8 @@
 }
 
 /// Whether two digests are equal. The time of the comparison does not depend on where they differ.
-pub fn digests_equal(one: &KeyDigest, other: &KeyDigest) -> bool {
-    one.ct_eq(other).into()
+pub fn digests_equal(a: &KeyDigest, b: &KeyDigest) -> bool {
+    a.ct_eq(b).into()
 }
 
 /// Returns the key from an `Authorization: Bearer` header.
--- a/src/cmd/policy.rs
+++ b/src/cmd/policy.rs
@@ -41,7 +41,7 @@
         name: format!("{}{model}", super::text(matches, "service")),
     })?;
     let workspace = super::text(matches, "workspace");
-    let declared = document.workspaces.iter().find(|known| known.name == workspace);
+    let declared = document.workspaces.iter().find(|candidate| candidate.name == workspace);
     let Some(declared) = declared else {
         return Err(OperatorError::NotDeclared { kind: "workspace", name: workspace }.into());
     };
--- a/src/cmd/publish.rs
+++ b/src/cmd/publish.rs
@@ -81,7 +81,7 @@
     let change = |name: &String| match (before.get(name), after.get(name)) {
         (None, Some(_)) => Some(format!("+ {name}")),
         (Some(_), None) => Some(format!("- {name}")),
-        (Some(one), Some(other)) if one != other => Some(format!("~ {name}: {one} -> {other}")),
+        (Some(old), Some(new)) if old != new => Some(format!("~ {name}: {old} -> {new}")),
         _ => None,
     };
     names.into_iter().filter_map(change).collect()
--- a/src/cmd/quarantine.rs
+++ b/src/cmd/quarantine.rs
@@ -73,7 +73,7 @@
     let Some(request) = matches.get_one::<ids::Fingerprint>("fingerprint") else { return Ok(()) };
     let dry_run = matches.get_flag("dry-run");
     let query = format!("/quarantine/release?fingerprint={request}&dry_run={dry_run}");
-    let mut known = false;
+    let mut any_crashes = false;
     for url in super::urls(matches) {
         let answer: Value = super::block_on(super::post_to_router(&url, &query))?;
         let crashes = answer["crashes"].as_u64().unwrap_or(0);
@@ -84,9 +84,9 @@
             (_, false) => "released",
         };
         println!("{url}: {done}; {crashes} crashes counted");
-        known |= crashes > 0;
+        any_crashes |= crashes > 0;
     }
     let request = *request;
-    snafu::ensure!(known, super::NotQuarantinedSnafu { request });
+    snafu::ensure!(any_crashes, super::NotQuarantinedSnafu { request });
     Ok(())
 }
--- a/src/control.rs
+++ b/src/control.rs
@@ -128,7 +128,7 @@
                         peers.send(&address, envelope);
                     }
                 }
-                node::Action::Poll(call) => self.poll_store(call, context),
+                node::Action::Poll(poll) => self.poll_store(poll, context),
                 node::Action::CancelPoll { topic, number } => {
                     self.cancel_poll(topic, number, context);
                 }
@@ -290,22 +290,22 @@
         context.spawn(done);
     }
 
-    fn poll_store(&mut self, call: watch::Poll, context: &mut Context<Self>) {
+    fn poll_store(&mut self, poll: watch::Poll, context: &mut Context<Self>) {
         let Some(feed) = self.feed.clone() else { return };
-        let done = feed.poll(call).into_actor(self).map(move |outcome, control, context| {
-            control.polls.remove(&(call.topic, call.number));
+        let done = feed.poll(poll).into_actor(self).map(move |outcome, control, context| {
+            control.polls.remove(&(poll.topic, poll.number));
             control.handle_store_era();
             let now_ms = control.now_ms();
-            control.node.poll_ended(call, outcome, now_ms);
+            control.node.poll_ended(poll, outcome, now_ms);
             control.perform_actions(context);
         });
-        self.polls.insert((call.topic, call.number), context.spawn(done));
+        self.polls.insert((poll.topic, poll.number), context.spawn(done));
     }
 
     /// Cancels a poll, which closes its connection.
     fn cancel_poll(&mut self, topic: watch::Topic, number: u64, context: &mut Context<Self>) {
-        if let Some(call) = self.polls.remove(&(topic, number)) {
-            context.cancel_future(call);
+        if let Some(handle) = self.polls.remove(&(topic, number)) {
+            context.cancel_future(handle);
         }
     }
 
--- a/src/feed.rs
+++ b/src/feed.rs
@@ -28,14 +28,14 @@
     }
 
     /// Makes one poll for the core.
-    pub async fn poll(self, call: watch::Poll) -> watch::Outcome {
-        let prefix = prefix(call.topic);
-        let complete = call.after.is_none();
+    pub async fn poll(self, poll: watch::Poll) -> watch::Outcome {
+        let prefix = prefix(poll.topic);
+        let complete = poll.after.is_none();
         let started = Instant::now();
-        let answer = match call.after {
+        let answer = match poll.after {
             None => self.store.list(prefix).await,
             Some(after) => {
-                let wait = Duration::from_millis(call.wait_ms);
+                let wait = Duration::from_millis(poll.wait_ms);
                 self.store.watch(prefix, after.revision, wait).await
             }
         };
@@ -49,7 +49,7 @@
                         position.revision,
                     );
                 }
-                let update = match call.topic {
+                let update = match poll.topic {
                     watch::Topic::Configuration => {
                         self.configuration_update(&changes.changes, complete)
                     }
@@ -65,7 +65,7 @@
             Err(error) => {
                 log::info!(
                     "event=watch_failed prefix={prefix} wait_ms={} after_ms={} fault={}",
-                    call.wait_ms,
+                    poll.wait_ms,
                     started.elapsed().as_millis(),
                     logging::quoted(&error)
                 );
--- a/src/gateway/backends.rs
+++ b/src/gateway/backends.rs
@@ -252,9 +252,9 @@
         let Some(idle_max) = connection.idle_max else { return };
         connection.used = true;
         let mut idle = self.idle.borrow_mut();
-        let to_server = idle.entry(connection.upstream.clone()).or_default();
-        if to_server.len() < IDLE_MAX {
-            to_server.push(Idle { connection, expires: Instant::now() + idle_max });
+        let idle_connections = idle.entry(connection.upstream.clone()).or_default();
+        if idle_connections.len() < IDLE_MAX {
+            idle_connections.push(Idle { connection, expires: Instant::now() + idle_max });
         }
     }
 
@@ -269,10 +269,11 @@
     pub fn close_expired(&self) {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
-        for to_server in idle.values_mut() {
-            to_server.retain(|idle| now < idle.expires && !idle.connection.sender.is_closed());
+        for idle_connections in idle.values_mut() {
+            idle_connections
+                .retain(|idle| now < idle.expires && !idle.connection.sender.is_closed());
         }
-        idle.retain(|_, to_server| !to_server.is_empty());
+        idle.retain(|_, idle_connections| !idle_connections.is_empty());
         self.open.borrow_mut().retain(|open| open.abort_handle.in_use());
     }
 
@@ -291,10 +292,10 @@
 
     fn take_idle(&self, upstream: &Upstream) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let to_server = idle.get_mut(upstream)?;
+        let idle_connections = idle.get_mut(upstream)?;
         let now = Instant::now();
         // The server is the least likely to have closed the connection that was used last.
-        while let Some(Idle { connection, expires }) = to_server.pop() {
+        while let Some(Idle { connection, expires }) = idle_connections.pop() {
             if now < expires && !connection.sender.is_closed() {
                 return Some(connection);
             }
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -94,7 +94,7 @@
 fn is_operator(shared: &front::Shared, request: &HttpRequest) -> bool {
     let expected = shared.settings.operators.key_sha256.as_deref().and_then(auth::parse_digest);
     let given = auth::bearer(request.headers()).map(auth::digest);
-    matches!((expected, given), (Some(one), Some(other)) if auth::digests_equal(&one, &other))
+    matches!((expected, given), (Some(expected), Some(given)) if auth::digests_equal(&expected, &given))
 }
 
 fn key_required() -> HttpResponse {
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -124,17 +124,17 @@
 pub fn problems(document: &config::Document) -> Vec<config::Problem> {
     let mut problems = Vec::new();
     for policy in &document.policies {
-        let place = format!("policies.{}.program", policy.name);
+        let field = format!("policies.{}.program", policy.name);
         match Program::compile(policy) {
-            Err(error) => problems.push(problem(&place, &error)),
-            Ok(program) => problems.extend(check_program(&place, &program, policy, document)),
+            Err(error) => problems.push(problem(&field, &error)),
+            Ok(program) => problems.extend(check_program(&field, &program, policy, document)),
         }
     }
     problems
 }
 
 fn check_program(
-    place: &str,
+    field: &str,
     program: &Program,
     policy: &config::Policy,
     document: &config::Document,
@@ -154,13 +154,13 @@
                 route_priority: 0,
             };
             match program.decide(&facts) {
-                Err(error) => problems.push(problem(place, &error)),
+                Err(error) => problems.push(problem(field, &error)),
                 Ok(Decision::Allow { budget, .. })
-                    if !workspace.budgets.iter().any(|known| known.name == budget) =>
+                    if !workspace.budgets.iter().any(|declared| declared.name == budget) =>
                 {
                     let name = config::budget_name(&workspace.name, &budget);
                     let fault = config::Fault::Unknown(name);
-                    problems.push(config::Problem { place: place.to_owned(), fault });
+                    problems.push(config::Problem { place: field.to_owned(), fault });
                 }
                 Ok(_) => {}
             }
@@ -170,8 +170,8 @@
     problems
 }
 
-fn problem(place: &str, error: &Error) -> config::Problem {
-    config::Problem { place: place.to_owned(), fault: config::Fault::Policy(error.to_string()) }
+fn problem(field: &str, error: &Error) -> config::Problem {
+    config::Problem { place: field.to_owned(), fault: config::Fault::Policy(error.to_string()) }
 }
 
 fn engine() -> rhai::Engine {
--- a/src/publish.rs
+++ b/src/publish.rs
@@ -60,16 +60,16 @@
 
 /// Publishes a document that was made from version `base`; returns its version.
 ///
-/// Retries for as long as `patience`. After a lost reply, the configuration is read again: a version with the same
+/// Retries for as long as `retry_time`. After a lost reply, the configuration is read again: a version with the same
 /// operation id is the one that was published.
 pub async fn publish(
     platform: &platform::Client,
     document: &config::Document,
     base: u64,
     operation: &str,
-    patience: Duration,
+    retry_time: Duration,
 ) -> Result<u64, Error> {
-    let deadline = Instant::now() + patience;
+    let deadline = Instant::now() + retry_time;
     let mut sent = false;
     loop {
         match try_publish(platform, document, base, operation, &mut sent).await {
@@ -113,14 +113,14 @@
 }
 
 /// Adds tokens to a budget, once for each operation id; returns the total of tokens paid into it. Retries for as long
-/// as `patience`.
+/// as `retry_time`.
 pub async fn pay(
     platform: &platform::Client,
     workspace: &str,
     budget: &str,
     tokens: u64,
     operation: &str,
-    patience: Duration,
+    retry_time: Duration,
 ) -> Result<u64, Error> {
     let published = current(platform).await?.published;
     let document = published.map(|published| published.document);
@@ -128,12 +128,12 @@
     let declared = document.is_some_and(|document| {
         let mut workspaces =
             document.workspaces.iter().filter(|declared| declared.name == workspace);
-        workspaces.any(|declared| declared.budgets.iter().any(|known| known.name == budget))
+        workspaces.any(|declared| declared.budgets.iter().any(|candidate| candidate.name == budget))
     });
     snafu::ensure!(declared, NoBudgetSnafu { workspace, budget });
     let name = config::budget_name(workspace, budget);
     let key = ledger::key(ledger::shard_of(&name, shards));
-    let deadline = Instant::now() + patience;
+    let deadline = Instant::now() + retry_time;
     loop {
         match try_pay(platform, &key, &name, tokens, operation).await {
             Ok(Some(paid_tokens)) => return Ok(paid_tokens),
--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -48,7 +48,7 @@
         let digest = auth::digest(key);
         let candidates = self.keys.get(&first_bytes(&digest))?;
         let (_, index) =
-            candidates.iter().find(|(known, _)| auth::digests_equal(known, &digest))?;
+            candidates.iter().find(|(candidate, _)| auth::digests_equal(candidate, &digest))?;
         self.document.workspaces.get(*index)
     }
 
--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -167,10 +167,10 @@
 /// Logs this router's view of the fleet, and its calls to the store.
 fn log_fleet(node: &node::Node) {
     let counters = node.counters();
-    let holds = node.grants().iter().filter(|(_, account)| account.holder).count();
-    let rows = node.grants().iter().filter(|(_, account)| account.has_row).count();
+    let budgets_held = node.grants().iter().filter(|(_, account)| account.holder).count();
+    let budgets_with_grant = node.grants().iter().filter(|(_, account)| account.has_row).count();
     log::info!(
-        "event=fleet routers={} suspected={} budgets_held={holds} budgets_with_grant={rows} \
+        "event=fleet routers={} suspected={} budgets_held={budgets_held} budgets_with_grant={budgets_with_grant} \
          store_reads={} store_writes={} store_unanswered={} store_conflicts={} messages={} \
          gossip={} transfers_sent={} transfers_received={} written_off_tokens={}",
         node.members().live_count(),
@@ -217,14 +217,14 @@
         node::ConfigSource::Peer(peer) => peer.to_string(),
     };
     let age_ms = node.age_ms(watch::Topic::Configuration, now_ms);
-    let calls = node.open_polls(watch::Topic::Configuration, now_ms);
+    let polls = node.open_polls(watch::Topic::Configuration, now_ms);
     log::info!(
         "event=config_in_force version={version} source={source} age_ms={} open_calls={} \
          prepaid_tokens={prepaid_tokens}",
         logging::ms_or_never(age_ms),
-        logging::quoted(logging::joined(calls.iter().map(|call| format!(
+        logging::quoted(logging::joined(polls.iter().map(|poll| format!(
             "{}:wait_ms={}:sent_ms_ago={}",
-            call.number, call.wait_ms, call.sent_ms_ago
+            poll.number, poll.wait_ms, poll.sent_ms_ago
         )))),
     );
 }
