--- a/core/src/node.rs
+++ b/core/src/node.rs
@@ -334,7 +334,7 @@
         let Some(request) = self.requests.get_mut(slot) else { return };
         let Stage::Running { server, sent_ms, .. } = &request.stage else { return };
         let tokens = std::mem::take(&mut request.unread_tokens);
-        self.servers.has_read(*server, tokens);
+        self.servers.record_prompt_processed(*server, tokens);
         self.servers.record_answer(*server, *sent_ms);
     }
 
--- a/core/src/node/admit.rs
+++ b/core/src/node/admit.rs
@@ -279,7 +279,7 @@
             *server = choice.slot;
         }
         self.servers.record_end(server);
-        self.servers.has_read(server, unread_tokens);
+        self.servers.record_prompt_processed(server, unread_tokens);
         Ok(())
     }
 
@@ -304,7 +304,7 @@
             Stage::WaitingClaim { reservation, server, .. } => {
                 self.grants.release(reservation);
                 self.servers.record_end(server);
-                self.servers.has_read(server, request.unread_tokens);
+                self.servers.record_prompt_processed(server, request.unread_tokens);
                 if !matches!(answer, Answer::Replay(_)) {
                     self.release_claim(slot, key, request.attempt, now_ms);
                 }
--- a/core/src/node/quarantine.rs
+++ b/core/src/node/quarantine.rs
@@ -78,7 +78,7 @@
     }
 
     /// Records that a server's address refuses connections, so that the process that listened there has ended.
-    pub fn connection_refused(&mut self, server: &quarantine::ServerInstance, now_ms: u64) {
+    pub fn record_connection_refused(&mut self, server: &quarantine::ServerInstance, now_ms: u64) {
         if let Some(slot) = self.servers.find_incarnation(&server.vm, server.incarnation) {
             self.servers.record_refused(slot, now_ms);
         }
@@ -90,7 +90,7 @@
     }
 
     /// Records that a server accepts connections after a run broke off.
-    pub fn connection_accepted(&mut self, server: &quarantine::ServerInstance) {
+    pub fn record_connection_accepted(&mut self, server: &quarantine::ServerInstance) {
         self.quarantine.runs.record_accepted(server);
     }
 
--- a/core/src/node/retries.rs
+++ b/core/src/node/retries.rs
@@ -20,7 +20,7 @@
         let Stage::Running { server, sent_ms, .. } = &request.stage else { return };
         let (server, sent_ms) = (*server, *sent_ms);
         let tokens = std::mem::take(&mut request.unread_tokens);
-        self.servers.has_read(server, tokens);
+        self.servers.record_prompt_processed(server, tokens);
         let service = request.admission.service.clone();
         request.failed_servers.push(server);
         request.attempts += u32::from(failure == AttemptFailure::MayHaveRun);
--- a/core/src/node/settle.rs
+++ b/core/src/node/settle.rs
@@ -37,7 +37,7 @@
         self.grants.settle(reservation, charged_tokens);
         self.counters.consumed_tokens += charged_tokens;
         self.servers.record_end(server);
-        self.servers.has_read(server, unread_tokens);
+        self.servers.record_prompt_processed(server, unread_tokens);
         if healthy && !cancelled {
             self.record_full_answer(server, sent_ms);
             self.servers.record_answer(server, sent_ms);
--- a/core/src/node/watching.rs
+++ b/core/src/node/watching.rs
@@ -213,7 +213,7 @@
                     self.eras.set_record_revision(&change.vm, change.position.revision);
                     vms.insert(change.vm.clone(), vm.clone().unless_superseded(removed.as_ref()));
                 }
-                watch::ServerRecord::Gone | watch::ServerRecord::Unreadable => {
+                watch::ServerRecord::Removed | watch::ServerRecord::Unreadable => {
                     self.remove_lapsed(&change.vm);
                 }
                 watch::ServerRecord::Lapsed => {
@@ -387,7 +387,7 @@
 
 /// Marks a removal as lapsed: a record that disappeared while the store was unavailable may reappear soon.
 fn mark_lapsed(change: &mut watch::ServerChange) {
-    if change.record == watch::ServerRecord::Gone {
+    if change.record == watch::ServerRecord::Removed {
         change.record = watch::ServerRecord::Lapsed;
     }
 }
--- a/core/src/servers/by_prompt.rs
+++ b/core/src/servers/by_prompt.rs
@@ -115,7 +115,7 @@
     }
 
     /// Records that a server has processed this many tokens of a prompt, or will not process them any more.
-    pub fn has_read(&mut self, slot: ids::ServerSlot, tokens: u64) {
+    pub fn record_prompt_processed(&mut self, slot: ids::ServerSlot, tokens: u64) {
         if let Some(server) = self.servers.get_mut(slot) {
             server.unread_tokens = server.unread_tokens.saturating_sub(tokens);
         }
--- a/core/src/watch/updates.rs
+++ b/core/src/watch/updates.rs
@@ -21,7 +21,7 @@
     pub fn text_bytes(&self) -> usize {
         let record = match &self.record {
             ServerRecord::Listed(vm) => vm.text_bytes(),
-            ServerRecord::Gone | ServerRecord::Unreadable | ServerRecord::Lapsed => 0,
+            ServerRecord::Removed | ServerRecord::Unreadable | ServerRecord::Lapsed => 0,
         };
         self.vm.len() + record
     }
@@ -34,7 +34,7 @@
     /// The server is listed.
     Listed(servers::Vm),
     /// The record was removed.
-    Gone,
+    Removed,
     /// The record cannot be decoded, so it lists no usable server.
     Unreadable,
     /// The record disappeared while the store was unavailable. Records lapse then, and may be registered again soon.
--- a/core/tests/crashing_request_schedules.rs
+++ b/core/tests/crashing_request_schedules.rs
@@ -241,9 +241,9 @@
                     && server.down_until_ms.is_some()
             });
             if down && self.rng.random_range(0..100) < self.refusals_percent {
-                target.node.connection_refused(&broken.server, now_ms);
+                target.node.record_connection_refused(&broken.server, now_ms);
             } else if !down {
-                target.node.connection_accepted(&broken.server);
+                target.node.record_connection_accepted(&broken.server);
             }
         }
     }
@@ -450,7 +450,7 @@
     let now_ms = fleet.now_ms;
     let node = &mut fleet.routers[router].node;
     node.run_broken(&broken, now_ms);
-    node.connection_refused(&broken.server, now_ms);
+    node.record_connection_refused(&broken.server, now_ms);
 }
 
 #[test]
--- a/core/tests/digests.rs
+++ b/core/tests/digests.rs
@@ -30,7 +30,7 @@
     let gone = watch::ServerChange {
         vm: "server-3".to_owned(),
         position: store::Position::new(0, 1),
-        record: watch::ServerRecord::Gone,
+        record: watch::ServerRecord::Removed,
     };
     let old = message::Digest { changes: vec![gone], ..digest(0, store::Position::new(0, 2)) };
     handle(&mut fleet, old);
--- a/core/tests/servers.rs
+++ b/core/tests/servers.rs
@@ -180,8 +180,8 @@
         let first = choose_for_prompt(&mut one, &prompt(shared, 1)).slot;
         let second = choose_for_prompt(&mut other, &prompt(shared, 2)).slot;
         assert_eq!(one.name(first), other.name(second));
-        one.table.has_read(first, u64::MAX);
-        other.table.has_read(second, u64::MAX);
+        one.table.record_prompt_processed(first, u64::MAX);
+        other.table.record_prompt_processed(second, u64::MAX);
         one.table.record_end(first);
         other.table.record_end(second);
     }
@@ -196,8 +196,8 @@
         let after = choose_for_prompt(&mut less, &prompt(shared, 1)).slot;
         let server = whole.name(before);
         assert!(server == "d" || server == less.name(after));
-        whole.table.has_read(before, u64::MAX);
-        less.table.has_read(after, u64::MAX);
+        whole.table.record_prompt_processed(before, u64::MAX);
+        less.table.record_prompt_processed(after, u64::MAX);
         whole.table.record_end(before);
         less.table.record_end(after);
     }
@@ -219,7 +219,7 @@
     }
     assert_ne!(moved.slot, first.slot, "a frequent part is assigned to a second server");
     assert_eq!(moved.unread_tokens, 8_000, "the second server reads the whole prompt");
-    fixture.table.has_read(first.slot, u64::MAX);
+    fixture.table.record_prompt_processed(first.slot, u64::MAX);
     assert_eq!(choose_for_prompt(&mut fixture, &prompt(7, 20)).slot, first.slot);
 }
 
--- a/core/tests/watch_fleet/store.rs
+++ b/core/tests/watch_fleet/store.rs
@@ -37,7 +37,7 @@
         self.unreadable.remove(name);
         self.record_change(
             watch::Topic::Servers,
-            Some((name.to_owned(), watch::ServerRecord::Gone)),
+            Some((name.to_owned(), watch::ServerRecord::Removed)),
         );
     }
 
--- a/core/tests/wire_format.rs
+++ b/core/tests/wire_format.rs
@@ -106,7 +106,7 @@
             changes_after: store::Position::new(3, 4),
             changes: vec![
                 change(watch::ServerRecord::Listed(vm())),
-                change(watch::ServerRecord::Gone),
+                change(watch::ServerRecord::Removed),
                 change(watch::ServerRecord::Unreadable),
                 change(watch::ServerRecord::Lapsed),
             ],
--- a/src/control/handlers.rs
+++ b/src/control/handlers.rs
@@ -103,7 +103,7 @@
 
     fn handle(&mut self, refused: messages::ServerRefused, context: &mut Self::Context) {
         let now_ms = self.now_ms();
-        self.node.connection_refused(&refused.0, now_ms);
+        self.node.record_connection_refused(&refused.0, now_ms);
         self.perform_actions(context);
     }
 }
@@ -112,7 +112,7 @@
     type Result = ();
 
     fn handle(&mut self, accepted: messages::ServerAccepted, _: &mut Self::Context) {
-        self.node.connection_accepted(&accepted.0);
+        self.node.record_connection_accepted(&accepted.0);
     }
 }
 
--- a/src/feed.rs
+++ b/src/feed.rs
@@ -81,7 +81,7 @@
     fn configuration_update(&self, changes: &[store::Change], complete: bool) -> watch::Update {
         let evacuated = changes.iter().filter_map(|change| {
             let domain = configuration::evacuated_domain(&change.key)?.to_owned();
-            let evacuated = change.content != store::Content::Gone;
+            let evacuated = change.content != store::Content::Removed;
             Some(evacuation::Change { position: change.position, domain, evacuated })
         });
         let evacuations = match complete {
@@ -117,7 +117,7 @@
     fn server_updates(&self, changes: &[store::Change]) -> watch::Update {
         let changes = changes.iter().filter_map(|change| {
             let record = match change.content {
-                store::Content::Gone => watch::ServerRecord::Gone,
+                store::Content::Removed => watch::ServerRecord::Removed,
                 _ => self
                     .record(change)
                     .map_or(watch::ServerRecord::Unreadable, watch::ServerRecord::Listed),
@@ -182,7 +182,7 @@
         let value = match &change.content {
             store::Content::Value(value) => value,
             store::Content::Undecodable => return UndecodableSnafu.fail(),
-            store::Content::Gone => return Ok(None),
+            store::Content::Removed => return Ok(None),
         };
         let text = str::from_utf8(value).context(TextSnafu)?;
         let address: net::SocketAddr = text.parse().context(AddressSnafu)?;
