--- a/core/src/config.rs
+++ b/core/src/config.rs
@@ -225,7 +225,7 @@
     pub call_tokens: u64,
     /// For a plain service: the calls that must run at most once, by method and path.
     #[serde(default)]
-    pub unrepeatable: Vec<Call>,
+    pub unrepeatable: Vec<CallPattern>,
     /// The maximum number of requests that wait for a server at one router.
     #[serde(default = "default_queue_length")]
     pub queue_length: usize,
@@ -287,14 +287,14 @@
 /// router does not repeat one that may have run.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Call {
+pub struct CallPattern {
     /// The HTTP method of the calls; its case is ignored.
     pub method: String,
     /// The prefix of the path of the calls.
     pub path_prefix: String,
 }
 
-impl fmt::Debug for Call {
+impl fmt::Debug for CallPattern {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         // `doorswitch publish` writes this text in its list of changes.
         let Self { method, path_prefix } = self;
@@ -318,7 +318,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
     /// The path of the invalid field, with its names joined by dots.
-    pub place: String,
+    pub field: String,
     /// The error, with what is allowed.
     pub fault: Fault,
 }
@@ -336,9 +336,9 @@
         /// The number in the document.
         found: u64,
         /// The smallest number allowed.
-        least: u64,
+        min: u64,
         /// The greatest number allowed.
-        most: u64,
+        max: u64,
     },
     /// A digest does not consist of 64 hexadecimal digits.
     BadDigest,
@@ -352,7 +352,7 @@
 
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.place, self.fault)
+        write!(f, "{}: {}", self.field, self.fault)
     }
 }
 
@@ -364,8 +364,8 @@
                 "{name:?} is not a valid name (1 to 64 letters, digits, '-', '_' or '.' are allowed)"
             ),
             Self::Duplicate(name) => write!(f, "{name:?} is used more than once"),
-            Self::OutOfRange { found, least, most } => {
-                write!(f, "{found} is out of range ({least} to {most} is allowed)")
+            Self::OutOfRange { found, min, max } => {
+                write!(f, "{found} is out of range ({min} to {max} is allowed)")
             }
             Self::BadDigest => {
                 write!(f, "not a SHA-256 digest (64 hexadecimal digits are allowed)")
--- a/core/src/config/check.rs
+++ b/core/src/config/check.rs
@@ -12,12 +12,12 @@
 
 impl Checker {
     fn report(&mut self, field: &str, fault: Fault) {
-        self.problems.push(Problem { place: field.to_owned(), fault });
+        self.problems.push(Problem { field: field.to_owned(), fault });
     }
 
     fn range(&mut self, field: &str, found: u64, min: u64, max: u64) {
         if !(min..=max).contains(&found) {
-            self.report(field, Fault::OutOfRange { found, least: min, most: max });
+            self.report(field, Fault::OutOfRange { found, min, max });
         }
     }
 
--- a/core/tests/external_names.rs
+++ b/core/tests/external_names.rs
@@ -30,7 +30,7 @@
         models: vec!["roast".to_owned()],
         answer_tokens_max: 1,
         call_tokens: 2,
-        unrepeatable: vec![config::Call {
+        unrepeatable: vec![config::CallPattern {
             method: "POST".to_owned(),
             path_prefix: "/pay".to_owned(),
         }],
--- a/src/front.rs
+++ b/src/front.rs
@@ -416,8 +416,9 @@
 
 /// Whether the configuration of a service lists the call as one that must run at most once.
 fn is_unrepeatable(service: &config::Service, method: &Method, path: &str) -> bool {
-    let matches = |call: &config::Call| {
-        call.method.eq_ignore_ascii_case(method.as_str()) && path.starts_with(&call.path_prefix)
+    let matches = |pattern: &config::CallPattern| {
+        pattern.method.eq_ignore_ascii_case(method.as_str())
+            && path.starts_with(&pattern.path_prefix)
     };
     service.unrepeatable.iter().any(matches)
 }
--- a/src/gateway/streaming.rs
+++ b/src/gateway/streaming.rs
@@ -112,7 +112,7 @@
             self.ticket.event_gaps.record_events();
             if !answer_started {
                 answer_started = true;
-                self.ticket.answer_started();
+                self.ticket.report_answer_started();
             }
             self.ticket.cost.answer_tokens += batch.count * self.call.event_tokens;
             if batch.last_id.is_some() {
--- a/src/gateway/ticket.rs
+++ b/src/gateway/ticket.rs
@@ -63,7 +63,7 @@
     }
 
     /// Reports that the answer has started.
-    pub fn answer_started(&self) {
+    pub fn report_answer_started(&self) {
         self.control.do_send(control::AnswerStarted(self.slot));
     }
 
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -160,7 +160,7 @@
                 {
                     let name = config::budget_name(&workspace.name, &budget);
                     let fault = config::Fault::Unknown(name);
-                    problems.push(config::Problem { place: field.to_owned(), fault });
+                    problems.push(config::Problem { field: field.to_owned(), fault });
                 }
                 Ok(_) => {}
             }
@@ -171,7 +171,7 @@
 }
 
 fn problem(field: &str, error: &Error) -> config::Problem {
-    config::Problem { place: field.to_owned(), fault: config::Fault::Policy(error.to_string()) }
+    config::Problem { field: field.to_owned(), fault: config::Fault::Policy(error.to_string()) }
 }
 
 fn engine() -> rhai::Engine {
--- a/src/publish.rs
+++ b/src/publish.rs
@@ -22,10 +22,10 @@
     #[snafu(display("{source}"))]
     Unreachable { source: platform::Error },
     #[snafu(display(
-        "version {winner} is published, but the document was made from version {base}; \
-         compare the two versions, then publish again with --base {winner}"
+        "version {published_version} is published, but the document was made from version {base}; \
+         compare the two versions, then publish again with --base {published_version}"
     ))]
-    Conflict { base: u64, winner: u64 },
+    Conflict { base: u64, published_version: u64 },
     #[snafu(display("the published configuration is not readable: {source}"))]
     Unreadable { source: serde_json::Error },
     #[snafu(display("{source}"))]
@@ -101,8 +101,8 @@
     if let Some(version) = earlier.and_then(|published| published.version_of(operation)) {
         return Ok(Some(version));
     }
-    let winner = current.version();
-    snafu::ensure!(winner == base, ConflictSnafu { base, winner });
+    let published_version = current.version();
+    snafu::ensure!(published_version == base, ConflictSnafu { base, published_version });
     let published = config::Published::next(earlier, operation, document.clone());
     let version = published.version;
     let value = serde_json::to_vec(&published).context(UnreadableSnafu)?;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -17,10 +17,10 @@
     #[snafu(display("{}: {fault}", file.display()))]
     Parse { file: path::PathBuf, fault: String },
     #[snafu(display(
-        "{}: {key}: {found} is out of range ({least} to {most} is allowed)",
+        "{}: {key}: {found} is out of range ({min} to {max} is allowed)",
         file.display()
     ))]
-    Range { file: path::PathBuf, key: &'static str, found: u64, least: u64, most: u64 },
+    Range { file: path::PathBuf, key: &'static str, found: u64, min: u64, max: u64 },
 }
 
 /// The settings of one router.
@@ -282,9 +282,9 @@
             ("limits.load_subset", limits.load_subset, 1, 10_000),
             ("limits.stop_grace_s", limits.stop_grace_s, 1, 86_400),
         ];
-        for (key, found, least, most) in ranges {
-            let allowed = least..=most;
-            ensure!(allowed.contains(&found), RangeSnafu { file, key, found, least, most });
+        for (key, found, min, max) in ranges {
+            let allowed = min..=max;
+            ensure!(allowed.contains(&found), RangeSnafu { file, key, found, min, max });
         }
         let is_digest = |digest: &String| {
             digest.len() == 64 && digest.bytes().all(|byte| byte.is_ascii_hexdigit())
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -60,7 +60,7 @@
     assert_eq!(succeeded.len(), 1, "{results:?}");
     for failed in results.iter().filter(|result| result.is_err()) {
         assert!(
-            matches!(failed, Err(publish::Error::Conflict { base: 1, winner: 2 })),
+            matches!(failed, Err(publish::Error::Conflict { base: 1, published_version: 2 })),
             "{failed:?}"
         );
     }
