--- a/core/src/members.rs
+++ b/core/src/members.rs
@@ -13,7 +13,7 @@
 
 /// The interval between two probes.
 pub const PROBE_EVERY_MS: u64 = 500;
-/// The interval between two probes while no other router is known: a seed may be about to start.
+/// The interval between two probes while this router has no live peer: a seed may be about to start.
 const PROBE_ALONE_EVERY_MS: u64 = 100;
 /// How long a probe waits for its reply.
 const PROBE_TIMEOUT_MS: u64 = 400;
@@ -25,9 +25,10 @@
 const DEAD_RECORD_TTL_MS: u64 = 3_600_000;
 /// One of this many probes goes to a dead member or a seed.
 const PROBE_DEAD_EVERY: u64 = 4;
-/// The most records of other members in one datagram.
+/// The maximum number of records of other members in one datagram.
 const GOSSIP_RECORDS_MAX: usize = 8;
-/// The most new addresses that are probed ahead of the rounds, one each tick; the others are found by gossip.
+/// The maximum number of new addresses that are probed ahead of the rounds, one each tick; the others are found by
+/// gossip.
 const UNPROBED_MAX: usize = 100;
 /// How often a changed record is sent.
 const RECORD_TRANSMISSIONS: u32 = 6;
@@ -36,7 +37,7 @@
 /// whether it is assumed to be alive.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The router's incarnation.
+    /// The incarnation: this run of the router process. A restarted router has another record.
     pub id: ids::Incarnation,
     /// The address at which peers reach the router, for connections as well as for datagrams.
     pub address: String,
@@ -158,10 +159,10 @@
     pub fn merge_all(&mut self, records: Vec<Record>, now_ms: u64) {
         for record in records {
             let id = record.id;
-            let known = self.members.contains_key(&id);
+            let listed_before = self.members.contains_key(&id);
             self.merge(record, now_ms);
             // A router that lacks the record can request the whole list, so it isn't queued for gossip.
-            if let Some(member) = self.members.get_mut(&id).filter(|_| !known) {
+            if let Some(member) = self.members.get_mut(&id).filter(|_| !listed_before) {
                 member.sends_left = 0;
             }
         }
@@ -282,14 +283,14 @@
 
     fn expire_suspicions(&mut self, now_ms: u64) {
         for member in self.members.values_mut() {
-            let silent_ms = now_ms.saturating_sub(member.changed_ms);
-            if member.record.health == Health::Suspect && silent_ms >= SUSPICION_TIMEOUT_MS {
+            let unchanged_ms = now_ms.saturating_sub(member.changed_ms);
+            if member.record.health == Health::Suspect && unchanged_ms >= SUSPICION_TIMEOUT_MS {
                 set_health(member, Health::Dead, now_ms);
             }
         }
         self.members.retain(|_, member| {
-            let silent_ms = now_ms.saturating_sub(member.changed_ms);
-            member.record.health <= Health::Suspect || silent_ms < DEAD_RECORD_TTL_MS
+            let unchanged_ms = now_ms.saturating_sub(member.changed_ms);
+            member.record.health <= Health::Suspect || unchanged_ms < DEAD_RECORD_TTL_MS
         });
     }
 
@@ -326,11 +327,11 @@
                 set_health(earlier, Health::Dead, now_ms);
             }
         }
-        if let Some(known) = self.members.get_mut(&record.id) {
-            known.unanswered_probes = 0;
-            if known.record.health > Health::Suspect && known.record.health != Health::Left {
+        if let Some(member) = self.members.get_mut(&record.id) {
+            member.unanswered_probes = 0;
+            if member.record.health > Health::Suspect && member.record.health != Health::Left {
                 // Its own datagram is newer than any other router's report, which it refutes on receipt.
-                set_health(known, Health::Alive, now_ms);
+                set_health(member, Health::Alive, now_ms);
             }
         }
         self.merge(record, now_ms);
@@ -356,14 +357,15 @@
                 self.last_added_ms = now_ms;
             }
             None => {}
-            Some(known) => {
-                let newer = (record.beat, record.health) > (known.record.beat, known.record.health);
-                if newer && known.record.health != Health::Left {
-                    let changed = record.health != known.record.health;
-                    known.record = record;
-                    known.sends_left = RECORD_TRANSMISSIONS;
+            Some(member) => {
+                let newer =
+                    (record.beat, record.health) > (member.record.beat, member.record.health);
+                if newer && member.record.health != Health::Left {
+                    let changed = record.health != member.record.health;
+                    member.record = record;
+                    member.sends_left = RECORD_TRANSMISSIONS;
                     if changed {
-                        known.changed_ms = now_ms;
+                        member.changed_ms = now_ms;
                     }
                 }
             }
--- a/core/src/servers.rs
+++ b/core/src/servers.rs
@@ -1,4 +1,4 @@
-//! Backend servers as one router sees them, and the choice of a server for a request.
+//! The state of backend servers at one router, and the choice of a server for a request.
 //!
 //! Load reports are delayed. The router counts its own requests exactly and takes only the average
 //! number of other routers' requests from the reports. It samples servers at random and takes the
@@ -41,8 +41,9 @@
 const SAMPLE_PERCENT: usize = 50;
 const SAMPLE_MIN: usize = 2;
 
-/// One incarnation of a backend server in the state that is known to this router: its record in the platform's list,
-/// its load, its answer time and its failures. The router compares these values to choose a server for a request.
+/// What this router has recorded about one incarnation of a backend server, that is, one run of its process: its record
+/// in the platform's list, its load, its answer time and its failures. The router compares these values to choose a
+/// server for a request.
 #[derive(Clone, Debug)]
 pub struct Server {
     /// VM on which the server runs.
@@ -154,8 +155,8 @@
 
     /// Estimated time for one more request, in microseconds: the server's answer time scaled by its
     /// load.
-    fn cost_us(&self, service: answer_time::ServiceAnswerTime, now_ms: u64) -> u64 {
-        (self.estimated_load() + 1) * self.answer_time.answer_us(service, now_ms).max(1)
+    fn cost_us(&self, service_average: answer_time::ServiceAnswerTime, now_ms: u64) -> u64 {
+        (self.estimated_load() + 1) * self.answer_time.answer_us(service_average, now_ms).max(1)
             / self.slots()
     }
 }
@@ -176,12 +177,12 @@
     pub excluded: &'a [ids::ServerSlot],
 }
 
-/// The reason why no backend server can be chosen for a request now: all matching servers are full, are limited to a
-/// rate of requests that they reported, have requested a pause, or there is none.
+/// The reason why [`Table::choose`] returns no backend server for a request: all matching servers are full, accept only
+/// a limited rate of requests, or requested a backoff (a time in which they are sent nothing), or there is none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unavailable {
-    /// Every matching server that does not back off is full or limited, and at least one is not
-    /// limited.
+    /// Every matching server that does not back off is full, limited or held back after its start, and at least one is
+    /// not limited.
     Full,
     /// Every matching server that does not back off is limited, and this router may send to none of
     /// them now.
@@ -192,8 +193,8 @@
     None,
 }
 
-/// All backend servers that are known to one router, with the load, limits and failures on which the choice of a server
-/// for a request depends.
+/// All backend servers of which one router has a record, with the load, limits and failures on which the choice of a
+/// server for a request depends.
 #[derive(Debug, Default)]
 pub struct Table {
     servers: slotmap::SlotMap<ids::ServerSlot, Server>,
@@ -260,7 +261,7 @@
         }
         let open = matching.iter().copied().filter(|slot| self.is_open(*slot, now_ms));
         let open: Vec<ids::ServerSlot> = open.collect();
-        let trial = open.iter().copied().find(|slot| self.wants_trial(*slot, now_ms));
+        let trial = open.iter().copied().find(|slot| self.is_trial_due(*slot, now_ms));
         let chosen = match trial {
             Some(slot) => slot,
             None => {
@@ -272,7 +273,7 @@
         self.count_held_back(criteria.service, &matching, now_ms);
         self.count_sent(chosen, now_ms);
         if let Some(hash) = criteria.prefix_hash {
-            self.remember_prefix(hash, chosen);
+            self.record_prefix(hash, chosen);
         }
         Ok(Choice { slot: chosen, unread_tokens: 0 })
     }
@@ -365,9 +366,9 @@
         now_ms: u64,
         rng: &mut rngs::StdRng,
     ) -> Option<ids::ServerSlot> {
-        let service = self.service_answer_time(open);
+        let service_average = self.service_answer_time(open);
         let sampled = open.sample(rng, (open.len() * SAMPLE_PERCENT).div_ceil(100).max(SAMPLE_MIN));
-        sampled.min_by_key(|slot| self.servers[**slot].cost_us(service, now_ms)).copied()
+        sampled.min_by_key(|slot| self.servers[**slot].cost_us(service_average, now_ms)).copied()
     }
 
     /// Average answer time of the service to which these servers belong.
--- a/core/src/servers/by_prompt.rs
+++ b/core/src/servers/by_prompt.rs
@@ -10,12 +10,14 @@
 use crate::{ids, rendezvous};
 use std::collections;
 
-/// Number of servers that are compared for a prompt, its home first.
+/// Number of servers that are compared for a prompt: those with room that are ranked highest, of which the home is the
+/// first.
 const SERVERS_COMPARED: usize = 3;
 /// Time after which a part that this router sent to a server no longer counts as cached there.
 const CACHED_MS: u64 = 30_000;
-/// Number of remembered pairs of part and server above which expired pairs are removed.
-const SENT_PARTS_CLEANUP: usize = 16_384;
+/// Number of recorded pairs of server and part above which each send first removes the pairs that have expired. Pairs
+/// that have not expired may exceed it.
+const SENT_PARTS_CLEANUP_THRESHOLD: usize = 16_384;
 /// Assumed number of tokens that a queued request adds to a server's work.
 const QUEUED_REQUEST_TOKENS: u64 = 3_000;
 /// Cost of a running request for another one on the same server, in tokens.
@@ -46,21 +48,21 @@
 /// estimate which parts of a prompt a server has cached.
 #[derive(Debug, Default)]
 pub struct SentParts {
-    at_ms: collections::HashMap<(ids::ServerSlot, u64), u64>,
+    sent_ms: collections::HashMap<(ids::ServerSlot, u64), u64>,
 }
 
 impl SentParts {
     fn record(&mut self, slot: ids::ServerSlot, parts: &[Part], now_ms: u64) {
-        if self.at_ms.len() > SENT_PARTS_CLEANUP {
-            self.at_ms.retain(|_, at_ms| now_ms < *at_ms + CACHED_MS);
+        if self.sent_ms.len() > SENT_PARTS_CLEANUP_THRESHOLD {
+            self.sent_ms.retain(|_, sent_ms| now_ms < *sent_ms + CACHED_MS);
         }
         for part in parts {
-            self.at_ms.insert((slot, part.chain), now_ms);
+            self.sent_ms.insert((slot, part.chain), now_ms);
         }
     }
 
     fn contains(&self, slot: ids::ServerSlot, part: &Part, now_ms: u64) -> bool {
-        self.at_ms.get(&(slot, part.chain)).is_some_and(|at_ms| now_ms < *at_ms + CACHED_MS)
+        self.sent_ms.get(&(slot, part.chain)).is_some_and(|sent_ms| now_ms < *sent_ms + CACHED_MS)
     }
 }
 
@@ -93,7 +95,7 @@
             let unread_tokens = self.unread_tokens(*slot, criteria.parts, rank == 0, now_ms);
             Choice { slot: *slot, unread_tokens }
         };
-        let trial = open.clone().find(|(_, slot)| self.wants_trial(**slot, now_ms));
+        let trial = open.clone().find(|(_, slot)| self.is_trial_due(**slot, now_ms));
         let cheapest = || {
             open.take(SERVERS_COMPARED)
                 .map(choice)
@@ -112,8 +114,8 @@
         Ok(choice)
     }
 
-    /// Records that a server has processed the prompt of a request, or never will.
-    pub fn has_read(&mut self, slot: ids::ServerSlot, tokens: u64) {
+    /// Records that a server has processed this many tokens of a prompt, or will not process them any more.
+    pub fn record_prompt_processed(&mut self, slot: ids::ServerSlot, tokens: u64) {
         if let Some(server) = self.servers.get_mut(slot) {
             server.unread_tokens = server.unread_tokens.saturating_sub(tokens);
         }
--- a/core/src/servers/vm.rs
+++ b/core/src/servers/vm.rs
@@ -38,11 +38,11 @@
         texts.into_iter().map(String::len).sum()
     }
 
-    /// Returns the known record instead if it is of a later incarnation of the server, because this
-    /// one is outdated then.
-    pub fn unless_superseded(self, known: Option<&Self>) -> Self {
-        match known {
-            Some(known) if known.incarnation > self.incarnation => known.clone(),
+    /// Returns the router's present record of the VM instead if that is of a later incarnation of the server, because
+    /// this one is outdated then.
+    pub fn unless_superseded(self, present: Option<&Self>) -> Self {
+        match present {
+            Some(present) if present.incarnation > self.incarnation => present.clone(),
             _ => self,
         }
     }
--- a/src/feed.rs
+++ b/src/feed.rs
@@ -28,14 +28,14 @@
     }
 
     /// Makes one poll for the core.
-    pub async fn poll(self, call: watch::Poll) -> watch::Outcome {
-        let prefix = prefix(call.topic);
-        let complete = call.after.is_none();
+    pub async fn poll(self, poll: watch::Poll) -> watch::Outcome {
+        let prefix = prefix(poll.topic);
+        let complete = poll.after.is_none();
         let started = Instant::now();
-        let answer = match call.after {
+        let answer = match poll.after {
             None => self.store.list(prefix).await,
             Some(after) => {
-                let wait = Duration::from_millis(call.wait_ms);
+                let wait = Duration::from_millis(poll.wait_ms);
                 self.store.watch(prefix, after.revision, wait).await
             }
         };
@@ -49,7 +49,7 @@
                         position.revision,
                     );
                 }
-                let update = match call.topic {
+                let update = match poll.topic {
                     watch::Topic::Configuration => {
                         self.configuration_update(&changes.changes, complete)
                     }
@@ -65,7 +65,7 @@
             Err(error) => {
                 log::info!(
                     "event=watch_failed prefix={prefix} wait_ms={} after_ms={} fault={}",
-                    call.wait_ms,
+                    poll.wait_ms,
                     started.elapsed().as_millis(),
                     logging::quoted(&error)
                 );
@@ -81,7 +81,7 @@
     fn configuration_update(&self, changes: &[store::Change], complete: bool) -> watch::Update {
         let evacuated = changes.iter().filter_map(|change| {
             let domain = configuration::evacuated_domain(&change.key)?.to_owned();
-            let evacuated = change.content != store::Content::Gone;
+            let evacuated = change.content != store::Content::Removed;
             Some(evacuation::Change { position: change.position, domain, evacuated })
         });
         let evacuations = match complete {
@@ -117,7 +117,7 @@
     fn server_updates(&self, changes: &[store::Change]) -> watch::Update {
         let changes = changes.iter().filter_map(|change| {
             let record = match change.content {
-                store::Content::Gone => watch::ServerRecord::Gone,
+                store::Content::Removed => watch::ServerRecord::Removed,
                 _ => self
                     .record(change)
                     .map_or(watch::ServerRecord::Unreadable, watch::ServerRecord::Listed),
@@ -182,7 +182,7 @@
         let value = match &change.content {
             store::Content::Value(value) => value,
             store::Content::Undecodable => return UndecodableSnafu.fail(),
-            store::Content::Gone => return Ok(None),
+            store::Content::Removed => return Ok(None),
         };
         let text = str::from_utf8(value).context(TextSnafu)?;
         let address: net::SocketAddr = text.parse().context(AddressSnafu)?;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -17,10 +17,10 @@
     #[snafu(display("{}: {fault}", file.display()))]
     Parse { file: path::PathBuf, fault: String },
     #[snafu(display(
-        "{}: {key}: {found} is out of range ({least} to {most} is allowed)",
+        "{}: {key}: {found} is out of range ({min} to {max} is allowed)",
         file.display()
     ))]
-    Range { file: path::PathBuf, key: &'static str, found: u64, least: u64, most: u64 },
+    Range { file: path::PathBuf, key: &'static str, found: u64, min: u64, max: u64 },
 }
 
 /// The settings of one router.
@@ -65,7 +65,7 @@
 pub struct Gateway {
     /// The address to listen on.
     pub listen: net::SocketAddr,
-    /// How long a planned stop still accepts connections, in milliseconds, until the balancer has detected it.
+    /// How long a planned stop still accepts connections, in milliseconds, until the load balancer has detected it.
     #[serde(default = "default_drain_ms")]
     pub drain_ms: u64,
 }
@@ -282,9 +282,9 @@
             ("limits.load_subset", limits.load_subset, 1, 10_000),
             ("limits.stop_grace_s", limits.stop_grace_s, 1, 86_400),
         ];
-        for (key, found, least, most) in ranges {
-            let allowed = least..=most;
-            ensure!(allowed.contains(&found), RangeSnafu { file, key, found, least, most });
+        for (key, found, min, max) in ranges {
+            let allowed = min..=max;
+            ensure!(allowed.contains(&found), RangeSnafu { file, key, found, min, max });
         }
         let is_digest = |digest: &String| {
             digest.len() == 64 && digest.bytes().all(|byte| byte.is_ascii_hexdigit())
@@ -296,7 +296,8 @@
     }
 }
 
-/// Describes a fault in settings in one line: its place, the field if it can be found, and what was expected.
+/// Describes an error in settings in one line: the number of the line, the field if it can be found, and what was
+/// expected.
 fn fault_with_field(text: &str, error: &serde_saphyr::Error) -> String {
     let without_field = error.without_snippet().to_string();
     let Ok(tree) = serde_saphyr::from_str::<serde_json::Value>(text) else { return without_field };
