--- a/benches/capacity/main.rs
+++ b/benches/capacity/main.rs
@@ -45,7 +45,7 @@
         ("limits", limits::show),
     ];
     for (name, show) in parts {
-        if selected.is_empty() || selected.iter().any(|one| one == name) {
+        if selected.is_empty() || selected.iter().any(|part| part == name) {
             show();
         }
     }
--- a/benches/capacity/path.rs
+++ b/benches/capacity/path.rs
@@ -35,9 +35,9 @@
         failure_domain: "a".to_owned(),
         state: "live".to_owned(),
     }]);
-    let routers = [0, 1].map(|place| {
+    let routers = [0, 1].map(|index| {
         let stop = router::StopHandle::default();
-        let settings = router_settings(place, platform.address());
+        let settings = router_settings(index, platform.address());
         let stopping = stop.clone();
         (stop, std::thread::spawn(move || router::run(settings, None, stopping)))
     });
@@ -55,12 +55,12 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, port))
 }
 
-fn router_settings(place: usize, platform: SocketAddr) -> settings::Settings {
-    let [callers, operators, peers] = PORTS[place].map(local);
-    let [_, _, other] = PORTS[1 - place].map(local);
+fn router_settings(index: usize, platform: SocketAddr) -> settings::Settings {
+    let [callers, operators, peers] = PORTS[index].map(local);
+    let [_, _, other] = PORTS[1 - index].map(local);
     let key = auth::digest_hex("k");
     let text = format!(
-        "vm: entry-{place}\nregion: r\nfailure_domain: d{place}\n\
+        "vm: entry-{index}\nregion: r\nfailure_domain: d{index}\n\
          callers: {{ listen: \"{callers}\", traffic_threads: 2 }}\n\
          operators: {{ listen: \"{operators}\", key_sha256: {key} }}\n\
          peers: {{ listen: \"{peers}\", seeds: [\"{other}\"] }}\nplatform: {{ url: \"http://{platform}\" }}\n"
--- a/core/benches/measures/scenario.rs
+++ b/core/benches/measures/scenario.rs
@@ -262,10 +262,10 @@
                 .faults
                 .store_cut
                 .extend((0..routers).filter(|router| in_cut_region(*router)));
-            for one in 0..routers {
-                let others =
-                    (one + 1..routers).filter(|other| in_cut_region(*other) != in_cut_region(one));
-                self.world.faults.pairs_cut.extend(others.map(|other| (one, other)));
+            for first in 0..routers {
+                let peers = (first + 1..routers)
+                    .filter(|second| in_cut_region(*second) != in_cut_region(first));
+                self.world.faults.pairs_cut.extend(peers.map(|second| (first, second)));
             }
         }
         if let Some(killed) = self.scenario.killed_router(self.site, second) {
@@ -298,19 +298,19 @@
         let refusals = self.world.refusals[self.counted_refusals..].to_vec();
         self.counted_refusals += refusals.len();
         for index in refusals {
-            let given = self.world.requests[index].clone();
+            let request = self.world.requests[index].clone();
             self.figures.refused += 1;
-            let Some(End::Refused(reason)) = given.end else { continue };
+            let Some(End::Refused(reason)) = request.end else { continue };
             let budget_reason =
                 matches!(reason, node::Reason::BudgetExhausted | node::Reason::BudgetUnreachable);
             if !budget_reason {
                 eprintln!("refused for {reason:?}");
                 continue;
             }
-            self.first_refusal_ms[given.budget].get_or_insert(self.world.now_ms);
-            if self.world.totals[given.budget].unspent_tokens() >= given.bound_tokens {
+            self.first_refusal_ms[request.budget].get_or_insert(self.world.now_ms);
+            if self.world.totals[request.budget].unspent_tokens() >= request.bound_tokens {
                 self.figures.falsely_refused += 1;
-                if self.reachable_tokens(&given) < given.bound_tokens {
+                if self.reachable_tokens(&request) < request.bound_tokens {
                     *self.figures.unavoidable.get_or_insert(0) += 1;
                 }
             }
@@ -318,10 +318,11 @@
     }
 
     /// Free tokens of a budget in the store and at all routers that the refusing router can reach.
-    fn reachable_tokens(&self, given: &world::SubmittedRequest) -> u64 {
-        let name = self.world.budget_name(given.budget);
-        let reached =
-            |router: &usize| *router == given.at || self.world.connected(given.at, *router);
+    fn reachable_tokens(&self, request: &world::SubmittedRequest) -> u64 {
+        let name = self.world.budget_name(request.budget);
+        let reached = |router: &usize| {
+            *router == request.router || self.world.connected(request.router, *router)
+        };
         let free: u64 = (0..self.world.routers.len())
             .filter(reached)
             .filter_map(|router| {
@@ -329,8 +330,8 @@
                 grants.find(&name).map(|slot| grants.account(slot).free_tokens())
             })
             .sum();
-        let undrawn = self.world.ledger(given.budget).remaining_tokens().unwrap_or(0);
-        free + if self.world.reaches_store(given.at) { undrawn } else { 0 }
+        let undrawn = self.world.ledger(request.budget).remaining_tokens().unwrap_or(0);
+        free + if self.world.reaches_store(request.router) { undrawn } else { 0 }
     }
 
     fn early_ms(&self) -> Option<u64> {
--- a/core/benches/routing/engines.rs
+++ b/core/benches/routing/engines.rs
@@ -158,8 +158,8 @@
             _ => REPORT_LAG_MS,
         };
         let engine = &self.engines[server];
-        let known = |(at_ms, _): &&(u64, servers::Load)| at_ms + lag_ms <= now_ms;
-        let load = engine.history.iter().rev().find(known).map(|(_, load)| *load);
+        let reported = |(at_ms, _): &&(u64, servers::Load)| at_ms + lag_ms <= now_ms;
+        let load = engine.history.iter().rev().find(reported).map(|(_, load)| *load);
         load.filter(|_| !engine.failed)
     }
 }
--- a/core/benches/routing/main.rs
+++ b/core/benches/routing/main.rs
@@ -36,7 +36,7 @@
 }
 
 struct Outcome {
-    good: u64,
+    completed: u64,
     refused: u64,
     late: u64,
     first_token_ms: Histogram<u64>,
@@ -77,7 +77,7 @@
         "{:<22} {:>4.1}x {name:<18} {:>9.1} {:>9.1} {:>8.1} {:>8} {:>8} {:>8}",
         fault.name(),
         load_percent as f64 / 100.0,
-        per_s(outcome.good),
+        per_s(outcome.completed),
         per_s(outcome.refused),
         per_s(outcome.late),
         first_token_ms(0.5),
@@ -106,7 +106,7 @@
 fn run(mut strategy: Box<dyn Strategy>, fault: Fault, arrivals: &[Request]) -> Outcome {
     let mut engines = Engines::new(fault);
     let mut outcome =
-        Outcome { good: 0, refused: 0, late: 0, first_token_ms: Histogram::new(3).unwrap() };
+        Outcome { completed: 0, refused: 0, late: 0, first_token_ms: Histogram::new(3).unwrap() };
     let mut requests: Vec<Request> = Vec::new();
     // Requests by the time of their next attempt; the caller of a waiting request leaves at its deadline.
     let mut arriving: BTreeMap<(u64, usize), Request> = BTreeMap::new();
@@ -139,7 +139,7 @@
                 schedule_retry(&mut arriving, &mut serial, request, now_ms + 1);
                 continue;
             }
-            outcome.good += 1;
+            outcome.completed += 1;
             outcome.first_token_ms.record(ended.first_token_ms - request.submitted_ms).unwrap();
         }
         strategy.tick(&engines, now_ms);
--- a/core/benches/routing/strategies.rs
+++ b/core/benches/routing/strategies.rs
@@ -178,12 +178,12 @@
     fn tick(&mut self, engines: &Engines, now_ms: u64) {
         for router in 0..ROUTERS {
             if (now_ms + router as u64 * STEP_MS).is_multiple_of(REPORT_EVERY_MS) {
-                let known: Vec<(ids::ServerSlot, String)> = self.nodes[router]
+                let servers: Vec<(ids::ServerSlot, String)> = self.nodes[router]
                     .servers()
                     .iter()
                     .map(|(slot, server)| (slot, server.vm.vm.clone()))
                     .collect();
-                for (slot, vm) in known {
+                for (slot, vm) in servers {
                     let server = vm.trim_start_matches("server-").parse().unwrap();
                     if let Some(load) = engines.report(server, now_ms) {
                         self.nodes[router].report_load(slot, load);
--- a/core/tests/arbitrary_messages.rs
+++ b/core/tests/arbitrary_messages.rs
@@ -51,12 +51,12 @@
 
 /// A permit request and a reply, which routers don't send in an undisturbed fleet.
 fn permits(fleet: &Fleet, (vm, incarnation): &(String, ids::ServerIncarnation)) -> Vec<Vec<u8>> {
-    let id = |place: usize| fleet.routers[place].node.members().own().id;
+    let id = |router: usize| fleet.routers[router].node.members().own().id;
     let wanted = servers::PermitsRequested { permits: 2, within_ms: 400, trial: false };
     let granted = servers::PermitsGranted { permits: 1, in_ms: 300 };
     let (vm, incarnation) = (vm.clone(), *incarnation);
     let answer = servers::AnswerId { router: id(0), number: 1 };
-    let known = servers::LimitUpdate {
+    let update = servers::LimitUpdate {
         vm: vm.clone(),
         incarnation,
         limit_milli_per_s: Some(1_100),
@@ -65,7 +65,7 @@
         received_age_ms: 20,
     };
     let messages = [
-        message::Message::PermitRequest { number: 1, limit_update: known, requested: wanted },
+        message::Message::PermitRequest { number: 1, limit_update: update, requested: wanted },
         message::Message::PermitReply { number: 1, vm, incarnation, trial: false, granted },
     ];
     let envelopes = messages.map(|message| message::Envelope { from: id(0), to: id(1), message });
@@ -93,8 +93,8 @@
     for case in 0..CASES {
         let mut bytes = valid[case % valid.len()].clone();
         for _ in 0..1 + usize::arbitrary(&mut g) % 3 {
-            let place = usize::arbitrary(&mut g) % bytes.len();
-            bytes[place] = u8::arbitrary(&mut g);
+            let position = usize::arbitrary(&mut g) % bytes.len();
+            bytes[position] = u8::arbitrary(&mut g);
         }
         if u8::arbitrary(&mut g) % 8 == 0 {
             bytes = Vec::arbitrary(&mut g);
@@ -109,8 +109,8 @@
 
 /// A list of servers that is not newer than the copy of router 1.
 fn old_list(fleet: &Fleet, g: &mut Gen) -> message::Message {
-    let known = fleet.routers[1].node.vms_index();
-    let position = store::Position::new(known.era, u64::arbitrary(g) % (known.revision + 1));
+    let current = fleet.routers[1].node.vms_index();
+    let position = store::Position::new(current.era, u64::arbitrary(g) % (current.revision + 1));
     let vm = servers::Vm {
         vm: format!("server-{}", u8::arbitrary(g) % 8),
         service: "service".to_owned(),
@@ -133,7 +133,7 @@
     let servers = |fleet: &Fleet| -> Vec<servers::Vm> {
         let mut vms: Vec<servers::Vm> =
             fleet.routers[1].node.servers().iter().map(|(_, server)| server.vm.clone()).collect();
-        vms.sort_by(|one, other| one.vm.cmp(&other.vm));
+        vms.sort_by(|left, right| left.vm.cmp(&right.vm));
         vms
     };
     let before = servers(&fleet);
--- a/core/tests/cold_servers.rs
+++ b/core/tests/cold_servers.rs
@@ -70,11 +70,11 @@
     fn run(&mut self, from_ms: u64, to_ms: u64, per_s: u64, prompts: u64) {
         let mut running: Vec<(u64, usize, ids::ServerSlot)> = Vec::new();
         for now_ms in (from_ms..to_ms).step_by(TICK_MS as usize) {
-            for (_, at, slot) in running.extract_if(.., |(end_ms, ..)| *end_ms <= now_ms) {
-                self.tables[at].record_end(slot);
+            for (_, router, slot) in running.extract_if(.., |(end_ms, ..)| *end_ms <= now_ms) {
+                self.tables[router].record_end(slot);
             }
             for _ in 0..per_s * TICK_MS / 1_000 {
-                let at = self.rng.random_range(0..self.tables.len());
+                let router = self.rng.random_range(0..self.tables.len());
                 let prompt = self.rng.random_range(0..prompts);
                 let parts = servers::chain([(prompt, 5_000), (self.rng.random(), 500)].into_iter());
                 let criteria = servers::Criteria {
@@ -84,11 +84,11 @@
                     parts: &parts,
                     excluded: &[],
                 };
-                match self.tables[at].choose(&criteria, now_ms, &mut self.rng) {
+                match self.tables[router].choose(&criteria, now_ms, &mut self.rng) {
                     Ok(choice) => {
                         self.served += 1;
                         self.arrivals.entry(choice.slot).or_default().push(now_ms);
-                        running.push((now_ms + 300, at, choice.slot));
+                        running.push((now_ms + 300, router, choice.slot));
                     }
                     Err(_) => self.refused += 1,
                 }
@@ -98,13 +98,13 @@
 
     /// The largest number of requests that one server received within a second.
     fn max_in_a_second(&self) -> usize {
-        let most = |times: &Vec<u64>| {
+        let max_of_server = |times: &Vec<u64>| {
             let within = |from_ms: &u64| {
                 times.iter().filter(|at_ms| (*from_ms..from_ms + 1_000).contains(at_ms)).count()
             };
             times.iter().map(within).max().unwrap_or(0)
         };
-        self.arrivals.values().map(most).max().unwrap_or(0)
+        self.arrivals.values().map(max_of_server).max().unwrap_or(0)
     }
 }
 
@@ -117,8 +117,8 @@
                 let vms: Vec<servers::Vm> = (0..$servers).map(|index| vm(index, 3_000, "a")).collect();
                 fleet.follow(&vms, 0);
                 fleet.run(0, 3_000, $per_s, $prompts);
-                let most = fleet.max_in_a_second();
-                assert!(most <= REQUESTS_PER_S_MAX, "seed {seed}: {most} requests in a second");
+                let max_per_s = fleet.max_in_a_second();
+                assert!(max_per_s <= REQUESTS_PER_S_MAX, "seed {seed}: {max_per_s} requests in a second");
             }
         }
     )*};
@@ -176,8 +176,8 @@
     let vms: Vec<servers::Vm> = (0..10).map(|index| vm(index, 10_000, "a")).collect();
     fleet.follow(&vms, 0);
     fleet.run(0, 10_000, 2_000, 200);
-    let most = fleet.max_in_a_second();
-    assert!(most <= REQUESTS_PER_S_MAX, "{most} requests in a second");
+    let max_per_s = fleet.max_in_a_second();
+    assert!(max_per_s <= REQUESTS_PER_S_MAX, "{max_per_s} requests in a second");
     // The servers allow 770 requests in that time, of which 60 percent are used.
     assert!(fleet.served >= 770 * 60 / 100 * 80 / 100, "{} served", fleet.served);
 }
@@ -192,8 +192,8 @@
     fleet.follow(&[], 1_000);
     fleet.follow(&[vm(0, 3_000, "a"), vm(1, 2_000, "a")], 1_000);
     fleet.run(1_000, 2_900, 500, 1);
-    let most = fleet.max_in_a_second();
-    assert!(most <= REQUESTS_PER_S_MAX, "{most} requests in a second");
+    let max_per_s = fleet.max_in_a_second();
+    assert!(max_per_s <= REQUESTS_PER_S_MAX, "{max_per_s} requests in a second");
 }
 
 #[test]
@@ -215,8 +215,8 @@
     assert_eq!(fleet.served, 0, "an evacuated failure domain receives no requests");
     fleet.tables.iter_mut().for_each(|table| table.evacuate(BTreeSet::new(), 1_000));
     fleet.run(1_000, 4_000, 2_000, 2);
-    let most = fleet.max_in_a_second();
-    assert!((1..=REQUESTS_PER_S_MAX).contains(&most), "{most} requests in a second");
+    let max_per_s = fleet.max_in_a_second();
+    assert!((1..=REQUESTS_PER_S_MAX).contains(&max_per_s), "{max_per_s} requests in a second");
 }
 
 #[test]
@@ -253,6 +253,6 @@
     fleet.follow(&vms, 0);
     fleet.set_cold_limit();
     fleet.run(0, 2_900, 2_000, 2);
-    let most = fleet.max_in_a_second();
-    assert!((1..=REQUESTS_PER_S_MAX).contains(&most), "{most} requests in a second");
+    let max_per_s = fleet.max_in_a_second();
+    assert!((1..=REQUESTS_PER_S_MAX).contains(&max_per_s), "{max_per_s} requests in a second");
 }
--- a/core/tests/crash_cost.rs
+++ b/core/tests/crash_cost.rs
@@ -118,14 +118,17 @@
         let killed = holder(&world, 0);
         world.kill(killed);
         world.run_ms(3_000);
-        let mut most_tokens = 0;
+        let mut max_granted_tokens = 0;
         for _ in 0..50 {
             spend(&mut world, TOKENS_PER_S, 200);
             let granted = world.routers.iter().map(|router| granted_tokens(&world, router));
-            most_tokens = most_tokens.max(granted.max().unwrap());
+            max_granted_tokens = max_granted_tokens.max(granted.max().unwrap());
         }
         let needed = COVER_S * TOKENS_PER_S / 2..2 * COVER_S * TOKENS_PER_S;
-        assert!(needed.contains(&most_tokens), "seed {seed}: {most_tokens} granted at the most");
+        assert!(
+            needed.contains(&max_granted_tokens),
+            "seed {seed}: {max_granted_tokens} granted at the most"
+        );
     }
 }
 
@@ -178,16 +181,18 @@
         spend(&mut world, TOKENS_PER_S, 17_000);
         world.faults.store_unavailable = false;
         spend(&mut world, TOKENS_PER_S, 2_000);
-        let most = world.routers.iter().map(|router| granted_tokens(&world, router)).max().unwrap();
+        let max_granted_tokens =
+            world.routers.iter().map(|router| granted_tokens(&world, router)).max().unwrap();
         assert!(
-            most <= 5 * TOKENS_PER_S,
-            "seed {seed}: {most} granted two seconds after the outage"
+            max_granted_tokens <= 5 * TOKENS_PER_S,
+            "seed {seed}: {max_granted_tokens} granted two seconds after the outage"
         );
         spend(&mut world, TOKENS_PER_S, 8_000);
-        let most = world.routers.iter().map(|router| granted_tokens(&world, router)).max().unwrap();
+        let max_granted_tokens =
+            world.routers.iter().map(|router| granted_tokens(&world, router)).max().unwrap();
         assert!(
-            most >= 5 * TOKENS_PER_S,
-            "seed {seed}: {most} granted ten seconds after the outage"
+            max_granted_tokens >= 5 * TOKENS_PER_S,
+            "seed {seed}: {max_granted_tokens} granted ten seconds after the outage"
         );
     }
 }
--- a/core/tests/crashing_request_schedules.rs
+++ b/core/tests/crashing_request_schedules.rs
@@ -266,8 +266,8 @@
             let router = &self.fleet.routers[*index];
             router.alive && !router.frozen
         };
-        let places: Vec<usize> = (0..self.fleet.routers.len()).filter(serves).collect();
-        let Some(index) = places.choose(&mut self.rng).copied() else { return };
+        let candidates: Vec<usize> = (0..self.fleet.routers.len()).filter(serves).collect();
+        let Some(index) = candidates.choose(&mut self.rng).copied() else { return };
         let router = &self.fleet.routers[index];
         if router.node.quarantine_refusal(Some(request), now_ms).is_some() {
             return;
--- a/core/tests/digests.rs
+++ b/core/tests/digests.rs
@@ -26,7 +26,7 @@
 fn a_digest_of_an_older_state_changes_nothing() {
     let mut fleet = up_to_date_fleet(20, BOUNDS, 13);
     let node = &fleet.routers[0].node;
-    let known = (node.config_version(), node.vms_index(), node.servers().iter().count());
+    let before = (node.config_version(), node.vms_index(), node.servers().iter().count());
     let gone = watch::ServerChange {
         vm: "server-3".to_owned(),
         position: store::Position::new(0, 1),
@@ -36,7 +36,7 @@
     handle(&mut fleet, old);
     let node = &fleet.routers[0].node;
     let after = (node.config_version(), node.vms_index(), node.servers().iter().count());
-    assert_eq!(known, after);
+    assert_eq!(before, after);
 }
 
 #[test]
@@ -69,12 +69,12 @@
 #[test]
 fn a_peers_configuration_that_cannot_be_read_changes_nothing() {
     let mut fleet = up_to_date_fleet(20, BOUNDS, 15);
-    let known = fleet.routers[0].node.config_version();
+    let version = fleet.routers[0].node.config_version();
     let copy_state =
         message::CopyState { position: store::Position::new(0, 1_000), age_ms: Some(0) };
     for value in [Vec::new(), vec![0xff; 40], vec![9, 9]] {
         let message = message::Message::Config {
-            version: known + 1,
+            version: version + 1,
             copy_state,
             evacuations: Default::default(),
             value,
@@ -83,7 +83,7 @@
         let now_ms = fleet.now_ms;
         let node = &mut fleet.routers[0].node;
         node.handle_message(message::Envelope { from: ids::Incarnation(77), to, message }, now_ms);
-        assert_eq!(node.config_version(), known);
+        assert_eq!(node.config_version(), version);
         let is_notice = |action: &node::Action| {
             matches!(action, node::Action::Notice(node::Notice::UnusableValue(_)))
         };
--- a/core/tests/directive_schedules.rs
+++ b/core/tests/directive_schedules.rs
@@ -127,8 +127,8 @@
     fn step_clients(&mut self) {
         for _ in 0..self.traffic.due_requests() {
             let now_ms = self.traffic.fleet.now_ms;
-            if let Some(handed) = self.traffic.submit() {
-                self.waiting.insert(handed, now_ms);
+            if let Some(handle) = self.traffic.submit() {
+                self.waiting.insert(handle, now_ms);
                 self.counts.submitted += 1;
                 self.handle_answers();
             }
@@ -139,9 +139,9 @@
         for (index, incarnation, slot, answer) in std::mem::take(&mut self.traffic.fleet.answers) {
             let submitted_ms = self.waiting.get(&(index, incarnation, slot)).copied();
             match answer {
-                node::Answer::Dispatch { vm, incarnation: server_life, .. } => {
-                    self.check_send((index, incarnation), &vm, server_life);
-                    self.record_dispatch((index, incarnation), slot, &vm, server_life);
+                node::Answer::Dispatch { vm, incarnation: server_incarnation, .. } => {
+                    self.check_send((index, incarnation), &vm, server_incarnation);
+                    self.record_dispatch((index, incarnation), slot, &vm, server_incarnation);
                 }
                 node::Answer::Refuse { reason, retry_after_ms } => {
                     self.waiting.remove(&(index, incarnation, slot));
@@ -224,10 +224,10 @@
         self.counts.refused += 1;
         self.counts.refused_late += u64::from(waited_ms > 100);
         assert!(retry_after_ms > 0);
-        let in_touch = self.traffic.fleet.must_meet_bounds(index);
+        let is_connected = self.traffic.fleet.must_meet_bounds(index);
         let no_server = matches!(reason, node::Reason::Backoff | node::Reason::NoServer);
         assert!(
-            !(no_server && in_touch && self.first_available),
+            !(no_server && is_connected && self.first_available),
             "seed {seed}: refused at {now_ms} by {index} for {reason:?} although a server is \
              available"
         );
@@ -379,14 +379,14 @@
 
     /// Whether a router has recorded all these servers as leaving, each from an answer.
     fn has_recorded_leaving(&self, node: &node::Node, leaving: &[ServerInstance]) -> bool {
-        let known = |(vm, incarnation): &ServerInstance| {
-            let source = node.leaving_servers().iter().find(|(known, _)| known == vm);
-            source.is_some_and(|(_, record)| {
+        let recorded = |(vm, incarnation): &ServerInstance| {
+            let entry = node.leaving_servers().iter().find(|(name, _)| name == vm);
+            entry.is_some_and(|(_, record)| {
                 record.incarnation == *incarnation
                     && record.source == leaving_servers::Source::Answer
             })
         };
-        leaving.iter().all(known)
+        leaving.iter().all(recorded)
     }
 }
 
@@ -479,8 +479,8 @@
             let all: Vec<Counts> = (0..3).map(|seed| all_back_off($routers, $per_s, seed)).collect();
             println!("{} {all:?}", stringify!($name));
             for counts in all {
-                let most = (counts.refused / 10).max(counts.submitted / 20);
-                assert!(counts.refused_late <= most, "{counts:?}");
+                let allowed = (counts.refused / 10).max(counts.submitted / 20);
+                assert!(counts.refused_late <= allowed, "{counts:?}");
             }
         }
     )*};
@@ -507,8 +507,8 @@
     let since_ms = scenario.traffic.fleet.now_ms;
     scenario.run_ms(WINDOW_MS);
     let counts = scenario.requests_by_server(since_ms);
-    let even = counts.iter().sum::<usize>() / counts.len();
-    assert!(counts[3] * 2 >= even, "seed {seed}: {counts:?}");
+    let even_share = counts.iter().sum::<usize>() / counts.len();
+    assert!(counts[3] * 2 >= even_share, "seed {seed}: {counts:?}");
 }
 
 macro_rules! shares_after_a_backoff {
--- a/core/tests/evacuation.rs
+++ b/core/tests/evacuation.rs
@@ -13,12 +13,12 @@
 /// The failure domain of the fleet's servers.
 const DOMAIN: &str = "a";
 
-fn at(revision: u64) -> store::Position {
+fn position(revision: u64) -> store::Position {
     store::Position::new(0, revision)
 }
 
 fn change(revision: u64, evacuated: bool) -> evacuation::Change {
-    evacuation::Change { position: at(revision), domain: DOMAIN.to_owned(), evacuated }
+    evacuation::Change { position: position(revision), domain: DOMAIN.to_owned(), evacuated }
 }
 
 fn check_evacuation_and_end(routers: usize) {
@@ -64,7 +64,7 @@
     for at_ms in (0..10_000).step_by(900) {
         let mut fleet = up_to_date_fleet(7, BOUNDS, 3);
         fleet.run_ms(at_ms);
-        (0..7).for_each(|place| fleet.leave_polls_unanswered(place));
+        (0..7).for_each(|index| fleet.leave_polls_unanswered(index));
         fleet.evacuate(DOMAIN, true);
         // The fleet asserts the staleness bounds in every step.
         fleet.run_ms(6_000);
@@ -74,26 +74,27 @@
 
 #[test]
 fn older_answers_do_not_undo_newer_evacuations() {
-    let mut known = evacuation::Evacuations::default();
-    known.apply(at(10), evacuation::Update::Changes(vec![change(10, true)]));
-    known.apply(at(9), evacuation::Update::Changes(vec![change(8, false)]));
-    known.apply(at(7), evacuation::Update::All(Default::default()));
-    known.replace_if_newer(&evacuation::Evacuations {
-        position: at(9),
+    let mut evacuations = evacuation::Evacuations::default();
+    evacuations.apply(position(10), evacuation::Update::Changes(vec![change(10, true)]));
+    evacuations.apply(position(9), evacuation::Update::Changes(vec![change(8, false)]));
+    evacuations.apply(position(7), evacuation::Update::All(Default::default()));
+    evacuations.replace_if_newer(&evacuation::Evacuations {
+        position: position(9),
         domains: Default::default(),
     });
-    assert!(known.domains.contains(DOMAIN));
-    assert_eq!(known.position, at(10));
-    known.apply(at(12), evacuation::Update::Changes(vec![change(11, false)]));
-    assert!(known.domains.is_empty());
+    assert!(evacuations.domains.contains(DOMAIN));
+    assert_eq!(evacuations.position, position(10));
+    evacuations.apply(position(12), evacuation::Update::Changes(vec![change(11, false)]));
+    assert!(evacuations.domains.is_empty());
 }
 
 #[test]
 fn a_repeated_evacuation_is_ended_by_one_change() {
-    let mut known = evacuation::Evacuations::default();
-    known.apply(at(11), evacuation::Update::Changes(vec![change(10, true), change(11, true)]));
-    known.apply(at(12), evacuation::Update::Changes(vec![change(12, false)]));
-    assert!(known.domains.is_empty());
+    let mut evacuations = evacuation::Evacuations::default();
+    evacuations
+        .apply(position(11), evacuation::Update::Changes(vec![change(10, true), change(11, true)]));
+    evacuations.apply(position(12), evacuation::Update::Changes(vec![change(12, false)]));
+    assert!(evacuations.domains.is_empty());
 }
 
 /// Runs a random schedule of evacuations with outages, unanswered polls, restarts, routers without a connection to the
@@ -105,16 +106,16 @@
     fleet.answer_delay_max_ms = rng.random_range(20..150);
     fleet.run_ms(5_000);
     for _ in 0..60 {
-        let place = rng.random_range(0..routers);
+        let router = rng.random_range(0..routers);
         let domain = ["a", "b", "unknown"][rng.random_range(0..3)];
         match rng.random_range(0..12) {
             0..2 => fleet.evacuate(domain, true),
             2..4 => fleet.evacuate(domain, false),
-            4 => fleet.leave_polls_unanswered(place),
-            5 => fleet.restart(place),
+            4 => fleet.leave_polls_unanswered(router),
+            5 => fleet.restart(router),
             6 => {
-                let cut = fleet.routers[place].cut;
-                fleet.set_cut(place, !cut);
+                let cut = fleet.routers[router].cut;
+                fleet.set_cut(router, !cut);
             }
             7 => fleet.set_store(StoreMode::Silent),
             8 => fleet.set_store(StoreMode::Rejecting),
--- a/core/tests/external_names.rs
+++ b/core/tests/external_names.rs
@@ -129,7 +129,7 @@
         },
         withheld: ledger::Withheld { unconfirmed_tokens: 11, lost_tokens: 12 },
     };
-    let known = ledger::Holder {
+    let description = ledger::Holder {
         vm: "vm-1".to_owned(),
         address: "a:1".to_owned(),
         listed_index: 1,
@@ -139,7 +139,7 @@
         format: 1,
         era: Some(2),
         writes: collections::BTreeMap::from([(holder, 3)]),
-        holders: collections::BTreeMap::from([(holder, known)]),
+        holders: collections::BTreeMap::from([(holder, description)]),
         budgets: collections::BTreeMap::from([("cafe/main".to_owned(), budget)]),
         unconfirmed_since_era: Some(4),
         silent_routers: Some(5),
--- a/core/tests/guarantees.rs
+++ b/core/tests/guarantees.rs
@@ -107,43 +107,43 @@
 
 fn apply(world: &mut World, op: Op, serial: &mut u64) {
     let routers = world.routers.len();
-    let place = |at: u8| usize::from(at) % routers;
-    let account = |budget: u8| usize::from(budget) % 2;
+    let router = |at: u8| usize::from(at) % routers;
+    let budget_index = |budget: u8| usize::from(budget) % 2;
     match op {
         Op::Admit { at, budget, key, bound, actual, unrepeatable } => {
             // Repeatable and unrepeatable requests use different ids.
             let key = u64::from(key) + if unrepeatable { 1_000 } else { 2_000 };
             let (bound, actual) = (u64::from(bound) + 1, u64::from(actual));
-            world.admit(place(at), account(budget), key, bound, actual, unrepeatable);
+            world.admit(router(at), budget_index(budget), key, bound, actual, unrepeatable);
         }
         Op::Burst { at, budget, bound } => {
             for _ in 0..12 {
                 *serial += 1;
                 let bound = u64::from(bound) * 2 + 1;
                 let key = 1_000_000 + *serial;
-                world.admit(place(at), account(budget), key, bound, bound, false);
+                world.admit(router(at), budget_index(budget), key, bound, bound, false);
             }
         }
         Op::Race { unrepeatable } => {
             *serial += 1;
-            for at in 0..routers {
-                world.admit(at, 0, 1_000_000 + *serial, 20, 10, unrepeatable);
+            for index in 0..routers {
+                world.admit(index, 0, 1_000_000 + *serial, 20, 10, unrepeatable);
             }
         }
         Op::Wait { ticks } => world.run_ms(u64::from(ticks) * 2 * world::TICK_MS),
-        Op::Kill { at } => world.kill(place(at)),
-        Op::Restart { at, same_address } => world.restart(place(at), same_address),
-        Op::Pause { at } => world.pause(place(at)),
-        Op::Resume { at } => world.resume(place(at)),
-        Op::Stop { at } => world.stop(place(at)),
+        Op::Kill { at } => world.kill(router(at)),
+        Op::Restart { at, same_address } => world.restart(router(at), same_address),
+        Op::Pause { at } => world.pause(router(at)),
+        Op::Resume { at } => world.resume(router(at)),
+        Op::Stop { at } => world.stop(router(at)),
         Op::CutStore { at } => {
-            world.faults.store_cut.insert(place(at));
+            world.faults.store_cut.insert(router(at));
         }
         Op::CutRegion => {
-            for one in 0..routers {
-                for other in one + 1..routers {
-                    if world.routers[one].region != world.routers[other].region {
-                        world.faults.pairs_cut.insert((one, other));
+            for first in 0..routers {
+                for second in first + 1..routers {
+                    if world.routers[first].region != world.routers[second].region {
+                        world.faults.pairs_cut.insert((first, second));
                     }
                 }
             }
@@ -157,7 +157,7 @@
             world.faults.delay_max_ms = 5 + u64::from(percent) * 20;
         }
         Op::EndFaults => world.faults = world::Faults::default(),
-        Op::Pay { budget, tokens } => world.pay(account(budget), u64::from(tokens) * 20),
+        Op::Pay { budget, tokens } => world.pay(budget_index(budget), u64::from(tokens) * 20),
         Op::Publish => world.publish(),
     }
     world.step();
@@ -166,9 +166,9 @@
 /// Ends all faults and runs until pending work is done.
 fn recover(world: &mut World) {
     world.faults = world::Faults::default();
-    for at in 0..world.routers.len() {
-        world.resume(at);
-        world.restart(at, true);
+    for index in 0..world.routers.len() {
+        world.resume(index);
+        world.restart(index, true);
     }
     world.run_ms(40_000);
 }
@@ -181,10 +181,10 @@
         let mut refused = 0;
         while refused < 3 {
             let first = world.requests.len();
-            for at in 0..world.routers.len() {
+            for index in 0..world.routers.len() {
                 for _ in 0..20 {
                     serial += 1;
-                    world.admit(at, budget, serial, BOUND_TOKENS, BOUND_TOKENS, false);
+                    world.admit(index, budget, serial, BOUND_TOKENS, BOUND_TOKENS, false);
                 }
             }
             world.run_ms(1_500);
@@ -205,7 +205,7 @@
     }
     recover(&mut world);
     for request in &world.requests {
-        let lost = world.routers[request.at].incarnation != request.incarnation;
+        let lost = world.routers[request.router].incarnation != request.incarnation;
         assert!(request.end.is_some() || lost, "a request received no answer: {request:?}");
     }
     // Two kills may remove both the router of a settlement and its committer, and so lose it; one kill must not lose
--- a/core/tests/holders.rs
+++ b/core/tests/holders.rs
@@ -25,16 +25,16 @@
         let grants = router.node.grants();
         grants.account(grants.find(&name).unwrap()).holder
     };
-    (0..ROUTERS).filter(|at| holds(&world.routers[*at])).collect()
+    (0..ROUTERS).filter(|index| holds(&world.routers[*index])).collect()
 }
 
-fn free_tokens(world: &World, at: usize) -> u64 {
-    let grants = world.routers[at].node.grants();
+fn free_tokens(world: &World, router: usize) -> u64 {
+    let grants = world.routers[router].node.grants();
     grants.account(grants.find(&world.budget_name(0)).unwrap()).free_tokens()
 }
 
-fn served(world: &World, place: usize) -> bool {
-    world.requests[place].end == Some(End::Closed { safe: true })
+fn served(world: &World, request: usize) -> bool {
+    world.requests[request].end == Some(End::Closed { safe: true })
 }
 
 #[test]
@@ -47,11 +47,13 @@
 fn every_router_serves_from_the_one_holder_and_few_write_to_the_ledger() {
     let mut world = fleet();
     let before = world.store_calls;
-    let places: Vec<usize> = (0..ROUTERS)
-        .map(|at| world.admit(at, 0, at as u64, BOUND_TOKENS, BOUND_TOKENS, false).unwrap())
+    let requests: Vec<usize> = (0..ROUTERS)
+        .map(|router| {
+            world.admit(router, 0, router as u64, BOUND_TOKENS, BOUND_TOKENS, false).unwrap()
+        })
         .collect();
     world.run_ms(3_000);
-    assert!(places.iter().all(|place| served(&world, *place)), "{:?}", world.refusals);
+    assert!(requests.iter().all(|request| served(&world, *request)), "{:?}", world.refusals);
     assert!(world.ledger(0).grants.len() <= 2, "{:?}", world.ledger(0).grants);
     let calls = world.store_calls.0 + world.store_calls.1 - before.0 - before.1;
     // The calls include the log of settlements. Without holders, every request would cause a write of the ledger, and
@@ -62,18 +64,20 @@
 #[test]
 fn unused_tokens_return_to_the_holder() {
     let mut world = fleet();
-    for at in 0..ROUTERS {
-        world.admit(at, 0, at as u64, BOUND_TOKENS, 0, false);
+    for router in 0..ROUTERS {
+        world.admit(router, 0, router as u64, BOUND_TOKENS, 0, false);
     }
     world.run_ms(3_000);
     let holder = holders(&world)[0];
-    let remaining: Vec<u64> =
-        (0..ROUTERS).filter(|at| *at != holder).map(|at| free_tokens(&world, at)).collect();
+    let remaining: Vec<u64> = (0..ROUTERS)
+        .filter(|router| *router != holder)
+        .map(|router| free_tokens(&world, router))
+        .collect();
     assert_eq!(remaining.iter().sum::<u64>(), 0, "{remaining:?}");
     // One request can spend all of them.
-    let place = world.admit((holder + 1) % ROUTERS, 0, 1_000, 90_000, 90_000, false).unwrap();
+    let request = world.admit((holder + 1) % ROUTERS, 0, 1_000, 90_000, 90_000, false).unwrap();
     world.run_ms(3_000);
-    assert!(served(&world, place), "{:?}", world.requests[place].end);
+    assert!(served(&world, request), "{:?}", world.requests[request].end);
 }
 
 #[test]
@@ -82,22 +86,22 @@
     let holder = holders(&world)[0];
     world.kill(holder);
     let other = (holder + 1) % ROUTERS;
-    let place = world.admit(other, 0, 1, BOUND_TOKENS, BOUND_TOKENS, false).unwrap();
+    let request = world.admit(other, 0, 1, BOUND_TOKENS, BOUND_TOKENS, false).unwrap();
     world.run_ms(1_500);
-    assert!(served(&world, place), "{:?}", world.requests[place].end);
+    assert!(served(&world, request), "{:?}", world.requests[request].end);
 }
 
 #[test]
 fn a_holder_whose_peers_are_cut_off_leaves_them_the_ledger() {
     let mut world = fleet();
     let holder = holders(&world)[0];
-    for at in (0..ROUTERS).filter(|at| *at != holder) {
-        world.faults.pairs_cut.insert((at.min(holder), at.max(holder)));
+    for router in (0..ROUTERS).filter(|router| *router != holder) {
+        world.faults.pairs_cut.insert((router.min(holder), router.max(holder)));
     }
     let other = (holder + 1) % ROUTERS;
-    let place = world.admit(other, 0, 1, BOUND_TOKENS, BOUND_TOKENS, false).unwrap();
+    let request = world.admit(other, 0, 1, BOUND_TOKENS, BOUND_TOKENS, false).unwrap();
     world.run_ms(1_500);
-    assert!(served(&world, place), "{:?}", world.requests[place].end);
+    assert!(served(&world, request), "{:?}", world.requests[request].end);
 }
 
 #[test]
@@ -113,13 +117,13 @@
 fn unused_tokens_that_a_router_drew_itself_go_to_the_holder_without_a_store_call() {
     let mut world = fleet();
     let holder = holders(&world)[0];
-    for at in (0..ROUTERS).filter(|at| *at != holder) {
-        world.faults.pairs_cut.insert((at.min(holder), at.max(holder)));
+    for router in (0..ROUTERS).filter(|router| *router != holder) {
+        world.faults.pairs_cut.insert((router.min(holder), router.max(holder)));
     }
     let other = (holder + 1) % ROUTERS;
-    let place = world.admit(other, 0, 1, BOUND_TOKENS, 0, false).unwrap();
+    let request = world.admit(other, 0, 1, BOUND_TOKENS, 0, false).unwrap();
     world.run_ms(1_500);
-    assert!(served(&world, place), "{:?}", world.requests[place].end);
+    assert!(served(&world, request), "{:?}", world.requests[request].end);
     world.faults.pairs_cut.clear();
     world.run_ms(10_000);
     let holder_id = world.routers[holder].incarnation;
@@ -130,8 +134,8 @@
         drawn_tokens >= BOUND_TOKENS,
         "only {drawn_tokens} tokens still granted: a store call returned them"
     );
-    let elsewhere = (0..ROUTERS).filter(|at| *at != holder);
-    let left_tokens: u64 = elsewhere.map(|at| free_tokens(&world, at)).sum();
+    let elsewhere = (0..ROUTERS).filter(|router| *router != holder);
+    let left_tokens: u64 = elsewhere.map(|router| free_tokens(&world, router)).sum();
     assert!(
         left_tokens < BOUND_TOKENS / 5,
         "{left_tokens} tokens were not transferred to the holder"
@@ -145,8 +149,8 @@
 #[test]
 fn requests_for_an_empty_budget_are_refused_without_a_store_call_each() {
     let mut world = fleet();
-    for at in 0..ROUTERS {
-        world.admit(at, 0, at as u64, 4_000, 4_000, false);
+    for router in 0..ROUTERS {
+        world.admit(router, 0, router as u64, 4_000, 4_000, false);
     }
     world.run_ms(5_000);
     let before = world.store_calls;
--- a/core/tests/limit_schedules.rs
+++ b/core/tests/limit_schedules.rs
@@ -121,8 +121,8 @@
     fn step_clients(&mut self) {
         for _ in 0..self.traffic.due_requests() {
             let now_ms = self.traffic.fleet.now_ms;
-            if let Some(handed) = self.traffic.submit() {
-                self.waiting.insert(handed, now_ms);
+            if let Some(handle) = self.traffic.submit() {
+                self.waiting.insert(handle, now_ms);
                 self.counts.sent += 1;
                 self.handle_answers();
             }
@@ -155,9 +155,9 @@
     ) {
         let now_ms = self.traffic.fleet.now_ms;
         let index = self.servers.iter().position(|server| server.name == vm).unwrap();
-        let in_touch = self.traffic.fleet.must_meet_bounds(router);
+        let is_connected = self.traffic.fleet.must_meet_bounds(router);
         let server = &mut self.servers[index];
-        if server.incarnation == server_incarnation && in_touch {
+        if server.incarnation == server_incarnation && is_connected {
             server.sends_ms.push(now_ms);
         }
         server.all_sends_ms.push(now_ms);
@@ -193,9 +193,9 @@
             "refused at {} although an unlimited server is available",
             self.traffic.fleet.now_ms
         );
-        let in_touch = self.traffic.fleet.must_meet_bounds(index);
+        let is_connected = self.traffic.fleet.must_meet_bounds(index);
         let waited_ms = self.traffic.fleet.now_ms - submitted_ms;
-        assert!(!in_touch || waited_ms <= REFUSAL_WAIT_MAX_MS, "refused after {waited_ms} ms");
+        assert!(!is_connected || waited_ms <= REFUSAL_WAIT_MAX_MS, "refused after {waited_ms} ms");
     }
 
     fn step_servers(&mut self) {
@@ -255,10 +255,10 @@
             let sends: Vec<u64> =
                 server.sends_ms.iter().copied().filter(|at_ms| *at_ms >= from_ms).collect();
             let allowed = 3 * limit * WINDOW_MS / 2_000_000 + EXTRA_REQUESTS;
-            let (most, at_ms) = max_in_window(&sends);
+            let (max_count, at_ms) = max_in_window(&sends);
             assert!(
-                most as u64 <= allowed,
-                "seed {seed}: {most} requests from {at_ms} on reached {} that states {limit} since \
+                max_count as u64 <= allowed,
+                "seed {seed}: {max_count} requests from {at_ms} on reached {} that states {limit} since \
                  {limit_stated_ms}, {allowed} are allowed",
                 server.name,
             );
@@ -338,13 +338,13 @@
     let since_ms = scenario.traffic.fleet.now_ms;
     scenario.run_ms(4 * WINDOW_MS);
     let reached = scenario.requests_by_server(since_ms);
-    let even = reached.values().sum::<usize>() / reached.len();
+    let even_share = reached.values().sum::<usize>() / reached.len();
 
     // A restarted server counts as slow until it has served for a while, with or without a limit.
     let first_incarnations = scenario.servers.iter().filter(|server| server.incarnation.0 == 1);
-    let least =
-        first_incarnations.map(|server| reached[server.name.as_str()]).min().unwrap_or(even);
-    assert!(least * 3 >= even, "seed {seed}: {reached:?} long after all limits ended");
+    let min_count =
+        first_incarnations.map(|server| reached[server.name.as_str()]).min().unwrap_or(even_share);
+    assert!(min_count * 3 >= even_share, "seed {seed}: {reached:?} long after all limits ended");
     let held_back = scenario
         .traffic
         .fleet
@@ -493,7 +493,7 @@
         (0..3).for_each(|index| scenario.set_limit(index, Some(20_000)));
         let limits = |node: &node::Node| -> Vec<Option<u64>> {
             let limited = node.servers().limits().iter_limited();
-            limited.map(|(_, known)| known.report.limit_milli_per_s).collect()
+            limited.map(|(_, limit)| limit.report.limit_milli_per_s).collect()
         };
         let all_received = |fleet: &Fleet| {
             fleet.routers.iter().all(|router| limits(&router.node) == [Some(20_000); 3])
@@ -538,10 +538,10 @@
         scenario.run_ms(3 * WINDOW_MS);
         for server in &scenario.servers {
             let sends = server.all_sends_ms.iter().copied().filter(|at_ms| *at_ms >= since_ms);
-            let (most, _) = max_in_window(&sends.collect::<Vec<u64>>());
+            let (max_count, _) = max_in_window(&sends.collect::<Vec<u64>>());
             assert!(
-                most <= 3 * 20 * 2 + EXTRA_REQUESTS as usize,
-                "seed {seed}: {most} requests from both groups"
+                max_count <= 3 * 20 * 2 + EXTRA_REQUESTS as usize,
+                "seed {seed}: {max_count} requests from both groups"
             );
         }
     }
@@ -550,7 +550,7 @@
 /// Requests a permit from a router; returns whether it grants one.
 fn grants_permit(fleet: &mut Fleet, index: usize, requester: usize) -> bool {
     let id = |index: usize| fleet.routers[index].node.members().own().id;
-    let known = servers::LimitUpdate {
+    let update = servers::LimitUpdate {
         vm: "server-0".to_owned(),
         incarnation: ids::ServerIncarnation(1),
         limit_milli_per_s: Some(100_000),
@@ -560,7 +560,7 @@
     };
     let wanted = servers::PermitsRequested { permits: 1, within_ms: 400, trial: false };
     let message =
-        message::Message::PermitRequest { number: 1, limit_update: known, requested: wanted };
+        message::Message::PermitRequest { number: 1, limit_update: update, requested: wanted };
     let envelope = message::Envelope { from: id(requester), to: id(index), message };
     let now_ms = fleet.now_ms;
     let node = &mut fleet.routers[index].node;
@@ -742,27 +742,26 @@
         let stated = servers::Directive::Value(limit_milli_per_s);
         node.report_limit("server-0", ids::ServerIncarnation(1), stated, 0, now_ms);
     };
-    let known_limit = |fleet: &Fleet, index: usize| {
+    let limit_at = |fleet: &Fleet, index: usize| {
         let servers = fleet.routers[index].node.servers();
         let slot = servers.find_incarnation("server-0", ids::ServerIncarnation(1)).unwrap();
-        servers.limits().limited(slot).and_then(|known| known.report.limit_milli_per_s)
+        servers.limits().limited(slot).and_then(|limit| limit.report.limit_milli_per_s)
     };
     fleet.set_frozen(0, true);
     report_limit(&mut fleet, 27_000);
     fleet.run_until("the first limit is received", 2_000, |fleet| {
-        known_limit(fleet, 2) == Some(27_000)
+        limit_at(fleet, 2) == Some(27_000)
     });
     fleet.run_ms(100);
     // The partition keeps the second limit from the frozen router.
     fleet.routers[0].partition = 1;
     report_limit(&mut fleet, 0);
-    fleet
-        .run_until("the second limit is received", 2_000, |fleet| known_limit(fleet, 2) == Some(0));
+    fleet.run_until("the second limit is received", 2_000, |fleet| limit_at(fleet, 2) == Some(0));
     fleet.run_ms(2_000);
     fleet.routers[0].partition = 0;
     fleet.set_frozen(0, false);
     for _ in 0..100 {
         fleet.run_ms(TICK_MS);
-        assert_eq!([1, 2].map(|index| known_limit(&fleet, index)), [Some(0), Some(0)]);
+        assert_eq!([1, 2].map(|index| limit_at(&fleet, index)), [Some(0), Some(0)]);
     }
 }
--- a/core/tests/log.rs
+++ b/core/tests/log.rs
@@ -50,8 +50,8 @@
         }
     }
 
-    fn append(&mut self, at: usize, entry: log_index::Entry) -> Option<log_writer::Completed> {
-        self.writers[at].append(
+    fn append(&mut self, writer: usize, entry: log_index::Entry) -> Option<log_writer::Completed> {
+        self.writers[writer].append(
             entry,
             log_writer::Waiter::Outbox,
             log_writer::Urgency::Immediate,
@@ -59,10 +59,10 @@
         )
     }
 
-    fn start(&mut self, at: usize) -> (ids::CallId, store::Request) {
+    fn start(&mut self, writer: usize) -> (ids::CallId, store::Request) {
         self.calls += 1;
         let call = ids::CallId(self.calls);
-        (call, self.writers[at].start(call, 0, &mut self.rng))
+        (call, self.writers[writer].start(call, 0, &mut self.rng))
     }
 
     fn apply(&mut self, request: store::Request) -> store::Reply {
@@ -91,34 +91,34 @@
 
     fn reply(
         &mut self,
-        at: usize,
+        writer: usize,
         call: ids::CallId,
         reply: store::Reply,
     ) -> Vec<log_writer::Completed> {
-        self.writers[at].handle_reply(call, reply, 0, &mut self.rng)
+        self.writers[writer].handle_reply(call, reply, 0, &mut self.rng)
     }
 
     /// Performs one call without faults.
-    fn call(&mut self, at: usize) -> Vec<log_writer::Completed> {
-        let (call, request) = self.start(at);
+    fn call(&mut self, writer: usize) -> Vec<log_writer::Completed> {
+        let (call, request) = self.start(writer);
         let reply = self.apply(request);
-        self.reply(at, call, reply)
+        self.reply(writer, call, reply)
     }
 
     /// Performs calls until an entry is durable.
-    fn finish(&mut self, at: usize) -> Vec<log_writer::Completed> {
+    fn finish(&mut self, writer: usize) -> Vec<log_writer::Completed> {
         for _ in 0..20 {
-            let done = self.call(at);
-            if !done.is_empty() {
-                return done;
+            let completed = self.call(writer);
+            if !completed.is_empty() {
+                return completed;
             }
         }
         panic!("no entry became durable within 20 calls");
     }
 }
 
-fn verdict(done: &[log_writer::Completed]) -> Option<log_index::ClaimVerdict> {
-    done.first().and_then(|done| done.verdict.clone())
+fn verdict(completed: &[log_writer::Completed]) -> Option<log_index::ClaimVerdict> {
+    completed.first().and_then(|completed| completed.verdict.clone())
 }
 
 #[test]
@@ -217,18 +217,18 @@
 }
 
 /// Writes segments of one settlement each with one writer.
-fn write_segments(harness: &mut Harness, at: usize, numbers: std::ops::RangeInclusive<u64>) {
+fn write_segments(harness: &mut Harness, writer: usize, numbers: std::ops::RangeInclusive<u64>) {
     for number in numbers {
         let mut settlement = settlement(77, 1);
         settlement.number = number;
         settlement.key = ids::RequestKey { high: 0, low: 1_000 + number };
-        harness.append(at, log_index::Entry::Settle(settlement));
-        harness.finish(at);
+        harness.append(writer, log_index::Entry::Settle(settlement));
+        harness.finish(writer);
     }
     // Writes checkpoints and deletes old segments, as far as these are due.
     for _ in 0..10 {
-        if harness.writers[at].due(0) {
-            harness.call(at);
+        if harness.writers[writer].due(0) {
+            harness.call(writer);
         }
     }
 }
@@ -265,8 +265,8 @@
     harness.finish(0);
     write_segments(&mut harness, 0, 8..=40);
     assert!(!harness.values.contains_key(&log_index::key(0, 8, EPOCH_SEGMENTS)));
-    let done = harness.finish(1);
-    assert_ne!(verdict(&done), Some(log_index::ClaimVerdict::Granted));
+    let completed = harness.finish(1);
+    assert_ne!(verdict(&completed), Some(log_index::ClaimVerdict::Granted));
 }
 
 #[test]
--- a/core/tests/node.rs
+++ b/core/tests/node.rs
@@ -7,7 +7,7 @@
 use doorswitch_core::{config, ids, leaving_servers, message, node, servers, store};
 use world::{End, Shape, World};
 
-fn at(revision: u64) -> store::Position {
+fn position(revision: u64) -> store::Position {
     store::Position::new(0, revision)
 }
 
@@ -60,8 +60,8 @@
     assert_eq!(sent(&read), reads);
     assert_eq!(sent(&written), writes);
     // A request through the interface for callers is recorded in the log.
-    let of = |purpose| sent(&[purpose]);
-    assert!(of(CallPurpose::LogWrite) > 0 && of(CallPurpose::LedgerWrite) > 0);
+    let sent_for = |purpose| sent(&[purpose]);
+    assert!(sent_for(CallPurpose::LogWrite) > 0 && sent_for(CallPurpose::LedgerWrite) > 0);
     world.faults.store_unavailable = true;
     world.admit(0, 0, 2, 20, 20, false).unwrap();
     world.run_ms(5_000);
@@ -88,14 +88,14 @@
         world.run_ms(100);
     }
     world.faults.store_unavailable = false;
-    let mut most = 0;
+    let mut max_writes = 0;
     for _ in 0..50 {
         let before = world.store_calls.1;
         world.run_ms(200);
-        most = most.max(world.store_calls.1 - before);
+        max_writes = max_writes.max(world.store_calls.1 - before);
     }
     // The platform allows 100 writes a second; each router may add the burst of its token bucket.
-    assert!(most <= 20 + 8 * 5, "{most} writes in 200 ms");
+    assert!(max_writes <= 20 + 8 * 5, "{max_writes} writes in 200 ms");
 }
 
 #[test]
@@ -221,7 +221,7 @@
     world.run_ms(2_000);
     let server = world.routers[0].node.servers().iter().next().unwrap().1.vm.clone();
     let node = &mut world.routers[0].node;
-    node.offer_vms_and_lapsed(at(1_000), Vec::new(), vec![server.clone()], 2_000);
+    node.offer_vms_and_lapsed(position(1_000), Vec::new(), vec![server.clone()], 2_000);
     let used = |node: &node::Node| node.servers().find(&server.vm).is_some();
     assert!(used(node));
     assert!(!vms_sent_to_peer(&mut world).contains(&server.vm), "the list of a peer may be newer");
@@ -229,9 +229,14 @@
     // A peer that received that the server leaves gossips it.
     let gossip = gossip_of_leaving(&world, &server.vm);
     let node = &mut world.routers[0].node;
-    node.offer_vms(at(1_001), vec![server.clone()], 2_500);
+    node.offer_vms(position(1_001), vec![server.clone()], 2_500);
     node.handle_gossip(&gossip, 2_600);
-    node.offer_vms_and_lapsed(at(1_002), Vec::<servers::Vm>::new(), vec![server.clone()], 3_000);
+    node.offer_vms_and_lapsed(
+        position(1_002),
+        Vec::<servers::Vm>::new(),
+        vec![server.clone()],
+        3_000,
+    );
     assert!(!used(node), "the server left");
 }
 
@@ -262,7 +267,7 @@
     node.handle_gossip(&gossip, 2_000);
     // After an outage of the store its list arrives more than once while the record may still return.
     for index in 1_000..1_003 {
-        node.offer_vms_and_lapsed(at(index), Vec::new(), vec![server.clone()], 2_000 + index);
+        node.offer_vms_and_lapsed(position(index), Vec::new(), vec![server.clone()], 2_000 + index);
         let live =
             node.servers().iter().any(|(_, server)| server.vm.state == servers::VmState::Live);
         assert!(!live, "list {index}: the server is used although it was reported as leaving");
@@ -296,11 +301,11 @@
 ) -> (World, usize, String) {
     let mut world = World::new(Shape { servers, ..Shape::default() }, 1);
     world.run_ms(2_000);
-    let given = world.admit(0, 0, 1, 20, 20, true).unwrap();
+    let index = world.admit(0, 0, 1, 20, 20, true).unwrap();
     let node = &mut world.routers[0].node;
     let chosen = node.servers().iter().find(|(_, server)| server.in_flight == 1);
     let chosen = chosen.unwrap().1.vm.clone();
-    assert!(!world.requests[given].dispatched, "the claim is still being recorded");
+    assert!(!world.requests[index].dispatched, "the claim is still being recorded");
     node.report_directives(
         &chosen.vm,
         chosen.incarnation,
@@ -308,22 +313,22 @@
         servers::AnswerAge::default(),
         world.now_ms,
     );
-    (world, given, chosen.vm)
+    (world, index, chosen.vm)
 }
 
 macro_rules! directives_while_a_claim_is_recorded {
     ($($name:ident: $directives:expr, $reason:expr;)*) => {$(
         #[test]
         fn $name() {
-            let (mut world, given, chosen) = directives_while_claimed(3, $directives);
-            while !world.requests[given].dispatched {
+            let (mut world, index, chosen) = directives_while_claimed(3, $directives);
+            while !world.requests[index].dispatched {
                 world.run_ms(world::TICK_MS);
             }
             let busy = world.routers[0].node.servers().iter().find(|(_, server)| server.in_flight == 1);
             assert_ne!(busy.unwrap().1.vm.vm, chosen);
-            let (mut world, given, _) = directives_while_claimed(1, $directives);
+            let (mut world, index, _) = directives_while_claimed(1, $directives);
             world.run_ms(2_000);
-            assert_eq!(world.requests[given].end, Some(End::Refused($reason)));
+            assert_eq!(world.requests[index].end, Some(End::Refused($reason)));
             assert!(world.executions.is_empty());
         }
     )*};
--- a/core/tests/restarting_servers.rs
+++ b/core/tests/restarting_servers.rs
@@ -15,7 +15,7 @@
 
 /// A random schedule in which servers restart under the same names, leave, and lose or corrupt their records, while
 /// updates arrive late and in any order. All routers must agree in the end.
-fn restarts_and_bad_records(routers: usize, bounds: watch::Bounds, seed: u64) {
+fn restarts_and_corrupt_records(routers: usize, bounds: watch::Bounds, seed: u64) {
     let mut fleet = Fleet::new(routers, 3, bounds, seed);
     let mut rng = StdRng::seed_from_u64(seed ^ 0x11fe);
     fleet.loss_percent = rng.random_range(0..20);
@@ -53,7 +53,7 @@
         #[test]
         fn $name() {
             for seed in $seeds {
-                restarts_and_bad_records($routers, $bounds, seed);
+                restarts_and_corrupt_records($routers, $bounds, seed);
             }
         }
     )*};
--- a/core/tests/restored_ledger.rs
+++ b/core/tests/restored_ledger.rs
@@ -43,7 +43,7 @@
     let mut backed_up_ms = world.now_ms;
     let mut key = 0;
     for _ in 0..150 {
-        let at = rng.random_range(0..routers);
+        let router = rng.random_range(0..routers);
         match rng.random_range(0..20) {
             0 => {
                 world.faults.store_unavailable = true;
@@ -51,12 +51,12 @@
                 let kill_all =
                     faults.kill_all_one_in > 0 && rng.random_ratio(1, faults.kill_all_one_in);
                 if kill_all {
-                    (0..routers).for_each(|at| world.kill(at));
+                    (0..routers).for_each(|router| world.kill(router));
                 }
                 world.restore_ledger(&backup);
                 world.faults.store_unavailable = false;
                 if kill_all {
-                    (0..routers).for_each(|at| world.restart(at, true));
+                    (0..routers).for_each(|router| world.restart(router, true));
                 }
             }
             1 | 2 if world.now_ms > backed_up_ms + 500 => {
@@ -64,32 +64,32 @@
                 backed_up_ms = world.now_ms;
             }
             3 if faults.pauses => match rng.random_bool(0.5) {
-                true => world.pause(at),
-                false => world.resume(at),
+                true => world.pause(router),
+                false => world.resume(router),
             },
             4 if faults.cuts => {
                 let cut = &mut world.faults.store_cut;
-                if !cut.remove(&at) {
-                    cut.insert(at);
+                if !cut.remove(&router) {
+                    cut.insert(router);
                 }
             }
-            5 if faults.cuts && at + 1 < routers => {
-                let pair = (at, at + 1);
+            5 if faults.cuts && router + 1 < routers => {
+                let pair = (router, router + 1);
                 let cut = &mut world.faults.pairs_cut;
                 if !cut.remove(&pair) {
                     cut.insert(pair);
                 }
             }
             6 if faults.kills => match rng.random_bool(0.5) {
-                true => world.kill(at),
-                false => world.restart(at, true),
+                true => world.kill(router),
+                false => world.restart(router, true),
             },
             _ => {
                 for _ in 0..rng.random_range(1..5) {
                     key += 1;
                     let budget = rng.random_range(0..2);
                     let bound = rng.random_range(50..400);
-                    world.admit(at, budget, key, bound, bound * 3 / 4, false);
+                    world.admit(router, budget, key, bound, bound * 3 / 4, false);
                 }
             }
         }
--- a/core/tests/restores.rs
+++ b/core/tests/restores.rs
@@ -95,24 +95,24 @@
     let mut backup = fleet.back_up();
     let mut pending_rewrite: Option<(watch_fleet::Backup, watch_fleet::Backup)> = None;
     for _ in 0..50 {
-        let place = rng.random_range(0..routers);
+        let index = rng.random_range(0..routers);
         match rng.random_range(0..14) {
             0 | 1 => fleet.publish(),
-            2 => start_leaving(&mut fleet, place % 6),
+            2 => start_leaving(&mut fleet, index % 6),
             3 => {
-                fleet.restart_server(&format!("server-{}", place % 6), servers::VmState::Live);
+                fleet.restart_server(&format!("server-{}", index % 6), servers::VmState::Live);
             }
-            4 => fleet.remove_server(&format!("server-{}", place % 6)),
-            5 => fleet.restart(place),
+            4 => fleet.remove_server(&format!("server-{}", index % 6)),
+            5 => fleet.restart(index),
             6 => {
                 let cut = rng.random_bool(0.5);
-                fleet.set_cut(place, cut);
+                fleet.set_cut(index, cut);
             }
             7 => {
                 let frozen = rng.random_bool(0.5);
-                fleet.set_frozen(place, frozen);
+                fleet.set_frozen(index, frozen);
             }
-            8 => fleet.leave_polls_unanswered(place),
+            8 => fleet.leave_polls_unanswered(index),
             9 => {
                 let evacuated = rng.random_bool(0.5);
                 fleet.evacuate("a", evacuated);
@@ -139,9 +139,9 @@
     if let Some((before_restore, restored)) = pending_rewrite.take() {
         fleet.repeat_lost_writes(&before_restore, &restored);
     }
-    for place in 0..routers {
-        fleet.set_cut(place, false);
-        fleet.set_frozen(place, false);
+    for index in 0..routers {
+        fleet.set_cut(index, false);
+        fleet.set_frozen(index, false);
     }
     fleet.run_until("all routers are up to date", HELD_BACK_MS + 10_000, Fleet::all_up_to_date);
 }
@@ -168,7 +168,7 @@
 #[test]
 fn an_era_reported_only_by_a_peer_is_not_applied() {
     let mut fleet = up_to_date_fleet(7, BOUNDS, 3);
-    let known: Vec<_> = fleet.routers.iter().map(|router| router.node.vms_index()).collect();
+    let before: Vec<_> = fleet.routers.iter().map(|router| router.node.vms_index()).collect();
     for _ in 0..20 {
         let era = 1 << 40;
         let position = store::Position::new(era, 1);
@@ -184,7 +184,7 @@
         fleet.run_ms(100);
     }
     let after: Vec<_> = fleet.routers.iter().map(|router| router.node.vms_index()).collect();
-    assert_eq!(known, after);
+    assert_eq!(before, after);
     let bound = watch::Bounds { configuration_ms: 2_000, ..BOUNDS };
     start_leaving(&mut fleet, 0);
     fleet.run_until("server 0 is unused", bound.configuration_ms, |fleet| is_unused(fleet, 0));
--- a/core/tests/server_shares.rs
+++ b/core/tests/server_shares.rs
@@ -62,8 +62,8 @@
 
 impl Sim {
     fn new(routers: usize, servers: usize, work_ms: u64, per_s: u64, seed: u64) -> Self {
-        let server = |place: usize| Server {
-            name: format!("vm-{place}"),
+        let server = |index: usize| Server {
+            name: format!("vm-{index}"),
             incarnation: 1,
             work_ms,
             fails: false,
@@ -128,15 +128,15 @@
         let Ok(servers::Choice { slot, .. }) = chosen else { return };
         let table = &self.tables[router];
         let name = &table.get(slot).unwrap().vm.vm;
-        let place = self.servers.iter().position(|server| server.name == *name).unwrap();
-        let server = &mut self.servers[place];
+        let index = self.servers.iter().position(|server| server.name == *name).unwrap();
+        let server = &mut self.servers[index];
         server.sends_ms.push(self.now_ms);
         let fails = server.fails;
-        let takes_ms = if fails { 1 } else { self.rng.random_range(1..2 * server.work_ms) };
+        let duration_ms = if fails { 1 } else { self.rng.random_range(1..2 * server.work_ms) };
         let (incarnation, sent_ms) = (server.incarnation, self.now_ms);
         self.number += 1;
-        let run = Run { router, slot, server: place, incarnation, sent_ms, fails };
-        self.runs.insert((self.now_ms + takes_ms, self.number), run);
+        let run = Run { router, slot, server: index, incarnation, sent_ms, fails };
+        self.runs.insert((self.now_ms + duration_ms, self.number), run);
     }
 
     fn end_runs(&mut self) {
@@ -158,10 +158,10 @@
     }
 
     /// The least number of requests of any server in `healthy` in any window, in percent of an even share.
-    fn least_percent(&self, since_ms: u64, healthy: &[usize]) -> u64 {
-        let even = self.per_s * WINDOW_MS / 1_000 / self.servers.len() as u64;
-        let least = healthy.iter().map(|place| {
-            let sends = &self.servers[*place].sends_ms;
+    fn min_percent(&self, since_ms: u64, healthy: &[usize]) -> u64 {
+        let even_share = self.per_s * WINDOW_MS / 1_000 / self.servers.len() as u64;
+        let min_counts = healthy.iter().map(|index| {
+            let sends = &self.servers[*index].sends_ms;
             let windows = (since_ms..=self.now_ms - WINDOW_MS).step_by(250);
             let count = |from_ms: u64| {
                 let to_ms = from_ms + WINDOW_MS;
@@ -169,7 +169,7 @@
             };
             windows.map(count).min().unwrap_or(0)
         });
-        least.min().unwrap_or(0) * 100 / even
+        min_counts.min().unwrap_or(0) * 100 / even_share
     }
 
     /// Injects a fault and ends it after 4 s, or 60 s for a pause of requests.
@@ -215,24 +215,24 @@
     let mut sim = Sim::new(routers, servers, work_ms, per_s, seed);
     let healthy: Vec<usize> = (0..servers).collect();
     sim.run_ms(8_000);
-    let before = sim.least_percent(1_000, &healthy);
+    let before = sim.min_percent(1_000, &healthy);
     sim.inject_fault(fault);
-    let others = sim.least_percent(9_000, &healthy[1..]);
+    let others = sim.min_percent(9_000, &healthy[1..]);
     let others = if fault == Fault::Pause { 100 } else { others };
     sim.run_ms(RECOVERY_MS);
     let since_ms = sim.now_ms;
     sim.run_ms(8_000);
-    before.min(others).min(sim.least_percent(since_ms, &healthy))
+    before.min(others).min(sim.min_percent(since_ms, &healthy))
 }
 
 macro_rules! shares {
     ($($name:ident: $routers:expr, $servers:expr, $work_ms:expr, $fault:expr;)*) => {$(
         #[test]
         fn $name() {
-            let least: Vec<u64> =
+            let min_percents: Vec<u64> =
                 (0..7).map(|seed| schedule($routers, $servers, $work_ms, $fault, seed)).collect();
-            println!("{} {least:?}", stringify!($name));
-            assert!(least.iter().all(|percent| *percent >= 25), "{least:?} percent of an even share");
+            println!("{} {min_percents:?}", stringify!($name));
+            assert!(min_percents.iter().all(|percent| *percent >= 25), "{min_percents:?} percent of an even share");
         }
     )*};
 }
--- a/core/tests/servers.rs
+++ b/core/tests/servers.rs
@@ -96,18 +96,18 @@
 #[test]
 fn a_failing_server_is_ejected_and_probed_with_one_request() {
     let mut fixture = Fixture::two();
-    let bad = fixture.choose().unwrap();
+    let failing = fixture.choose().unwrap();
     for _ in 0..3 {
-        fixture.table.record_failure(bad, fixture.now_ms);
+        fixture.table.record_failure(failing, fixture.now_ms);
     }
     for _ in 0..5 {
-        assert_ne!(fixture.choose().unwrap(), bad);
+        assert_ne!(fixture.choose().unwrap(), failing);
     }
     fixture.now_ms += 60_000;
-    let probes = (0..12).filter(|_| fixture.choose() == Ok(bad)).count();
+    let probes = (0..12).filter(|_| fixture.choose() == Ok(failing)).count();
     assert_eq!(probes, 1);
-    fixture.table.record_success(bad, 10, 0);
-    let chosen = (0..4).filter(|_| fixture.choose() == Ok(bad)).count();
+    fixture.table.record_success(failing, 10, 0);
+    let chosen = (0..4).filter(|_| fixture.choose() == Ok(failing)).count();
     assert!(chosen > 0);
 }
 
@@ -174,32 +174,32 @@
 
 #[test]
 fn routers_agree_on_the_server_of_a_shared_part_in_any_order_of_the_server_list() {
-    let (mut one, mut other) =
+    let (mut ordered, mut reversed) =
         (live_servers(&["a", "b", "c", "d"]), live_servers(&["d", "c", "b", "a"]));
     for shared in 0..50 {
-        let first = choose_for_prompt(&mut one, &prompt(shared, 1)).slot;
-        let second = choose_for_prompt(&mut other, &prompt(shared, 2)).slot;
-        assert_eq!(one.name(first), other.name(second));
-        one.table.has_read(first, u64::MAX);
-        other.table.has_read(second, u64::MAX);
-        one.table.record_end(first);
-        other.table.record_end(second);
+        let first = choose_for_prompt(&mut ordered, &prompt(shared, 1)).slot;
+        let second = choose_for_prompt(&mut reversed, &prompt(shared, 2)).slot;
+        assert_eq!(ordered.name(first), reversed.name(second));
+        ordered.table.has_read(first, u64::MAX);
+        reversed.table.has_read(second, u64::MAX);
+        ordered.table.record_end(first);
+        reversed.table.record_end(second);
     }
 }
 
 #[test]
 fn the_removal_of_a_server_moves_only_its_own_prompts() {
-    let (mut whole, mut less) =
+    let (mut all_servers, mut without_d) =
         (live_servers(&["a", "b", "c", "d"]), live_servers(&["a", "b", "c"]));
     for shared in 0..50 {
-        let before = choose_for_prompt(&mut whole, &prompt(shared, 1)).slot;
-        let after = choose_for_prompt(&mut less, &prompt(shared, 1)).slot;
-        let server = whole.name(before);
-        assert!(server == "d" || server == less.name(after));
-        whole.table.has_read(before, u64::MAX);
-        less.table.has_read(after, u64::MAX);
-        whole.table.record_end(before);
-        less.table.record_end(after);
+        let before = choose_for_prompt(&mut all_servers, &prompt(shared, 1)).slot;
+        let after = choose_for_prompt(&mut without_d, &prompt(shared, 1)).slot;
+        let server = all_servers.name(before);
+        assert!(server == "d" || server == without_d.name(after));
+        all_servers.table.has_read(before, u64::MAX);
+        without_d.table.has_read(after, u64::MAX);
+        all_servers.table.record_end(before);
+        without_d.table.record_end(after);
     }
 }
 
@@ -274,8 +274,8 @@
     }
     assert!(fixture.now_ms >= until_ms);
     let sent = |fixture: &mut Fixture| {
-        let not: Vec<ids::ServerSlot> = fixture.table.find("two").into_iter().collect();
-        (0..6).filter(|_| fixture.choose_for(&[], None, &not) == Ok(one)).count()
+        let excluded: Vec<ids::ServerSlot> = fixture.table.find("two").into_iter().collect();
+        (0..6).filter(|_| fixture.choose_for(&[], None, &excluded) == Ok(one)).count()
     };
     assert_eq!(sent(&mut fixture), 1);
     fixture.table.record_answer(one, fixture.now_ms);
--- a/core/tests/transfers.rs
+++ b/core/tests/transfers.rs
@@ -18,8 +18,8 @@
     world
 }
 
-fn account(world: &World, at: usize) -> &grants::Account {
-    let grants = world.routers[at].node.grants();
+fn account(world: &World, router: usize) -> &grants::Account {
+    let grants = world.routers[router].node.grants();
     grants.account(grants.find(&world.budget_name(0)).unwrap())
 }
 
--- a/core/tests/unanswered_polls.rs
+++ b/core/tests/unanswered_polls.rs
@@ -44,8 +44,8 @@
     for at_ms in (0..11_000).step_by(700) {
         let mut fleet = up_to_date_fleet(routers, BOUNDS, 2);
         fleet.run_ms(at_ms);
-        for place in 0..routers {
-            fleet.leave_polls_unanswered(place);
+        for index in 0..routers {
+            fleet.leave_polls_unanswered(index);
         }
         for _ in 0..4 {
             fleet.run_ms(800);
@@ -81,20 +81,20 @@
 #[test]
 fn an_unanswered_long_poll_of_an_isolated_router_does_not_delay_its_next_polls() {
     let mut fleet = up_to_date_fleet(24, BOUNDS, 3);
-    let place = 13;
-    fleet.routers[place].partition = 1;
-    fleet.record_fault(place);
+    let isolated = 13;
+    fleet.routers[isolated].partition = 1;
+    fleet.record_fault(isolated);
     fleet.run_until("the isolated router has sent a long poll", 120_000, |fleet| {
-        let polls = fleet.routers[place].node.open_polls(watch::Topic::Servers, fleet.now_ms);
+        let polls = fleet.routers[isolated].node.open_polls(watch::Topic::Servers, fleet.now_ms);
         polls.iter().any(|poll| poll.wait_ms > 20_000)
     });
-    fleet.leave_polls_unanswered(place);
-    fleet.routers[place].partition = 0;
+    fleet.leave_polls_unanswered(isolated);
+    fleet.routers[isolated].partition = 0;
     fleet.run_until("the router is a listener again", 10_000, |fleet| {
-        fleet.routers[place].node.watch_role() == Some(watch::Role::Listener)
+        fleet.routers[isolated].node.watch_role() == Some(watch::Role::Listener)
     });
-    fleet.routers[place].partition = 1;
-    fleet.record_fault(place);
+    fleet.routers[isolated].partition = 1;
+    fleet.record_fault(isolated);
     change(&mut fleet);
     // The fleet asserts the router's staleness bounds in every step.
     fleet.run_ms(8_000);
@@ -108,14 +108,14 @@
     fleet.answer_delay_max_ms = rng.random_range(20..150);
     fleet.run_ms(5_000);
     for _ in 0..60 {
-        let place = rng.random_range(0..routers);
+        let index = rng.random_range(0..routers);
         match rng.random_range(0..12) {
-            0..3 => fleet.leave_polls_unanswered(place),
-            3 => (0..routers).for_each(|place| fleet.leave_polls_unanswered(place)),
-            4 => fleet.restart(place),
+            0..3 => fleet.leave_polls_unanswered(index),
+            3 => (0..routers).for_each(|index| fleet.leave_polls_unanswered(index)),
+            4 => fleet.restart(index),
             5 => {
-                let cut = fleet.routers[place].cut;
-                fleet.set_cut(place, !cut);
+                let cut = fleet.routers[index].cut;
+                fleet.set_cut(index, !cut);
             }
             6 => fleet.set_store(StoreMode::Silent),
             7 => fleet.set_store(StoreMode::Available),
--- a/core/tests/watch_fleet/backup.rs
+++ b/core/tests/watch_fleet/backup.rs
@@ -74,8 +74,8 @@
                 continue;
             }
             match (before_restore.servers.get(name), restored.servers.get(name)) {
-                (Some((_, vm)), before) if before.map(|(_, vm)| vm) != Some(vm) => {
-                    self.latest_lives.insert(name.clone(), vm.incarnation);
+                (Some((_, vm)), restored_entry) if restored_entry.map(|(_, vm)| vm) != Some(vm) => {
+                    self.latest_incarnations.insert(name.clone(), vm.incarnation);
                     self.put_server_with_slots(name, vm.state, vm.slots);
                 }
                 (None, Some(_)) => self.remove_server(name),
--- a/core/tests/watch_fleet/checks.rs
+++ b/core/tests/watch_fleet/checks.rs
@@ -6,31 +6,31 @@
 impl Fleet {
     /// Checks every running router.
     pub(super) fn check(&mut self) {
-        for place in 0..self.routers.len() {
-            let router = &mut self.routers[place];
+        for index in 0..self.routers.len() {
+            let router = &mut self.routers[index];
             if !router.alive || router.frozen {
                 continue;
             }
-            let revision = router.node.vms_index();
-            let seen = (router.node.config_version(), revision);
+            let position = router.node.vms_index();
+            let applied = (router.node.config_version(), position);
             assert!(
-                seen.0 >= router.last_seen.0,
+                applied.0 >= router.last_applied.0,
                 "a router applied an older configuration after a newer one"
             );
             assert!(
-                seen.1 >= router.last_seen.1,
+                applied.1 >= router.last_applied.1,
                 "a router applied an older list of servers after a newer one"
             );
-            router.last_seen = seen;
-            self.check_leaving(place);
-            self.check_server_incarnations(place);
-            self.check_staleness(place);
+            router.last_applied = applied;
+            self.check_leaving(index);
+            self.check_server_incarnations(index);
+            self.check_staleness(index);
         }
     }
 
     /// Checks that a router uses no server that is leaving according to its copy of the list.
-    fn check_leaving(&self, place: usize) {
-        let node = &self.routers[place].node;
+    fn check_leaving(&self, index: usize) {
+        let node = &self.routers[index].node;
         let position = node.vms_index();
         for (name, (revision, vm)) in &self.servers {
             if vm.state == servers::VmState::Leaving && self.includes(position, *revision) {
@@ -41,15 +41,15 @@
                 });
                 assert!(
                     !live,
-                    "{name} is used by entry-{place} although its list includes that the server is leaving"
+                    "{name} is used by entry-{index} although its list includes that the server is leaving"
                 );
             }
         }
     }
 
     /// Checks that a router uses no earlier incarnation of a server if its copy of the list includes a later one.
-    fn check_server_incarnations(&self, place: usize) {
-        let node = &self.routers[place].node;
+    fn check_server_incarnations(&self, index: usize) {
+        let node = &self.routers[index].node;
         let position = node.vms_index();
         let included =
             |(_, entry): &(&String, &(u64, servers::Vm))| self.includes(position, entry.0);
@@ -60,24 +60,24 @@
                 );
             assert!(
                 !earlier,
-                "entry-{place} uses an earlier incarnation of {name} after revision {revision}"
+                "entry-{index} uses an earlier incarnation of {name} after revision {revision}"
             );
         }
     }
 
     /// Checks that a request is not dispatched to an earlier incarnation of a server than the router has in its table.
-    pub(super) fn check_answer(&self, place: usize, answer: &node::Answer) {
+    pub(super) fn check_answer(&self, index: usize, answer: &node::Answer) {
         let node::Answer::Dispatch { vm, incarnation, .. } = answer else { return };
-        let mut servers = self.routers[place].node.servers().iter();
+        let mut servers = self.routers[index].node.servers().iter();
         let later =
             servers.any(|(_, server)| server.vm.vm == *vm && server.vm.incarnation > *incarnation);
-        assert!(!later, "entry-{place} dispatches a request to an earlier incarnation of {vm}");
+        assert!(!later, "entry-{index} dispatches a request to an earlier incarnation of {vm}");
     }
 
     /// Checks that a router uses only servers that are listed at the revision of its copy. Its table also contains
     /// removed servers that back off, or that have open requests or had some until the last list.
-    fn check_content(&self, place: usize) {
-        let node = &self.routers[place].node;
+    fn check_content(&self, index: usize) {
+        let node = &self.routers[index].node;
         let position = node.vms_index();
         for (_, server) in node.servers().iter().filter(|(_, server)| server.is_live()) {
             let name = &server.vm.vm;
@@ -88,31 +88,31 @@
                 (changed == name).then_some(record)
             });
             let listed = matches!(last, Some(watch::ServerRecord::Listed(_)));
-            assert!(listed, "entry-{place} uses {name}, which is not listed at {position}");
+            assert!(listed, "entry-{index} uses {name}, which is not listed at {position}");
         }
     }
 
     /// Checks that a router applies a change of evacuations within the staleness bound of the configuration.
-    fn check_evacuations(&self, place: usize) {
-        let node = &self.routers[place].node;
+    fn check_evacuations(&self, index: usize) {
+        let node = &self.routers[index].node;
         let Some((at_ms, change)) = self.evacuations.last() else { return };
         let stale_ms = self.now_ms - at_ms;
         let applied = node.evacuated().contains(&change.domain) == change.evacuated;
         assert!(
             applied || stale_ms <= self.bounds.configuration_ms,
-            "entry-{place} has missed {change:?} for {stale_ms} ms"
+            "entry-{index} has missed {change:?} for {stale_ms} ms"
         );
     }
 
     /// Checks that a router without recent faults is within the staleness bounds of both topics.
-    fn check_staleness(&mut self, place: usize) {
-        let router = &self.routers[place];
+    fn check_staleness(&mut self, index: usize) {
+        let router = &self.routers[index];
         let undisturbed_ms = self.now_ms - router.last_fault_ms.max(self.store_last_fault_ms);
-        if undisturbed_ms < FAULT_RECOVERY_MS || !self.reaches_store(place) {
+        if undisturbed_ms < FAULT_RECOVERY_MS || !self.reaches_store(index) {
             return;
         }
-        self.check_content(place);
-        self.check_evacuations(place);
+        self.check_content(index);
+        self.check_evacuations(index);
         let missed = |change: &&Change| match change.topic {
             watch::Topic::Configuration => {
                 change.revision == self.config_revision
@@ -131,7 +131,7 @@
         let topic = oldest.topic;
         assert!(
             stale_ms <= bound_ms,
-            "entry-{place} has missed a change of {topic:?} for {stale_ms} ms at {}",
+            "entry-{index} has missed a change of {topic:?} for {stale_ms} ms at {}",
             self.now_ms,
         );
         let stalest = self.staleness_max_ms.entry(topic).or_default();
--- a/core/tests/watch_fleet/mod.rs
+++ b/core/tests/watch_fleet/mod.rs
@@ -37,7 +37,7 @@
 enum Event {
     Message { to: String, envelope: message::Envelope },
     Gossip { to: String, gossip: message::Gossip },
-    StoreReply { place: usize, incarnation: u64, call: ids::CallId, reply: store::Reply },
+    StoreReply { router: usize, incarnation: u64, call: ids::CallId, reply: store::Reply },
 }
 
 /// A poll that a router has sent and that has no outcome yet.
@@ -76,7 +76,7 @@
     /// Outcomes of polls that are on their way to the router.
     pending_outcomes: Vec<PendingOutcome>,
     /// The configuration version and the position of the server list at the last check.
-    last_seen: (u64, store::Position),
+    last_applied: (u64, store::Position),
     /// Events that arrived while the router was frozen.
     deferred: Vec<Event>,
 }
@@ -121,7 +121,7 @@
     pub value_calls: u64,
 
     /// The latest incarnation of each server, also of removed ones.
-    latest_lives: BTreeMap<String, ids::ServerIncarnation>,
+    latest_incarnations: BTreeMap<String, ids::ServerIncarnation>,
     /// Servers whose records are unreadable.
     unreadable: BTreeSet<String>,
     /// The evacuated failure domains, followed by every change of this set with its time.
@@ -174,7 +174,7 @@
             servers: BTreeMap::new(),
             values: BTreeMap::new(),
             value_calls: 0,
-            latest_lives: BTreeMap::new(),
+            latest_incarnations: BTreeMap::new(),
             unreadable: BTreeSet::new(),
             evacuated: BTreeSet::new(),
             evacuations: Vec::new(),
@@ -187,11 +187,11 @@
             rng: StdRng::seed_from_u64(seed),
             value_rng: StdRng::seed_from_u64(!seed),
         };
-        for place in 0..6 {
-            fleet.put_server(&format!("server-{place}"), servers::VmState::Live);
+        for index in 0..6 {
+            fleet.put_server(&format!("server-{index}"), servers::VmState::Live);
         }
-        for place in 0..routers {
-            let router = fleet.new_router(place);
+        for index in 0..routers {
+            let router = fleet.new_router(index);
             fleet.routers.push(router);
         }
         fleet
@@ -230,47 +230,47 @@
         self.store_last_fault_ms = self.now_ms;
     }
 
-    pub fn kill(&mut self, place: usize) {
-        self.routers[place].alive = false;
-        self.routers[place].open_polls.clear();
-        self.routers[place].pending_outcomes.clear();
+    pub fn kill(&mut self, index: usize) {
+        self.routers[index].alive = false;
+        self.routers[index].open_polls.clear();
+        self.routers[index].pending_outcomes.clear();
     }
 
-    pub fn restart(&mut self, place: usize) {
-        self.kill(place);
-        let router = self.new_router(place);
-        let partition = self.routers[place].partition;
-        self.routers[place] = router;
-        self.routers[place].partition = partition;
+    pub fn restart(&mut self, index: usize) {
+        self.kill(index);
+        let router = self.new_router(index);
+        let partition = self.routers[index].partition;
+        self.routers[index] = router;
+        self.routers[index].partition = partition;
     }
 
     /// Records that a fault of a router begins or ends now.
-    pub fn record_fault(&mut self, place: usize) {
-        self.routers[place].last_fault_ms = self.now_ms;
+    pub fn record_fault(&mut self, index: usize) {
+        self.routers[index].last_fault_ms = self.now_ms;
     }
 
-    pub fn set_frozen(&mut self, place: usize, frozen: bool) {
-        self.record_fault(place);
-        self.routers[place].frozen = frozen;
+    pub fn set_frozen(&mut self, index: usize, frozen: bool) {
+        self.record_fault(index);
+        self.routers[index].frozen = frozen;
         if !frozen {
-            for event in std::mem::take(&mut self.routers[place].deferred) {
+            for event in std::mem::take(&mut self.routers[index].deferred) {
                 self.deliver(event);
             }
         }
     }
 
-    pub fn set_cut(&mut self, place: usize, cut: bool) {
-        self.record_fault(place);
-        self.routers[place].cut = cut;
+    pub fn set_cut(&mut self, index: usize, cut: bool) {
+        self.record_fault(index);
+        self.routers[index].cut = cut;
     }
 
-    pub fn set_rejected_by_store(&mut self, place: usize, rejected_by_store: bool) {
-        self.record_fault(place);
-        self.routers[place].rejected_by_store = rejected_by_store;
+    pub fn set_rejected_by_store(&mut self, index: usize, rejected_by_store: bool) {
+        self.record_fault(index);
+        self.routers[index].rejected_by_store = rejected_by_store;
     }
 
     /// Delivers gossip with `digest` from a peer outside the fleet. The caller handles the node's resulting actions.
-    pub fn gossip_from_unknown_peer(&mut self, place: usize, digest: message::Digest) {
+    pub fn gossip_from_unknown_peer(&mut self, index: usize, digest: message::Digest) {
         let from = members::Record {
             id: ids::Incarnation(77),
             address: "10.9.9.9:1".to_owned(),
@@ -289,14 +289,14 @@
             limits: Vec::new(),
         };
         let now_ms = self.now_ms;
-        self.routers[place].node.handle_gossip(&gossip, now_ms);
+        self.routers[index].node.handle_gossip(&gossip, now_ms);
     }
 
     pub fn watchers(&self) -> Vec<usize> {
         let is_watcher = |router: &Router| {
             router.alive && router.node.watch_role() == Some(watch::Role::Watcher)
         };
-        (0..self.routers.len()).filter(|place| is_watcher(&self.routers[*place])).collect()
+        (0..self.routers.len()).filter(|index| is_watcher(&self.routers[*index])).collect()
     }
 
     pub fn run_ms(&mut self, time_ms: u64) {
@@ -307,10 +307,13 @@
     }
 
     /// Runs until `holds` returns true and returns the elapsed milliseconds; panics after `most_ms`.
-    pub fn run_until(&mut self, what: &str, most_ms: u64, holds: impl Fn(&Self) -> bool) -> u64 {
+    pub fn run_until(&mut self, what: &str, timeout_ms: u64, holds: impl Fn(&Self) -> bool) -> u64 {
         let from_ms = self.now_ms;
         while !holds(self) {
-            assert!(self.now_ms < from_ms + most_ms, "{what}: not reached within {most_ms} ms");
+            assert!(
+                self.now_ms < from_ms + timeout_ms,
+                "{what}: not reached within {timeout_ms} ms"
+            );
             self.step();
         }
         self.now_ms - from_ms
@@ -342,24 +345,24 @@
             let event = self.events.remove(&(at_ms, number)).unwrap();
             self.deliver(event);
         }
-        for place in 0..self.routers.len() {
-            if self.routers[place].alive && !self.routers[place].frozen {
-                self.deliver_outcomes(place);
-                self.routers[place].node.tick(self.now_ms);
-                self.perform_actions(place);
+        for index in 0..self.routers.len() {
+            if self.routers[index].alive && !self.routers[index].frozen {
+                self.deliver_outcomes(index);
+                self.routers[index].node.tick(self.now_ms);
+                self.perform_actions(index);
             }
         }
         self.check();
     }
 
-    fn new_router(&mut self, place: usize) -> Router {
+    fn new_router(&mut self, index: usize) -> Router {
         self.incarnations += 1;
-        let address = format!("10.0.0.{place}:1");
+        let address = format!("10.0.0.{index}:1");
         let settings = node::Settings {
             incarnation: ids::Incarnation(self.rng.random()),
-            vm: format!("entry-{place}"),
+            vm: format!("entry-{index}"),
             address: address.clone(),
-            failure_domain: format!("domain-{}", place % 4),
+            failure_domain: format!("domain-{}", index % 4),
             region: "region".to_owned(),
             seeds: (0..self.seeds).map(|seed| format!("10.0.0.{seed}:1")).collect(),
             started_s: 0,
@@ -382,7 +385,7 @@
             last_fault_ms: self.now_ms,
             open_polls: Vec::new(),
             pending_outcomes: Vec::new(),
-            last_seen: Default::default(),
+            last_applied: Default::default(),
             deferred: Vec::new(),
         }
     }
@@ -396,41 +399,41 @@
         self.history.push(Change { at_ms, revision, topic, server });
     }
 
-    pub fn perform_actions(&mut self, place: usize) {
-        for action in self.routers[place].node.take_actions() {
+    pub fn perform_actions(&mut self, index: usize) {
+        for action in self.routers[index].node.take_actions() {
             match action {
                 node::Action::Poll(poll) => {
-                    let router = &mut self.routers[place];
+                    let router = &mut self.routers[index];
                     let unanswered = self.store == StoreMode::Silent;
                     router.open_polls.push(OpenPoll { poll, sent_ms: self.now_ms, unanswered });
                     self.calls += u64::from(!router.cut);
                 }
-                node::Action::Announce => self.announce(place),
+                node::Action::Announce => self.announce(index),
                 node::Action::Send { address, envelope } => {
-                    self.send(place, address.clone(), Event::Message { to: address, envelope });
+                    self.send(index, address.clone(), Event::Message { to: address, envelope });
                 }
                 node::Action::Gossip { address, gossip } => {
                     let lost = self.rng.random_range(0..100) < self.loss_percent;
                     let to = address.clone();
                     match lost {
                         true => {}
-                        false => self.send(place, to, Event::Gossip { to: address, gossip }),
+                        false => self.send(index, to, Event::Gossip { to: address, gossip }),
                     }
                 }
-                node::Action::Store { call, request } => self.call_store(place, call, &request),
+                node::Action::Store { call, request } => self.call_store(index, call, &request),
                 node::Action::Answer { slot, answer } => {
-                    self.check_answer(place, &answer);
-                    let incarnation = self.routers[place].incarnation;
-                    self.answers.push((place, incarnation, slot, answer));
+                    self.check_answer(index, &answer);
+                    let incarnation = self.routers[index].incarnation;
+                    self.answers.push((index, incarnation, slot, answer));
                 }
                 _ => {}
             }
         }
     }
 
-    fn call_store(&mut self, place: usize, call: ids::CallId, request: &store::Request) {
+    fn call_store(&mut self, index: usize, call: ids::CallId, request: &store::Request) {
         self.value_calls += 1;
-        let answered = self.reaches_store(place);
+        let answered = self.reaches_store(index);
         let reply = match (answered, request) {
             (false, _) => store::Reply::Unknown,
             (true, store::Request::Read { key }) => match self.values.get(key).cloned() {
@@ -459,28 +462,28 @@
         } else {
             CALL_TIMEOUT_MS
         };
-        let incarnation = self.routers[place].incarnation;
+        let incarnation = self.routers[index].incarnation;
         self.next_event += 1;
-        let event = Event::StoreReply { place, incarnation, call, reply };
+        let event = Event::StoreReply { router: index, incarnation, call, reply };
         self.events.insert((self.now_ms + delay_ms, self.next_event), event);
     }
 
-    fn announce(&mut self, place: usize) {
-        if !self.reaches_store(place) {
+    fn announce(&mut self, index: usize) {
+        if !self.reaches_store(index) {
             return;
         }
         self.calls += 2;
         let addresses = self.announced.iter().cloned().collect();
-        self.announced.insert(self.routers[place].address.clone());
-        self.routers[place].node.offer_seeds(addresses);
+        self.announced.insert(self.routers[index].address.clone());
+        self.routers[index].node.offer_seeds(addresses);
     }
 
     /// Whether a router has been running without a fault, unpartitioned and connected to the store for `FAULT_RECOVERY_MS`.
-    pub fn must_meet_bounds(&self, place: usize) -> bool {
-        let router = &self.routers[place];
+    pub fn must_meet_bounds(&self, index: usize) -> bool {
+        let router = &self.routers[index];
         let undisturbed_ms = self.now_ms - router.last_fault_ms;
         let running = router.alive && !router.frozen && router.partition == 0;
-        running && undisturbed_ms >= FAULT_RECOVERY_MS && self.reaches_store(place)
+        running && undisturbed_ms >= FAULT_RECOVERY_MS && self.reaches_store(index)
     }
 
     fn send(&mut self, from: usize, to: String, event: Event) {
@@ -495,16 +498,16 @@
     }
 
     fn deliver(&mut self, event: Event) {
-        let place = match &event {
+        let index = match &event {
             Event::Message { to, .. } | Event::Gossip { to, .. } => {
                 self.routers.iter().position(|router| router.address == *to)
             }
-            Event::StoreReply { place, incarnation, .. } => {
-                Some(*place).filter(|place| self.routers[*place].incarnation == *incarnation)
+            Event::StoreReply { router, incarnation, .. } => {
+                Some(*router).filter(|index| self.routers[*index].incarnation == *incarnation)
             }
         };
-        let Some(place) = place else { return };
-        let router = &mut self.routers[place];
+        let Some(index) = index else { return };
+        let router = &mut self.routers[index];
         if !router.alive {
             return;
         }
@@ -519,7 +522,7 @@
                 router.node.handle_store_reply(call, reply, self.now_ms);
             }
         }
-        self.perform_actions(place);
+        self.perform_actions(index);
     }
 }
 
--- a/core/tests/watch_fleet/store.rs
+++ b/core/tests/watch_fleet/store.rs
@@ -20,7 +20,11 @@
             failure_domain: "a".to_owned(),
             state,
             slots,
-            incarnation: self.latest_lives.get(name).copied().unwrap_or(ids::ServerIncarnation(1)),
+            incarnation: self
+                .latest_incarnations
+                .get(name)
+                .copied()
+                .unwrap_or(ids::ServerIncarnation(1)),
             cold_ms: 0,
         };
         self.revision += 1;
@@ -48,7 +52,7 @@
 
     /// Like `restart_server`, with the number of requests that the server runs at once.
     pub fn restart_server_with_slots(&mut self, name: &str, state: servers::VmState, slots: u64) {
-        self.latest_lives.entry(name.to_owned()).or_insert(ids::ServerIncarnation(1)).0 += 1;
+        self.latest_incarnations.entry(name.to_owned()).or_insert(ids::ServerIncarnation(1)).0 += 1;
         self.put_server_with_slots(name, state, slots);
     }
 
@@ -86,27 +90,27 @@
     }
 
     /// Leaves the open polls of a router unanswered forever.
-    pub fn leave_polls_unanswered(&mut self, place: usize) {
-        self.record_fault(place);
-        for open in &mut self.routers[place].open_polls {
+    pub fn leave_polls_unanswered(&mut self, index: usize) {
+        self.record_fault(index);
+        for open in &mut self.routers[index].open_polls {
             open.unanswered = true;
         }
     }
 
-    pub(super) fn reaches_store(&self, place: usize) -> bool {
-        let router = &self.routers[place];
+    pub(super) fn reaches_store(&self, index: usize) -> bool {
+        let router = &self.routers[index];
         self.store == StoreMode::Available && !router.cut && !router.rejected_by_store
     }
 
     /// Answers the open polls of a router and delivers the outcomes whose transit time is over.
-    pub(super) fn deliver_outcomes(&mut self, place: usize) {
-        for open in std::mem::take(&mut self.routers[place].open_polls) {
-            let answer = self.answer(place, &open);
-            let router = &self.routers[place];
+    pub(super) fn deliver_outcomes(&mut self, index: usize) {
+        for open in std::mem::take(&mut self.routers[index].open_polls) {
+            let answer = self.answer(index, &open);
+            let router = &self.routers[index];
             let answered = !open.unanswered && !router.cut && self.store != StoreMode::Silent;
             let era = self.era;
             let arrives_ms = self.now_ms + self.rng.random_range(0..=self.answer_delay_max_ms);
-            let router = &mut self.routers[place];
+            let router = &mut self.routers[index];
             match answer {
                 Some(outcome) => router.pending_outcomes.push(PendingOutcome {
                     arrives_ms,
@@ -118,36 +122,36 @@
             }
         }
         let now_ms = self.now_ms;
-        let arrived: Vec<_> = self.routers[place]
+        let arrived: Vec<_> = self.routers[index]
             .pending_outcomes
             .extract_if(.., |pending| pending.arrives_ms <= now_ms)
             .collect();
         for PendingOutcome { era, poll, outcome, .. } in arrived {
-            let node = &mut self.routers[place].node;
+            let node = &mut self.routers[index].node;
             if let Some(era) = era {
                 node.handle_store_era(era, now_ms);
             }
             node.poll_ended(poll, outcome, now_ms);
-            self.perform_actions(place);
+            self.perform_actions(index);
         }
     }
 
     /// The outcome of an open poll, or `None` while the store lets it wait.
-    fn answer(&self, place: usize, open: &OpenPoll) -> Option<watch::Outcome> {
+    fn answer(&self, index: usize, open: &OpenPoll) -> Option<watch::Outcome> {
         let OpenPoll { poll, sent_ms, unanswered } = open;
         let waited_ms = self.now_ms - sent_ms;
-        let router = &self.routers[place];
+        let router = &self.routers[index];
         if *unanswered || router.cut || self.store == StoreMode::Silent {
-            let over = waited_ms >= poll.wait_ms + CALL_TIMEOUT_MS;
-            return over.then_some(watch::Outcome::NoAnswer);
+            let timed_out = waited_ms >= poll.wait_ms + CALL_TIMEOUT_MS;
+            return timed_out.then_some(watch::Outcome::NoAnswer);
         }
         if router.rejected_by_store || self.store == StoreMode::Rejecting {
             return Some(watch::Outcome::Rejected);
         }
-        let unknown = |after: store::Position| {
+        let outside_history = |after: store::Position| {
             after.revision < self.history_start || after.revision > self.revision
         };
-        if poll.after.is_some_and(unknown) {
+        if poll.after.is_some_and(outside_history) {
             return Some(watch::Outcome::HistoryLost);
         }
         let update = self.update_since(poll);
--- a/core/tests/watch_fleet/traffic.rs
+++ b/core/tests/watch_fleet/traffic.rs
@@ -26,8 +26,8 @@
         let mut rng = StdRng::seed_from_u64(seed ^ salt);
         let mut fleet = Fleet::with_service(routers, 3, BOUNDS, seed);
         fleet.loss_percent = rng.random_range(0..15);
-        for place in 0..6 {
-            fleet.remove_server(&format!("server-{place}"));
+        for index in 0..6 {
+            fleet.remove_server(&format!("server-{index}"));
         }
         Self { fleet, rng, per_s: 0, due_milli: 0, keys: 0 }
     }
@@ -42,18 +42,18 @@
 
     /// Submits a request to a random running router, if there is one. The fleet records its answer in `answers`.
     pub fn submit(&mut self) -> Option<RequestHandle> {
-        let running = |place: &usize| {
-            let router = &self.fleet.routers[*place];
+        let running = |index: &usize| {
+            let router = &self.fleet.routers[*index];
             router.alive && !router.frozen
         };
-        let places: Vec<usize> = (0..self.fleet.routers.len()).filter(running).collect();
-        let place = *places.choose(&mut self.rng)?;
+        let candidates: Vec<usize> = (0..self.fleet.routers.len()).filter(running).collect();
+        let index = *candidates.choose(&mut self.rng)?;
         let request = self.next_request();
         let now_ms = self.fleet.now_ms;
-        let router = &mut self.fleet.routers[place];
+        let router = &mut self.fleet.routers[index];
         let slot = router.node.admit(request, now_ms);
-        let handle = (place, router.incarnation, slot);
-        self.fleet.perform_actions(place);
+        let handle = (index, router.incarnation, slot);
+        self.fleet.perform_actions(index);
         Some(handle)
     }
 
@@ -84,32 +84,32 @@
     }
 
     /// Begins or ends a fault of a router or the store; `number` chooses it, from 0 to 10.
-    pub fn inject_fault(&mut self, place: usize, number: u32) {
+    pub fn inject_fault(&mut self, index: usize, number: u32) {
         match number {
-            0 | 1 => self.fleet.restart(place),
-            2 => self.fleet.set_frozen(place, true),
-            3 | 4 => self.fleet.set_frozen(place, false),
-            5 => self.fleet.set_cut(place, true),
-            6 => self.fleet.set_cut(place, false),
+            0 | 1 => self.fleet.restart(index),
+            2 => self.fleet.set_frozen(index, true),
+            3 | 4 => self.fleet.set_frozen(index, false),
+            5 => self.fleet.set_cut(index, true),
+            6 => self.fleet.set_cut(index, false),
             7 => self.fleet.set_store(StoreMode::Rejecting),
             8 => self.fleet.set_store(StoreMode::Available),
-            9 => self.set_partition(place, 1),
-            _ => self.set_partition(place, 0),
+            9 => self.set_partition(index, 1),
+            _ => self.set_partition(index, 0),
         }
     }
 
-    pub fn set_partition(&mut self, place: usize, partition: u64) {
-        self.fleet.routers[place].partition = partition;
-        self.fleet.record_fault(place);
+    pub fn set_partition(&mut self, index: usize, partition: u64) {
+        self.fleet.routers[index].partition = partition;
+        self.fleet.record_fault(index);
     }
 
     /// Ends all faults.
     pub fn end_faults(&mut self) {
         self.fleet.set_store(StoreMode::Available);
-        for place in 0..self.fleet.routers.len() {
-            self.fleet.set_frozen(place, false);
-            self.fleet.set_cut(place, false);
-            self.set_partition(place, 0);
+        for index in 0..self.fleet.routers.len() {
+            self.fleet.set_frozen(index, false);
+            self.fleet.set_cut(index, false);
+            self.set_partition(index, 0);
         }
     }
 }
--- a/core/tests/watching.rs
+++ b/core/tests/watching.rs
@@ -84,9 +84,9 @@
                 let mut fleet = up_to_date_fleet($routers, $bounds, seed);
                 let watchers = fleet.watchers();
                 assert!(!watchers.is_empty());
-                for place in watchers {
+                for index in watchers {
                     let fail: fn(&mut Fleet, usize) = $fail;
-                    fail(&mut fleet, place);
+                    fail(&mut fleet, index);
                 }
                 let before = fleet.calls;
                 change(&mut fleet);
@@ -100,23 +100,23 @@
 }
 
 watchers_fail! {
-    both_watchers_are_killed: 40, BOUNDS, |fleet, place| fleet.kill(place);
-    both_watchers_freeze: 40, BOUNDS, |fleet, place| fleet.set_frozen(place, true);
-    both_watchers_are_cut_from_the_store: 40, BOUNDS, |fleet, place| fleet.set_cut(place, true);
-    both_watchers_are_rejected_by_the_store: 40, BOUNDS, |fleet, place| fleet.set_rejected_by_store(place, true);
-    both_watchers_are_cut_with_a_tight_bound: 40, TIGHT, |fleet, place| fleet.set_cut(place, true);
-    both_watchers_are_killed_in_a_fleet_of_295: 295, BOUNDS, |fleet, place| fleet.kill(place);
+    both_watchers_are_killed: 40, BOUNDS, |fleet, index| fleet.kill(index);
+    both_watchers_freeze: 40, BOUNDS, |fleet, index| fleet.set_frozen(index, true);
+    both_watchers_are_cut_from_the_store: 40, BOUNDS, |fleet, index| fleet.set_cut(index, true);
+    both_watchers_are_rejected_by_the_store: 40, BOUNDS, |fleet, index| fleet.set_rejected_by_store(index, true);
+    both_watchers_are_cut_with_a_tight_bound: 40, TIGHT, |fleet, index| fleet.set_cut(index, true);
+    both_watchers_are_killed_in_a_fleet_of_295: 295, BOUNDS, |fleet, index| fleet.kill(index);
 }
 
 #[test]
 fn polls_decrease_again_after_the_watchers_reach_the_store() {
     let mut fleet = up_to_date_fleet(40, BOUNDS, 5);
-    for place in fleet.watchers() {
-        fleet.set_cut(place, true);
+    for index in fleet.watchers() {
+        fleet.set_cut(index, true);
     }
     fleet.run_ms(8_000);
-    for place in 0..40 {
-        fleet.set_cut(place, false);
+    for index in 0..40 {
+        fleet.set_cut(index, false);
     }
     fleet.run_ms(2_000);
     let calls = calls_in(&mut fleet, 10_000);
@@ -176,8 +176,8 @@
 #[test]
 fn both_sides_of_a_network_partition_follow_the_store_and_merge_afterwards() {
     let mut fleet = up_to_date_fleet(40, BOUNDS, 9);
-    for place in 0..40 {
-        fleet.routers[place].partition = (place % 2) as u64;
+    for index in 0..40 {
+        fleet.routers[index].partition = (index % 2) as u64;
     }
     for _ in 0..8 {
         change(&mut fleet);
@@ -193,7 +193,7 @@
 #[test]
 fn a_router_that_is_isolated_from_its_peers_polls_the_store() {
     let mut fleet = up_to_date_fleet(40, BOUNDS, 10);
-    let isolated = (0..40).find(|place| !fleet.watchers().contains(place)).unwrap();
+    let isolated = (0..40).find(|index| !fleet.watchers().contains(index)).unwrap();
     fleet.routers[isolated].partition = 1;
     for _ in 0..6 {
         change(&mut fleet);
@@ -210,9 +210,9 @@
 fn a_router_that_starts_among_peers_without_the_store_is_up_to_date_in_time() {
     for seed in 0..20 {
         let mut fleet = up_to_date_fleet(17, SHORT, seed);
-        for place in 0..3 {
-            fleet.routers[place].partition = 1;
-            fleet.set_cut(place, place > 0);
+        for index in 0..3 {
+            fleet.routers[index].partition = 1;
+            fleet.set_cut(index, index > 0);
         }
         fleet.kill(0);
         fleet.run_ms(500);
@@ -232,8 +232,8 @@
         fn $name() {
             for seed in 0..3 {
                 let mut fleet = up_to_date_fleet($routers, SHORT, seed);
-                for place in 1..$routers {
-                    fleet.set_cut(place, true);
+                for index in 1..$routers {
+                    fleet.set_cut(index, true);
                 }
                 for _ in 0..4 {
                     change(&mut fleet);
@@ -318,24 +318,24 @@
     fleet.answer_delay_max_ms = rng.random_range(20..300);
     fleet.run_ms(5_000);
     for _ in 0..60 {
-        let place = rng.random_range(0..routers);
+        let index = rng.random_range(0..routers);
         let name = format!("server-{}", rng.random_range(0..12));
         match rng.random_range(0..16) {
-            0 => fleet.restart(place),
-            1 => fleet.kill(place),
+            0 => fleet.restart(index),
+            1 => fleet.kill(index),
             2 => {
-                let frozen = fleet.routers[place].frozen;
-                fleet.set_frozen(place, !frozen);
+                let frozen = fleet.routers[index].frozen;
+                fleet.set_frozen(index, !frozen);
             }
             3 => {
-                let cut = fleet.routers[place].cut;
-                fleet.set_cut(place, !cut);
+                let cut = fleet.routers[index].cut;
+                fleet.set_cut(index, !cut);
             }
             4 => {
-                let rejected_by_store = fleet.routers[place].rejected_by_store;
-                fleet.set_rejected_by_store(place, !rejected_by_store);
+                let rejected_by_store = fleet.routers[index].rejected_by_store;
+                fleet.set_rejected_by_store(index, !rejected_by_store);
             }
-            5 => fleet.routers[place].partition = rng.random_range(0..3),
+            5 => fleet.routers[index].partition = rng.random_range(0..3),
             6 => fleet.set_store(StoreMode::Rejecting),
             7 => fleet.set_store(StoreMode::Silent),
             8 | 9 => fleet.set_store(StoreMode::Available),
@@ -347,8 +347,8 @@
             _ => fleet.write_unwatched_key(),
         }
         // Some killed routers stay down for several steps, as restarts at once would hide the effects of a lost router.
-        if !fleet.routers[place].alive && rng.random_range(0..2) == 0 {
-            fleet.restart(place);
+        if !fleet.routers[index].alive && rng.random_range(0..2) == 0 {
+            fleet.restart(index);
         }
         fleet.run_ms(rng.random_range(20..2_500));
     }
--- a/core/tests/withheld.rs
+++ b/core/tests/withheld.rs
@@ -40,11 +40,11 @@
 /// outage and started again at its end.
 fn restore(world: &mut World, backup: &world::Backup, killed: std::ops::Range<usize>) {
     world.faults.store_unavailable = true;
-    killed.clone().for_each(|at| world.kill(at));
+    killed.clone().for_each(|router| world.kill(router));
     world.run_ms(500);
     world.restore_ledger(backup);
     world.faults.store_unavailable = false;
-    killed.for_each(|at| world.restart(at, true));
+    killed.for_each(|router| world.restart(router, true));
     world.run_ms(1_500);
 }
 
@@ -66,11 +66,11 @@
     let backup = world.back_up_ledger();
     spend(&mut world, 60);
     world.faults.store_unavailable = true;
-    (0..ROUTERS).for_each(|at| world.kill(at));
+    (0..ROUTERS).for_each(|router| world.kill(router));
     world.restore_ledger(&backup);
     world.store.retain(|key, _| !key.starts_with(ledger::PREFIX));
     world.faults.store_unavailable = false;
-    (0..ROUTERS).for_each(|at| world.restart(at, true));
+    (0..ROUTERS).for_each(|router| world.restart(router, true));
     world.run_ms(3_000);
     spend(&mut world, 60);
     let refused = End::Refused(node::Reason::BudgetExhausted);
@@ -146,14 +146,14 @@
     let mut lowered = ledger::Budget { paid_tokens: 5_000, paid_version: 7, ..budget };
     lowered.withheld = ledger::Withheld::default();
     let id = doorswitch_core::ids::Incarnation(1);
-    let known = ledger::Shard {
+    let last_seen = ledger::Shard {
         era: Some(0),
         writes: [(id, 1)].into(),
         budgets: [("w/main".to_owned(), lowered)].into(),
         ..Default::default()
     };
-    let known = (store::Position::new(0, 9), known);
-    let recovered = restored.recover(store::Position::new(1, 5), Some(&known), true).unwrap();
+    let last_seen = (store::Position::new(0, 9), last_seen);
+    let recovered = restored.recover(store::Position::new(1, 5), Some(&last_seen), true).unwrap();
     assert_eq!(recovered.budgets["w/main"].undrawn_tokens(), 0);
 }
 
--- a/core/tests/world/checks.rs
+++ b/core/tests/world/checks.rs
@@ -42,7 +42,7 @@
             let settled = matches!(state, Some(log_index::IdState::Settled { .. }));
 
             // An end that was not durably recorded is lost only if its router was killed.
-            let lost = !safe && self.routers[request.at].incarnation != request.incarnation;
+            let lost = !safe && self.routers[request.router].incarnation != request.incarnation;
             assert!(settled || lost, "request {} ended and was not billed", request.key);
         }
         let billed_requests: u64 = log.totals().map(|(_, _, totals)| totals.billed_requests).sum();
--- a/core/tests/world/faults.rs
+++ b/core/tests/world/faults.rs
@@ -42,12 +42,12 @@
 }
 
 impl World {
-    pub fn connected(&self, one: usize, other: usize) -> bool {
-        !self.faults.pairs_cut.contains(&(one.min(other), one.max(other)))
+    pub fn connected(&self, first: usize, second: usize) -> bool {
+        !self.faults.pairs_cut.contains(&(first.min(second), first.max(second)))
     }
 
-    pub fn reaches_store(&self, at: usize) -> bool {
-        !self.faults.store_unavailable && !self.faults.store_cut.contains(&at)
+    pub fn reaches_store(&self, router: usize) -> bool {
+        !self.faults.store_unavailable && !self.faults.store_cut.contains(&router)
     }
 
     pub(super) fn chance(&mut self, percent: u32) -> bool {
@@ -140,23 +140,23 @@
     }
 
     /// Sends to an address: the router that has it when the message arrives receives the message, as in a real network.
-    pub(super) fn send(&mut self, at: usize, address: &str, envelope: message::Envelope) {
+    pub(super) fn send(&mut self, from: usize, address: &str, envelope: message::Envelope) {
         // Ledger copies use a separate generator, so that they do not change the schedules of existing seeds.
         let is_copy = matches!(envelope.message, message::Message::LedgerCopy { .. });
         if is_copy {
             std::mem::swap(&mut self.rng, &mut self.ledger_copy_rng);
         }
-        self.send_message(at, address, envelope);
+        self.send_message(from, address, envelope);
         if is_copy {
             std::mem::swap(&mut self.rng, &mut self.ledger_copy_rng);
         }
     }
 
-    fn send_message(&mut self, at: usize, address: &str, envelope: message::Envelope) {
+    fn send_message(&mut self, from: usize, address: &str, envelope: message::Envelope) {
         let Some(to) = self.routers.iter().position(|router| router.address == address) else {
             return;
         };
-        if !self.connected(at, to) || self.chance(self.faults.lose_messages_percent) {
+        if !self.connected(from, to) || self.chance(self.faults.lose_messages_percent) {
             return;
         }
         let times = if self.chance(self.faults.repeat_messages_percent) { 2 } else { 1 };
@@ -167,11 +167,11 @@
         }
     }
 
-    pub(super) fn send_gossip(&mut self, at: usize, address: &str, gossip: message::Gossip) {
+    pub(super) fn send_gossip(&mut self, from: usize, address: &str, gossip: message::Gossip) {
         let Some(to) = self.routers.iter().position(|router| router.address == address) else {
             return;
         };
-        if !self.connected(at, to) || self.chance(self.faults.lose_messages_percent) {
+        if !self.connected(from, to) || self.chance(self.faults.lose_messages_percent) {
             return;
         }
         let delay_ms = self.delay_ms();
--- a/core/tests/world/mod.rs
+++ b/core/tests/world/mod.rs
@@ -45,7 +45,7 @@
         gossip: message::Gossip,
     },
     Served {
-        at: usize,
+        router: usize,
         incarnation: ids::Incarnation,
         slot: ids::RequestSlot,
     },
@@ -71,7 +71,7 @@
 /// A request that was submitted to a router, and its progress.
 #[derive(Clone, Debug)]
 pub struct SubmittedRequest {
-    pub at: usize,
+    pub router: usize,
     pub incarnation: ids::Incarnation,
     pub key: ids::RequestKey,
     pub budget: usize,
@@ -134,11 +134,11 @@
     /// A fleet of six routers in which one router holds the tokens of the first budget, and two those of the second.
     pub fn few_holders() -> Self {
         let mut shape = Self { routers: 6, ..Self::default() };
-        for (place, budget) in shape.budgets.iter_mut().enumerate() {
+        for (index, budget) in shape.budgets.iter_mut().enumerate() {
             budget.cover_s = 10;
             budget.minimum_grant_tokens = 0;
             budget.held_percent = 30;
-            budget.holders = place as u64 + 1;
+            budget.holders = index as u64 + 1;
         }
         shape
     }
@@ -252,14 +252,14 @@
             world.pay(budget, world.shape.paid_tokens);
         }
         world.publish();
-        for place in 0..world.shape.routers {
-            let vm = format!("entry-{place}");
-            let router = world.new_router(place, vm, format!("10.0.0.{place}:1"));
+        for index in 0..world.shape.routers {
+            let vm = format!("entry-{index}");
+            let router = world.new_router(index, vm, format!("10.0.0.{index}:1"));
             world.routers.push(router);
         }
         world.list_routers();
-        for place in 0..world.routers.len() {
-            world.deliver_platform_state(place);
+        for index in 0..world.routers.len() {
+            world.deliver_platform_state(index);
         }
         world
     }
@@ -285,20 +285,20 @@
             let event = self.events.remove(&(at_ms, number)).unwrap();
             self.deliver(event);
         }
-        for place in 0..self.routers.len() {
-            if self.routers[place].alive && !self.routers[place].paused {
+        for index in 0..self.routers.len() {
+            if self.routers[index].alive && !self.routers[index].paused {
                 // The platform's state is polled once a second while the store is reachable.
-                if (self.now_ms / TICK_MS + place as u64).is_multiple_of(50) {
-                    self.deliver_platform_state(place);
+                if (self.now_ms / TICK_MS + index as u64).is_multiple_of(50) {
+                    self.deliver_platform_state(index);
                 }
                 // Polls end when the store becomes unavailable; the next answer contains its era.
-                if (self.now_ms / TICK_MS + place as u64).is_multiple_of(5)
-                    && self.reaches_store(place)
+                if (self.now_ms / TICK_MS + index as u64).is_multiple_of(5)
+                    && self.reaches_store(index)
                 {
-                    self.routers[place].node.handle_store_era(self.era, self.now_ms);
+                    self.routers[index].node.handle_store_era(self.era, self.now_ms);
                 }
-                self.routers[place].node.tick(self.now_ms);
-                self.perform_actions(place);
+                self.routers[index].node.tick(self.now_ms);
+                self.perform_actions(index);
             }
         }
         self.check();
@@ -307,15 +307,15 @@
     /// Submits a request to a router; returns its index in `requests`, or `None` if the router is killed or paused.
     pub fn admit(
         &mut self,
-        at: usize,
+        router: usize,
         budget: usize,
         key: u64,
         bound_tokens: u64,
         actual_tokens: u64,
         unrepeatable: bool,
     ) -> Option<usize> {
-        let router = &self.routers[at];
-        if !router.alive || router.paused {
+        let target = &self.routers[router];
+        if !target.alive || target.paused {
             return None;
         }
         let key = ids::RequestKey { high: key, low: budget as u64 };
@@ -335,10 +335,10 @@
             parts: Vec::new(),
             deadline_ms: self.now_ms + self.deadline_ms,
         };
-        let incarnation = router.incarnation;
-        let slot = self.routers[at].node.admit(admission, self.now_ms);
+        let incarnation = target.incarnation;
+        let slot = self.routers[router].node.admit(admission, self.now_ms);
         let request = SubmittedRequest {
-            at,
+            router,
             incarnation,
             key,
             budget,
@@ -352,10 +352,10 @@
             end: None,
         };
         self.requests.push(request);
-        let place = self.requests.len() - 1;
-        self.by_slot.insert((incarnation, slot), place);
-        self.perform_actions(at);
-        Some(place)
+        let index = self.requests.len() - 1;
+        self.by_slot.insert((incarnation, slot), index);
+        self.perform_actions(router);
+        Some(index)
     }
 
     /// Adds tokens to a budget, as an operator's command does.
@@ -439,7 +439,7 @@
         let to = match &event {
             Event::StoreReply { to, .. } | Event::Message { to, .. } => Some(*to),
             Event::Gossip { to, .. } => Some(*to),
-            Event::Served { at, .. } => Some(*at),
+            Event::Served { router, .. } => Some(*router),
             Event::StoreCall { .. } | Event::VmGone { .. } => None,
         };
         if let Some(to) = to {
@@ -469,7 +469,9 @@
                 self.routers[to].node.handle_gossip(&gossip, self.now_ms);
                 self.perform_actions(to);
             }
-            Event::Served { at, incarnation, slot } => self.finish_request(at, incarnation, slot),
+            Event::Served { router, incarnation, slot } => {
+                self.finish_request(router, incarnation, slot)
+            }
             Event::VmGone { vm } => {
                 self.vms.retain(|listed| listed.vm != vm);
                 self.vms_index += 1;
@@ -477,12 +479,17 @@
         }
     }
 
-    fn finish_request(&mut self, at: usize, incarnation: ids::Incarnation, slot: ids::RequestSlot) {
-        let Some(place) = self.by_slot.get(&(incarnation, slot)).copied() else { return };
-        if self.routers[at].incarnation != incarnation || !self.requests[place].running {
+    fn finish_request(
+        &mut self,
+        router: usize,
+        incarnation: ids::Incarnation,
+        slot: ids::RequestSlot,
+    ) {
+        let Some(index) = self.by_slot.get(&(incarnation, slot)).copied() else { return };
+        if self.routers[router].incarnation != incarnation || !self.requests[index].running {
             return;
         }
-        let request = &mut self.requests[place];
+        let request = &mut self.requests[index];
         request.running = false;
         let consumed_tokens = request.actual_tokens;
         let outcome = request.unrepeatable.then(|| log_index::Outcome {
@@ -494,20 +501,24 @@
         totals.outstanding_tokens -= request.bound_tokens;
         totals.served_tokens += consumed_tokens;
         let request_outcome = node::RequestOutcome::Ran { consumed_tokens, outcome, healthy: true };
-        self.routers[at].node.finish(slot, request_outcome, self.now_ms);
-        self.perform_actions(at);
+        self.routers[router].node.finish(slot, request_outcome, self.now_ms);
+        self.perform_actions(router);
     }
 
-    fn perform_actions(&mut self, at: usize) {
-        let incarnation = self.routers[at].incarnation;
-        for action in self.routers[at].node.take_actions() {
+    fn perform_actions(&mut self, router: usize) {
+        let incarnation = self.routers[router].incarnation;
+        for action in self.routers[router].node.take_actions() {
             match action {
                 node::Action::Store { call, request } => {
-                    self.call_store(at, incarnation, call, request)
+                    self.call_store(router, incarnation, call, request)
+                }
+                node::Action::Send { address, envelope } => self.send(router, &address, envelope),
+                node::Action::Gossip { address, gossip } => {
+                    self.send_gossip(router, &address, gossip)
+                }
+                node::Action::Answer { slot, answer } => {
+                    self.answer(router, incarnation, slot, answer)
                 }
-                node::Action::Send { address, envelope } => self.send(at, &address, envelope),
-                node::Action::Gossip { address, gossip } => self.send_gossip(at, &address, gossip),
-                node::Action::Answer { slot, answer } => self.answer(at, incarnation, slot, answer),
                 node::Action::Notice(notice) => {
                     if let node::Notice::TerminatedHolderClosed { written_off_tokens, .. } = &notice
                     {
@@ -526,15 +537,15 @@
 
     fn answer(
         &mut self,
-        at: usize,
+        router: usize,
         incarnation: ids::Incarnation,
         slot: ids::RequestSlot,
         answer: node::Answer,
     ) {
         // A request that is refused inside `admit` is answered before its slot is in `by_slot`.
-        let place =
+        let index =
             self.by_slot.get(&(incarnation, slot)).copied().unwrap_or(self.requests.len() - 1);
-        let request = &mut self.requests[place];
+        let request = &mut self.requests[index];
         match answer {
             node::Answer::Dispatch { .. } => {
                 request.dispatched = true;
@@ -550,7 +561,7 @@
                     );
                 }
                 let time_ms = self.serve_ms;
-                self.schedule(time_ms, Event::Served { at, incarnation, slot });
+                self.schedule(time_ms, Event::Served { router, incarnation, slot });
             }
             node::Answer::Refuse { reason, retry_after_ms } => {
                 assert!(
@@ -559,7 +570,7 @@
                 );
                 request.retry_after_ms = retry_after_ms;
                 request.end = Some(End::Refused(reason));
-                self.refusals.push(place);
+                self.refusals.push(index);
             }
             node::Answer::Replay(_) => request.end = Some(End::Replayed),
             node::Answer::Closed { safe } => request.end = Some(End::Closed { safe }),
--- a/core/tests/world/router_lifecycle.rs
+++ b/core/tests/world/router_lifecycle.rs
@@ -7,14 +7,14 @@
 
 impl World {
     /// Kills a router. The engines finish its requests, so their tokens count as served at once.
-    pub fn kill(&mut self, at: usize) {
-        if !self.routers[at].alive {
+    pub fn kill(&mut self, router: usize) {
+        if !self.routers[router].alive {
             return;
         }
         self.kills += 1;
-        self.routers[at].alive = false;
-        self.routers[at].deferred.clear();
-        let incarnation = self.routers[at].incarnation;
+        self.routers[router].alive = false;
+        self.routers[router].deferred.clear();
+        let incarnation = self.routers[router].incarnation;
         for request in self
             .requests
             .iter_mut()
@@ -29,11 +29,11 @@
 
     /// Starts a killed router again, either at its old address or on a new VM. In the latter case, the platform removes
     /// the old VM from its list after `vm_removal_delay_ms`.
-    pub fn restart(&mut self, at: usize, same_address: bool) {
-        if self.routers[at].alive {
+    pub fn restart(&mut self, router: usize, same_address: bool) {
+        if self.routers[router].alive {
             return;
         }
-        let old = (self.routers[at].vm.clone(), self.routers[at].address.clone());
+        let old = (self.routers[router].vm.clone(), self.routers[router].address.clone());
         let (vm, address) = match same_address {
             true => old,
             false => {
@@ -43,42 +43,42 @@
                 (format!("vm-{number}"), format!("10.1.{}.{}:1", number % 250, number / 250 % 250))
             }
         };
-        self.routers[at] = self.new_router(at, vm, address);
+        self.routers[router] = self.new_router(router, vm, address);
         self.list_routers();
     }
 
-    pub fn pause(&mut self, at: usize) {
-        self.routers[at].paused = true;
+    pub fn pause(&mut self, router: usize) {
+        self.routers[router].paused = true;
     }
 
     /// Resumes a paused router and delivers the events that arrived in the meantime.
-    pub fn resume(&mut self, at: usize) {
-        if !self.routers[at].paused {
+    pub fn resume(&mut self, router: usize) {
+        if !self.routers[router].paused {
             return;
         }
-        self.routers[at].paused = false;
-        for event in std::mem::take(&mut self.routers[at].deferred) {
+        self.routers[router].paused = false;
+        for event in std::mem::take(&mut self.routers[router].deferred) {
             self.deliver(event);
         }
     }
 
     /// Asks a router to shut down gracefully.
-    pub fn stop(&mut self, at: usize) {
-        if self.routers[at].alive && !self.routers[at].paused {
-            self.routers[at].node.stop(self.now_ms);
-            self.perform_actions(at);
+    pub fn stop(&mut self, router: usize) {
+        if self.routers[router].alive && !self.routers[router].paused {
+            self.routers[router].node.stop(self.now_ms);
+            self.perform_actions(router);
         }
     }
 
-    pub(super) fn new_router(&mut self, place: usize, vm: String, address: String) -> Router {
+    pub(super) fn new_router(&mut self, index: usize, vm: String, address: String) -> Router {
         let incarnation = ids::Incarnation(self.rng.random());
         let seeds = self.routers.iter().map(|router| router.address.clone()).collect();
         let settings = node::Settings {
             incarnation,
             vm: vm.clone(),
             address: address.clone(),
-            failure_domain: format!("domain-{place}"),
-            region: format!("region-{}", place % self.shape.regions),
+            failure_domain: format!("domain-{index}"),
+            region: format!("region-{}", index % self.shape.regions),
             seeds,
             started_s: 0,
             platform_reads_per_s: 2_000,
@@ -93,7 +93,7 @@
             incarnation,
             vm,
             address,
-            region: place % self.shape.regions,
+            region: index % self.shape.regions,
             alive: true,
             paused: false,
             deferred: Vec::new(),
@@ -121,19 +121,19 @@
     }
 
     /// Delivers the configuration and the list of VMs to a router, as the platform has them now.
-    pub(super) fn deliver_platform_state(&mut self, place: usize) {
-        if self.faults.store_unavailable || self.faults.store_cut.contains(&place) {
+    pub(super) fn deliver_platform_state(&mut self, index: usize) {
+        if self.faults.store_unavailable || self.faults.store_cut.contains(&index) {
             return;
         }
-        let router = &mut self.routers[place];
+        let router = &mut self.routers[index];
         if let Some((_, value)) = self.store.get(config::KEY) {
             let published = serde_json::from_slice(value).unwrap();
             router.node.offer_config(published, self.now_ms);
         }
-        if !self.vms_stale.contains(&place) {
+        if !self.vms_stale.contains(&index) {
             let index = doorswitch_core::store::Position::new(0, self.vms_index);
             router.node.offer_vms(index, self.vms.clone(), self.now_ms);
         }
-        self.perform_actions(place);
+        self.perform_actions(index);
     }
 }
--- a/core/tests/world/sample.rs
+++ b/core/tests/world/sample.rs
@@ -4,10 +4,10 @@
 use doorswitch_core::{config, servers};
 
 pub(super) fn backend_vms(shape: &Shape) -> Vec<servers::Vm> {
-    let vm = |place| servers::Vm {
-        vm: format!("server-{place}"),
+    let vm = |index| servers::Vm {
+        vm: format!("server-{index}"),
         service: "service".to_owned(),
-        address: format!("10.2.0.{place}:1"),
+        address: format!("10.2.0.{index}:1"),
         class: "new".to_owned(),
         failure_domain: "a".to_owned(),
         state: servers::VmState::Live,
--- a/examples/demo.rs
+++ b/examples/demo.rs
@@ -30,7 +30,7 @@
     let stops: Vec<router::StopHandle> = (0..ROUTERS).map(|_| Default::default()).collect();
     let routers = (0..ROUTERS)
         .zip(stops.clone())
-        .map(|(place, stop)| start_router(place, stop))
+        .map(|(index, stop)| start_router(index, stop))
         .collect::<Result<Vec<_>, DemoError>>()?;
     let system = actix_rt::System::new();
     system.block_on(publish_and_ask())?;
@@ -58,21 +58,21 @@
 }
 
 fn start_router(
-    place: u16,
+    index: u16,
     stop: router::StopHandle,
 ) -> Result<thread::JoinHandle<Result<(), router::Error>>, DemoError> {
     let seeds: Vec<String> = (0..ROUTERS)
-        .filter(|other| *other != place)
+        .filter(|other| *other != index)
         .map(|other| format!("\"{}\"", local(FIRST_PEER_PORT + other)))
         .collect();
     let text = format!(
-        "vm: entry-{place}\nregion: bursa\nfailure_domain: domain-{place}\n\
+        "vm: entry-{index}\nregion: bursa\nfailure_domain: domain-{index}\n\
          callers: {{ listen: \"{}\" }}\noperators: {{ listen: \"{}\", key_sha256: {} }}\n\
          peers: {{ listen: \"{}\", seeds: [{}] }}\nplatform: {{ url: \"http://{}\" }}\n",
-        local(FIRST_PORT + place),
-        local(FIRST_OPERATOR_PORT + place),
+        local(FIRST_PORT + index),
+        local(FIRST_OPERATOR_PORT + index),
         doorswitch::auth::digest_hex("sample-operator-key"),
-        local(FIRST_PEER_PORT + place),
+        local(FIRST_PEER_PORT + index),
         seeds.join(", "),
         local(PLATFORM_PORT),
     );
@@ -89,12 +89,12 @@
         failure_domain: "osmangazi".to_owned(),
         state: "live".to_owned(),
     };
-    let routers = (0..ROUTERS).map(|place| {
-        vm(format!("entry-{place}"), "doorswitch", local(FIRST_PEER_PORT + place), "entry")
+    let routers = (0..ROUTERS).map(|index| {
+        vm(format!("entry-{index}"), "doorswitch", local(FIRST_PEER_PORT + index), "entry")
     });
-    let engines = engines.iter().enumerate().map(|(place, engine)| {
-        let class = if place == 0 { "old" } else { "new" };
-        vm(format!("engine-{place}"), "roast-model", engine.address(), class)
+    let engines = engines.iter().enumerate().map(|(index, engine)| {
+        let class = if index == 0 { "old" } else { "new" };
+        vm(format!("engine-{index}"), "roast-model", engine.address(), class)
     });
     let service = vm("service-0".to_owned(), "subscriptions", service.address(), "new");
     routers.chain(engines).chain([service]).collect()
--- a/soak/src/directives.rs
+++ b/soak/src/directives.rs
@@ -45,11 +45,11 @@
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (requests, served) = self.requests;
         let (leaving, late) = self.leaving;
-        let (backoffs, most) = self.backoffs;
+        let (backoffs, max_in_backoff) = self.backoffs;
         write!(
             out,
             "outspoken={requests} outspoken_served={served} leaving={leaving} leaving_late={late} \
-             backoffs={backoffs} most_in_backoff={most}"
+             backoffs={backoffs} most_in_backoff={max_in_backoff}"
         )
     }
 }
@@ -202,8 +202,8 @@
 
     fn check_leaving(&mut self, index: usize) {
         let mut announced: HashMap<(RouterProcess, usize), Instant> = HashMap::new();
-        for (given, sent) in self.replies_with_requests(index) {
-            let key = (sent.router, self.servers[index].incarnation_at(given.at));
+        for (sent_reply, sent) in self.replies_with_requests(index) {
+            let key = (sent.router, self.servers[index].incarnation_at(sent_reply.at));
             if announced
                 .get(&key)
                 .is_some_and(|announced_at| sent.at > *announced_at + LEAVING_GRACE)
@@ -212,7 +212,7 @@
                 let kind = observe::ViolationKind::SentToLeavingServer;
                 self.shared.observations().record_violation(kind, sent.router.0, sent.at);
             }
-            if given.reply.lines.contains(backend::LEAVING_LINE) {
+            if sent_reply.reply.lines.contains(backend::LEAVING_LINE) {
                 announced.entry(key).or_insert(sent.answered);
                 self.summary.leaving.0 += 1;
             }
--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -138,7 +138,7 @@
     }
 
     /// Adds unreadable entries under every prefix that routers follow, as a faulty writer would.
-    pub fn put_bad_entries(&self) {
+    pub fn put_unreadable_entries(&self) {
         self.store.put_unreadable_entries(UNREADABLE_VALUES);
     }
 
--- a/soak/src/limited.rs
+++ b/soak/src/limited.rs
@@ -203,11 +203,11 @@
             let count_window = |(first, (_, from)): (usize, &&(usize, Instant))| {
                 counted[first..].iter().take_while(|(_, at)| *at < *from + WINDOW).count()
             };
-            let most = counted.iter().enumerate().map(count_window).max().unwrap_or(0);
+            let max_count = counted.iter().enumerate().map(count_window).max().unwrap_or(0);
             self.summary.limits += usize::from(period.until > from);
-            let percent = (most as f64 / allowed * 100.0) as u64;
+            let percent = (max_count as f64 / allowed * 100.0) as u64;
             self.summary.most_percent = self.summary.most_percent.max(percent);
-            if most as f64 > allowed {
+            if max_count as f64 > allowed {
                 let (router, at) = *counted[0];
                 let kind = observe::ViolationKind::LimitExceeded;
                 self.shared.observations().record_violation(kind, router, at);
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -193,7 +193,7 @@
                 self.begin_fault(&self.all_routers());
                 self.fleet.store().hide_changes();
             }
-            Action::UnreadableEntries => self.fleet.put_bad_entries(),
+            Action::UnreadableEntries => self.fleet.put_unreadable_entries(),
             Action::ServerRestarts => {
                 let ended = self.second_server_incarnation;
                 self.second_server_incarnation = self.fleet.start_server(fleet::SECOND_SERVER)?;
--- a/standins/src/platform.rs
+++ b/standins/src/platform.rs
@@ -270,12 +270,12 @@
     };
     delay(mode).await;
     let recurse = query.contains_key("recurse");
-    let known: u64 = query.get("index").and_then(|text| text.parse().ok()).unwrap_or(0);
+    let known_index: u64 = query.get("index").and_then(|text| text.parse().ok()).unwrap_or(0);
     let deadline = Instant::now() + watch_time(&query);
     loop {
         let notified = shared.changed.notified();
         let (newest, rows) = shared.lock().find(&key, recurse);
-        if newest > known || Instant::now() >= deadline || known == 0 {
+        if newest > known_index || Instant::now() >= deadline || known_index == 0 {
             let index = ("X-Consul-Index", newest.max(1).to_string());
             if rows.is_empty() {
                 return HttpResponse::NotFound().insert_header(index).finish();
@@ -343,12 +343,12 @@
         Err(refused) => return *refused,
     };
     delay(mode).await;
-    let known: u64 = query.get("index").and_then(|text| text.parse().ok()).unwrap_or(0);
+    let known_index: u64 = query.get("index").and_then(|text| text.parse().ok()).unwrap_or(0);
     let deadline = Instant::now() + watch_time(&query);
     loop {
         let notified = shared.changed.notified();
         let (index, vms) = shared.lock().visible_vms();
-        if index > known || Instant::now() >= deadline {
+        if index > known_index || Instant::now() >= deadline {
             let body = serde_json::json!({ "index": index, "vms": vms });
             return HttpResponse::Ok().json(body);
         }
--- a/standins/src/store.rs
+++ b/standins/src/store.rs
@@ -238,8 +238,8 @@
     /// would.
     pub fn put_unreadable_entries(&self, values: &[&[u8]]) {
         for prefix in ["op/", "servers/", "doorswitch/routers/"] {
-            for (place, value) in values.iter().enumerate() {
-                self.put(&format!("{prefix}bad-{place}"), value);
+            for (index, value) in values.iter().enumerate() {
+                self.put(&format!("{prefix}bad-{index}"), value);
             }
             self.put_undecodable(&format!("{prefix}undecodable"));
         }
--- a/tests/bad_entries.rs
+++ b/tests/bad_entries.rs
@@ -25,7 +25,7 @@
     world.call(index, &request("/read/x", "id")).status
 }
 
-fn put_bad_entries(world: &World) {
+fn put_unreadable_entries(world: &World) {
     world.store.put_unreadable_entries(UNREADABLE);
 }
 
@@ -41,7 +41,7 @@
 #[test]
 fn bad_entries_delay_no_new_configuration() {
     let mut world = World::start("bad-entries-configuration", vec![answers("0"), answers("1")]);
-    put_bad_entries(&world);
+    put_unreadable_entries(&world);
     check_new_configuration_is_applied(&mut world, 0);
 }
 
@@ -49,7 +49,7 @@
 fn bad_entries_delay_no_leaving_server() {
     let world = World::start("bad-entries-leaving", vec![answers("0")]);
     assert_eq!(status(&world, 0), 200);
-    put_bad_entries(&world);
+    put_unreadable_entries(&world);
     world.record_server(0, "draining");
     let recorded = Instant::now();
     fleet::eventually("the draining server is not used any more", || status(&world, 0) == 503);
@@ -60,7 +60,7 @@
 #[test]
 fn bad_entries_prevent_no_router_from_starting() {
     let mut world = World::unready("bad-entries-start", vec![answers("0")]);
-    put_bad_entries(&world);
+    put_unreadable_entries(&world);
     world.publish(&[KEY], PREPAID);
     world.add_router();
     world.wait_ready(0);
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -54,7 +54,7 @@
     });
     let answer = fleet.release(0, "hold", "{}").unwrap();
     let calls = |server: &backend::Backend| {
-        server.requests().iter().filter(|seen| seen.line.starts_with("POST")).count()
+        server.requests().iter().filter(|received| received.line.starts_with("POST")).count()
     };
     let sent: usize = servers.iter().map(calls).sum();
     assert_eq!(
--- a/tests/crashing_calls.rs
+++ b/tests/crashing_calls.rs
@@ -30,9 +30,9 @@
 
 /// An engine or plain service that crashes on each body that contains `poison`, while `crash_enabled` is true.
 fn crashing(crash_enabled: Arc<AtomicBool>, crash: backend::Step) -> backend::Script {
-    Box::new(move |_, seen| {
-        let crashes_server = String::from_utf8_lossy(&seen.body).contains("poison");
-        let streams = seen.line.contains("/v1/");
+    Box::new(move |_, received| {
+        let crashes_server = String::from_utf8_lossy(&received.body).contains("poison");
+        let streams = received.line.contains("/v1/");
         let mut steps = Vec::new();
         if streams {
             steps.push(backend::Step::Write(STREAM_HEAD.to_owned()));
@@ -75,18 +75,18 @@
         let servers: Vec<backend::Backend> = (0..2 * SERVERS).map(start).collect();
         fleet.add_scripted_servers(
             &servers,
-            |place| if place < SERVERS { "roast" } else { "payments" },
+            |server| if server < SERVERS { "roast" } else { "payments" },
         );
         Self { fleet, servers, crash_enabled }
     }
 
     /// When requests that crash servers arrived at a server, in no order.
     fn arrivals(&self) -> Vec<Instant> {
-        let seen = self.servers.iter().flat_map(|server| {
+        let received = self.servers.iter().flat_map(|server| {
             server.requests().into_iter().zip(server.arrivals()).collect::<Vec<_>>()
         });
-        let crashing =
-            seen.filter(|(seen, _)| String::from_utf8_lossy(&seen.body).contains("poison"));
+        let crashing = received
+            .filter(|(request, _)| String::from_utf8_lossy(&request.body).contains("poison"));
         crashing.map(|(_, at)| at).collect()
     }
 
@@ -126,8 +126,8 @@
     }
 
     /// Runs an operator's `quarantine` command against a router; returns its output.
-    fn operate(&self, place: usize, arguments: &[&str]) -> String {
-        let url = format!("http://{}", self.fleet.routers[place].operators);
+    fn operate(&self, router: usize, arguments: &[&str]) -> String {
+        let url = format!("http://{}", self.fleet.routers[router].operators);
         let output = Command::new(env!("CARGO_BIN_EXE_doorswitch"))
             .arg("quarantine")
             .args(arguments)
@@ -139,15 +139,15 @@
     }
 }
 
-fn call_service(fleet: &Fleet, place: usize, body: &str) -> Option<fleet::Answer> {
+fn call_service(fleet: &Fleet, router: usize, body: &str) -> Option<fleet::Answer> {
     let path = "/services/payments/lookup?card=7";
-    fleet::call(fleet.routers[place].callers, "POST", path, "kitchen-key", &[], body)
+    fleet::call(fleet.routers[router].callers, "POST", path, "kitchen-key", &[], body)
 }
 
 #[test]
 fn completions_that_crash_engines_reach_few() {
     let crashing = CrashingFleet::start("crashing-completions");
-    let last = crashing.repeat(|place| crashing.fleet.complete(place, "poison", 4, false));
+    let last = crashing.repeat(|router| crashing.fleet.complete(router, "poison", 4, false));
     crashing.check_quarantined(&last);
     let harmless = crashing.fleet.complete(0, "innocent", 4, false).unwrap();
     assert_eq!(harmless.status, 200, "{}", harmless.body);
@@ -161,7 +161,7 @@
             let crash = backend::Step::CrashListenerLast { listens_for, down: RESTART_DELAY };
             let crashing = CrashingFleet::start_with(stringify!($name), &crash);
             let send: fn(&Fleet, usize) -> Option<fleet::Answer> = $send;
-            let last = crashing.repeat(|place| send(&crashing.fleet, place));
+            let last = crashing.repeat(|router| send(&crashing.fleet, router));
             crashing.check_quarantined(&last);
             let reached = crashing.arrivals().len();
             assert!(reached <= SENDS_MAX, "{reached} sends");
@@ -171,19 +171,19 @@
 
 listeners_close_last! {
     completions_that_crash_engines_whose_listeners_close_after_2_ms: 2,
-        |fleet, place| fleet.complete(place, "poison", 4, false);
+        |fleet, router| fleet.complete(router, "poison", 4, false);
     completions_that_crash_engines_whose_listeners_close_after_100_ms: 100,
-        |fleet, place| fleet.complete(place, "poison", 4, false);
+        |fleet, router| fleet.complete(router, "poison", 4, false);
     calls_that_crash_servers_whose_listeners_close_after_2_ms: 2,
-        |fleet, place| call_service(fleet, place, "poison");
+        |fleet, router| call_service(fleet, router, "poison");
     calls_that_crash_servers_whose_listeners_close_after_100_ms: 100,
-        |fleet, place| call_service(fleet, place, "poison");
+        |fleet, router| call_service(fleet, router, "poison");
 }
 
 #[test]
 fn calls_that_crash_servers_reach_few_until_an_operator_releases_them() {
     let crashing = CrashingFleet::start("crashing-calls");
-    let last = crashing.repeat(|place| call_service(&crashing.fleet, place, "poison"));
+    let last = crashing.repeat(|router| call_service(&crashing.fleet, router, "poison"));
     crashing.check_quarantined(&last);
     let other = call_service(&crashing.fleet, 0, "innocent").unwrap();
     assert_eq!(other.status, 200, "the same path with another body: {}", other.body);
@@ -197,9 +197,9 @@
     assert_eq!(call_service(&crashing.fleet, 1, "poison").unwrap().code(), "quarantined");
     let released = crashing.operate(1, &["release", &fingerprint]);
     assert!(released.contains(": released"), "{released}");
-    for place in 0..ROUTERS {
+    for router in 0..ROUTERS {
         fleet::eventually("the released call is served again", || {
-            call_service(&crashing.fleet, place, "poison")
+            call_service(&crashing.fleet, router, "poison")
                 .is_some_and(|answer| answer.status == 200)
         });
     }
@@ -209,7 +209,7 @@
 #[test]
 fn calls_quarantined_in_one_workspace_are_served_in_another() {
     let crashing = CrashingFleet::start("crashing-workspaces");
-    let last = crashing.repeat(|place| call_service(&crashing.fleet, place, "poison"));
+    let last = crashing.repeat(|router| call_service(&crashing.fleet, router, "poison"));
     crashing.check_quarantined(&last);
     crashing.crash_enabled.store(false, Ordering::Relaxed);
     let gate = crashing.fleet.routers[0].callers;
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -74,9 +74,9 @@
 /// A server that crashes on each body that contains `poison`, after the start of the answer if it streams; it answers all
 /// other requests.
 fn crashing(crash: Crash) -> backend::Script {
-    Box::new(move |_, seen| {
-        let body = String::from_utf8_lossy(&seen.body).into_owned();
-        let streams = seen.line.contains("stream") || seen.line.contains("resume");
+    Box::new(move |_, received| {
+        let body = String::from_utf8_lossy(&received.body).into_owned();
+        let streams = received.line.contains("stream") || received.line.contains("resume");
         let head = match streams {
             true => vec![backend::Step::Write(routes::STREAM_HEAD.to_owned()), event(1)],
             false => Vec::new(),
@@ -113,60 +113,60 @@
     fn start_with(name: &str, identity: Identity, crash: Crash) -> Self {
         let scripts = (0..SERVERS).map(|_| crashing(crash)).collect();
         let mut world = World::unready(name, scripts);
-        for place in 0..SERVERS {
-            world.store.remove(&format!("servers/i-{place}"));
+        for server in 0..SERVERS {
+            world.store.remove(&format!("servers/i-{server}"));
         }
         let mut crashing =
             Self { world, identity, recorded: vec![0; SERVERS], expired: HashSet::new() };
         crashing.follow_servers();
         world = crashing.world;
         world.publish(&[routes::KEY], routes::PREPAID);
-        for place in 0..ROUTERS {
+        for router in 0..ROUTERS {
             world.add_router();
-            world.wait_ready(place);
+            world.wait_ready(router);
         }
         let crashing = Self { world, ..crashing };
-        for place in 0..ROUTERS {
+        for router in 0..ROUTERS {
             fleet::eventually("the router serves and lists the other routers", || {
                 let harmless =
                     Request { body: "innocent", ..long_deadline_request("/read/x", "warm") };
-                let served = crashing.world.call(place, &harmless).status == 200;
-                served && crashing.world.metrics(place).contains("doorswitch_members 3")
+                let served = crashing.world.call(router, &harmless).status == 200;
+                served && crashing.world.metrics(router).contains("doorswitch_members 3")
             });
         }
         crashing
     }
 
-    fn key(&self, place: usize, start: usize) -> String {
+    fn key(&self, server: usize, start: usize) -> String {
         match self.identity {
-            Identity::NewId => format!("servers/i-{place}-{start}"),
-            Identity::SameId => format!("servers/i-{place}"),
+            Identity::NewId => format!("servers/i-{server}-{start}"),
+            Identity::SameId => format!("servers/i-{server}"),
         }
     }
 
     /// Writes records of servers that started, and removes records of crashed ones once they have expired.
     fn follow_servers(&mut self) {
-        for place in 0..SERVERS {
-            let backend = &self.world.backends[place];
+        for server in 0..SERVERS {
+            let backend = &self.world.backends[server];
             let (starts, crashes) = (backend.starts(), backend.crashes());
             let expired_starts =
                 crashes.iter().enumerate().filter(|(_, at)| at.elapsed() >= RECORD_EXPIRY);
             for start in expired_starts.map(|(number, _)| number + 1) {
-                let newly_expired = self.expired.insert((place, start));
-                if newly_expired && self.recorded[place] <= start {
-                    self.world.store.remove(&self.key(place, start));
+                let newly_expired = self.expired.insert((server, start));
+                if newly_expired && self.recorded[server] <= start {
+                    self.world.store.remove(&self.key(server, start));
                 }
             }
-            if self.recorded[place] < starts {
-                self.recorded[place] = starts;
+            if self.recorded[server] < starts {
+                self.recorded[server] = starts;
                 let mut record = json!({
-                    "service": "app", "address": self.world.backends[place].address().to_string(),
+                    "service": "app", "address": self.world.backends[server].address().to_string(),
                     "zone": "a", "version": "v1", "slots": 8, "state": "ready", "coldLeftMs": 0,
                 });
                 if self.identity == Identity::SameId {
                     record["born"] = json!(1_796_250_000_000_u64 + starts as u64);
                 }
-                self.world.store.put(&self.key(place, starts), record.to_string().as_bytes());
+                self.world.store.put(&self.key(server, starts), record.to_string().as_bytes());
             }
         }
     }
@@ -175,9 +175,9 @@
     fn arrivals(&self, text: &str) -> Vec<Instant> {
         let mut arrivals = Vec::new();
         for backend in &self.world.backends {
-            let seen = backend.requests().into_iter().zip(backend.arrivals());
-            let with_text =
-                seen.filter(|(seen, _)| String::from_utf8_lossy(&seen.body).contains(text));
+            let received = backend.requests().into_iter().zip(backend.arrivals());
+            let with_text = received
+                .filter(|(request, _)| String::from_utf8_lossy(&request.body).contains(text));
             arrivals.extend(with_text.map(|(_, at)| at));
         }
         arrivals.sort_unstable();
@@ -217,8 +217,9 @@
     }
 
     /// Sends a request; returns the status of a complete answer, 0 without an answer, 1 if it broke off.
-    fn send_one(&self, place: usize, request: &Request<'_>) -> u16 {
-        let Ok(mut stream) = std::net::TcpStream::connect(self.world.routers[place].clients) else {
+    fn send_one(&self, router: usize, request: &Request<'_>) -> u16 {
+        let Ok(mut stream) = std::net::TcpStream::connect(self.world.routers[router].clients)
+        else {
             return 0;
         };
         if std::io::Write::write_all(&mut stream, request.bytes().as_bytes()).is_err() {
@@ -239,7 +240,7 @@
         let (arrivals, crashes) = (self.arrivals("poison"), self.crashes());
         let in_force = crashes[QUARANTINE_CRASHES - 1] + QUARANTINE_BOUND;
         let late = arrivals.iter().filter(|at| **at > in_force).count();
-        let logs: Vec<String> = (0..ROUTERS).map(|place| self.world.log(place)).collect();
+        let logs: Vec<String> = (0..ROUTERS).map(|router| self.world.log(router)).collect();
         let logged = |event: &str| logs.iter().map(|log| log.matches(event).count()).sum::<usize>();
         assert!(
             late <= LATE_SENDS_MAX,
@@ -339,8 +340,8 @@
 fn requests_that_crash_servers_reach_few_though_all_routers_restart() {
     let mut crashing = CrashingServers::start("crashing-restart-all", Identity::NewId);
     let statuses = crashing.repeat("/read/x", "poison", |crashing, number| match number {
-        70 => (0..ROUTERS).for_each(|place| crashing.world.kill(place)),
-        75 => (0..ROUTERS).for_each(|place| crashing.world.spawn(place)),
+        70 => (0..ROUTERS).for_each(|router| crashing.world.kill(router)),
+        75 => (0..ROUTERS).for_each(|router| crashing.world.spawn(router)),
         _ => {}
     });
     crashing.check_quarantined(&statuses);
--- a/tests/http_ends.rs
+++ b/tests/http_ends.rs
@@ -31,17 +31,17 @@
     let answer = world.call(0, &sent);
     assert_eq!((answer.status, answer.text().as_str()), (200, "done"));
     assert_eq!(answer.header("server-seal").as_deref(), Some("seal"));
-    let seen = &world.backends[0].requests()[0];
-    assert_eq!(seen.line, "POST /read/a%20b?c=d&e HTTP/1.1");
-    assert_eq!(seen.body, b"the body");
-    assert_eq!(seen.header("host"), Some(routes::HOST));
-    assert_eq!(seen.header("attempt-id"), Some("id-1"));
-    assert_eq!(seen.header("x-own"), Some("kept"));
-    assert_eq!(seen.header("tenant"), Some("cafe"));
-    assert_eq!(seen.header("expect-instance"), Some("i-0"));
-    assert_eq!(seen.header("authorization"), None);
-    assert_eq!(seen.header("x-hop"), None);
-    let left_ms: u64 = seen.header("deadline-ms").unwrap().parse().unwrap();
+    let received = &world.backends[0].requests()[0];
+    assert_eq!(received.line, "POST /read/a%20b?c=d&e HTTP/1.1");
+    assert_eq!(received.body, b"the body");
+    assert_eq!(received.header("host"), Some(routes::HOST));
+    assert_eq!(received.header("attempt-id"), Some("id-1"));
+    assert_eq!(received.header("x-own"), Some("kept"));
+    assert_eq!(received.header("tenant"), Some("cafe"));
+    assert_eq!(received.header("expect-instance"), Some("i-0"));
+    assert_eq!(received.header("authorization"), None);
+    assert_eq!(received.header("x-hop"), None);
+    let left_ms: u64 = received.header("deadline-ms").unwrap().parse().unwrap();
     assert!((1..=3_000).contains(&left_ms), "{left_ms} ms are left");
 }
 
@@ -159,8 +159,8 @@
 
 #[test]
 fn pipelined_requests_are_answered_in_order() {
-    let script = Box::new(|_, seen: &doorswitch_standins::backend::ReceivedRequest| {
-        vec![response("200 OK", seen.header("attempt-id").unwrap())]
+    let script = Box::new(|_, received: &doorswitch_standins::backend::ReceivedRequest| {
+        vec![response("200 OK", received.header("attempt-id").unwrap())]
     });
     let world = World::start("order", vec![script]);
     let mut client = world.send(0, &request("/read/x", "id-1"));
@@ -198,7 +198,7 @@
 #[test]
 fn a_resumable_stream_is_continued_by_another_server_without_a_gap() {
     fn server() -> doorswitch_standins::backend::Script {
-        Box::new(|_, seen| match seen.header("last-event-id") {
+        Box::new(|_, received| match received.header("last-event-id") {
             None => vec![Step::Write(STREAM_HEAD.to_owned()), event(1), event(2), Step::Reset],
             Some("2") => vec![Step::Write(STREAM_HEAD.to_owned()), event(3), last_chunk()],
             Some(_) => vec![Step::Reset],
--- a/tests/leaving_servers.rs
+++ b/tests/leaving_servers.rs
@@ -30,40 +30,40 @@
 
 /// How much too late the clients sent the requests that still reached server `vm`; empty if there are none.
 fn late_by(
-    replying: &ScriptedWorld,
+    scripted: &ScriptedWorld,
     server: usize,
     vm: &str,
-    got: &[RequestResult],
+    results: &[RequestResult],
 ) -> Vec<Duration> {
     let by_id: HashMap<&str, &RequestResult> =
-        got.iter().map(|one| (one.id.as_str(), one)).collect();
-    let replies = replying.servers[server].sent();
+        results.iter().map(|result| (result.id.as_str(), result)).collect();
+    let replies = scripted.servers[server].sent();
     let expects_vm = |reply: &&SentReply| reply.expected.as_deref() == Some(vm);
     let replies: Vec<&SentReply> = replies.iter().filter(expects_vm).collect();
     let mut reported_at: HashMap<usize, Instant> = HashMap::new();
-    for one in replies.iter().filter(|one| one.reply.lines.contains(LEAVING_LINE)) {
-        let Some(got) = by_id.get(one.id.as_str()) else { continue };
-        if got.head.to_ascii_lowercase().contains("server-leaving: 1\r\n") {
-            let passed_on = got.sent + got.took;
-            let first = reported_at.entry(got.router).or_insert(passed_on);
-            *first = passed_on.min(*first);
+    for reply in replies.iter().filter(|reply| reply.reply.lines.contains(LEAVING_LINE)) {
+        let Some(result) = by_id.get(reply.id.as_str()) else { continue };
+        if result.head.to_ascii_lowercase().contains("server-leaving: 1\r\n") {
+            let answered_at = result.sent + result.took;
+            let first = reported_at.entry(result.router).or_insert(answered_at);
+            *first = answered_at.min(*first);
         }
     }
-    let lateness = replies.iter().filter_map(|one| {
-        let got = by_id.get(one.id.as_str())?;
-        let reported = reported_at.get(&router_of(&one.id)?)?;
-        got.sent.checked_duration_since(*reported + LEAVING_BOUND)
+    let lateness = replies.iter().filter_map(|reply| {
+        let result = by_id.get(reply.id.as_str())?;
+        let reported = reported_at.get(&router_of(&reply.id)?)?;
+        result.sent.checked_duration_since(*reported + LEAVING_BOUND)
     });
     lateness.collect()
 }
 
 fn check_no_late_requests(
-    replying: &ScriptedWorld,
+    scripted: &ScriptedWorld,
     server: usize,
     vm: &str,
-    got: &[RequestResult],
+    results: &[RequestResult],
 ) {
-    let late_requests = late_by(replying, server, vm, got);
+    let late_requests = late_by(scripted, server, vm, results);
     let worst = late_requests.iter().max();
     assert!(
         late_requests.is_empty(),
@@ -80,12 +80,12 @@
     ($($name:ident: $routers:literal routers, $path:literal, each $every_ms:literal ms;)*) => {$(
         #[test]
         fn $name() {
-            let replying = ScriptedWorld::start(stringify!($name), $routers, 4, SERVICE_TIME);
-            replying.send($path, $every_ms, 1_000);
-            replying.servers[0].set(leaving());
-            let got = replying.send($path, $every_ms, 10_000);
-            check_no_late_requests(&replying, 0, "i-0", &got);
-            check_served(&got);
+            let scripted = ScriptedWorld::start(stringify!($name), $routers, 4, SERVICE_TIME);
+            scripted.send($path, $every_ms, 1_000);
+            scripted.servers[0].set(leaving());
+            let results = scripted.send($path, $every_ms, 10_000);
+            check_no_late_requests(&scripted, 0, "i-0", &results);
+            check_served(&results);
         }
     )*};
 }
@@ -101,20 +101,21 @@
 
 #[test]
 fn requests_are_refused_at_once_when_all_servers_state_that_they_leave() {
-    let replying = ScriptedWorld::start("leaving-all", 3, 4, SERVICE_TIME);
-    replying.send("/read/x", 40, 1_000);
-    replying.servers.iter().for_each(|server| server.set(leaving()));
-    let got = replying.send("/read/x", 40, 8_000);
+    let scripted = ScriptedWorld::start("leaving-all", 3, 4, SERVICE_TIME);
+    scripted.send("/read/x", 40, 1_000);
+    scripted.servers.iter().for_each(|server| server.set(leaving()));
+    let results = scripted.send("/read/x", 40, 8_000);
     (0..4).for_each(|server| {
-        check_no_late_requests(&replying, server, &format!("i-{server}"), &got);
+        check_no_late_requests(&scripted, server, &format!("i-{server}"), &results);
     });
-    let last = got.iter().map(|one| one.sent).max().unwrap();
+    let last = results.iter().map(|result| result.sent).max().unwrap();
     let refused: Vec<&RequestResult> =
-        got.iter().filter(|one| one.sent + SHARE_WINDOW > last).collect();
-    let is_expected = |one: &&&RequestResult| {
-        one.status == 503 && one.retry_after_s.is_some() && one.took <= REFUSAL_BOUND
+        results.iter().filter(|result| result.sent + SHARE_WINDOW > last).collect();
+    let is_expected = |result: &&&RequestResult| {
+        result.status == 503 && result.retry_after_s.is_some() && result.took <= REFUSAL_BOUND
     };
-    let unexpected: Vec<&&RequestResult> = refused.iter().filter(|one| !is_expected(one)).collect();
+    let unexpected: Vec<&&RequestResult> =
+        refused.iter().filter(|result| !is_expected(result)).collect();
     assert!(
         unexpected.is_empty(),
         "{} of {}: {:?}",
@@ -126,63 +127,63 @@
 
 #[test]
 fn a_leaving_state_from_an_answer_outlasts_the_record() {
-    let replying = ScriptedWorld::start("leaving-record", 3, 4, SERVICE_TIME);
-    replying.send("/read/x", 40, 1_000);
-    replying.servers[0].set(leaving());
-    let mut got = replying.send("/read/x", 40, 2_000);
-    replying.world.store.remove("servers/i-0");
-    got.extend(replying.send("/read/x", 40, 3_000));
-    replying.world.record_server(0, "ready");
-    got.extend(replying.send("/read/x", 40, 4_000));
-    check_no_late_requests(&replying, 0, "i-0", &got);
-    check_served(&got);
+    let scripted = ScriptedWorld::start("leaving-record", 3, 4, SERVICE_TIME);
+    scripted.send("/read/x", 40, 1_000);
+    scripted.servers[0].set(leaving());
+    let mut results = scripted.send("/read/x", 40, 2_000);
+    scripted.world.store.remove("servers/i-0");
+    results.extend(scripted.send("/read/x", 40, 3_000));
+    scripted.world.record_server(0, "ready");
+    results.extend(scripted.send("/read/x", 40, 4_000));
+    check_no_late_requests(&scripted, 0, "i-0", &results);
+    check_served(&results);
 }
 
 #[test]
 fn a_leaving_state_does_not_apply_to_the_next_server_at_the_address() {
-    let replying = ScriptedWorld::start("leaving-successor", 3, 4, SLOW_SERVICE_TIME);
-    replying.send("/read/x", 40, 1_000);
-    replying.servers[0].set(Reply::served(SLOW_SERVICE_TIME).with(LEAVING_LINE));
-    let mut got = replying.send("/read/x", 40, 4_000);
-    replying.servers[0].set(Reply::served(SLOW_SERVICE_TIME));
-    replying.world.record_server_as(0, "i-heir", "ready");
-    got.extend(replying.send("/read/x", 40, RECOVERY_MS));
-    got.extend(replying.send("/read/x", 40, SHARE_WINDOW.as_millis() as u64));
-    replying.check_share(0, SHARE_WINDOW);
-    check_no_late_requests(&replying, 0, "i-0", &got);
-    check_served(&got);
+    let scripted = ScriptedWorld::start("leaving-successor", 3, 4, SLOW_SERVICE_TIME);
+    scripted.send("/read/x", 40, 1_000);
+    scripted.servers[0].set(Reply::served(SLOW_SERVICE_TIME).with(LEAVING_LINE));
+    let mut results = scripted.send("/read/x", 40, 4_000);
+    scripted.servers[0].set(Reply::served(SLOW_SERVICE_TIME));
+    scripted.world.record_server_as(0, "i-heir", "ready");
+    results.extend(scripted.send("/read/x", 40, RECOVERY_MS));
+    results.extend(scripted.send("/read/x", 40, SHARE_WINDOW.as_millis() as u64));
+    scripted.check_share(0, SHARE_WINDOW);
+    check_no_late_requests(&scripted, 0, "i-0", &results);
+    check_served(&results);
 }
 
 #[test]
 fn a_leaving_state_does_not_apply_to_a_later_start_under_the_same_id() {
-    let replying = ScriptedWorld::start("leaving-later-start", 3, 4, SLOW_SERVICE_TIME);
-    (0..4).for_each(|place| replying.world.record_server_born(place, "ready", "1000"));
-    replying.send("/read/x", 40, 2_000);
-    replying.servers[0].set(Reply::served(SLOW_SERVICE_TIME).with(LEAVING_LINE));
-    let got = replying.send("/read/x", 40, 4_000);
-    check_no_late_requests(&replying, 0, "i-0", &got);
-    replying.servers[0].set(Reply::served(SLOW_SERVICE_TIME));
-    replying.world.record_server_born(0, "ready", "2000");
-    replying.send("/read/x", 40, RECOVERY_MS);
-    check_served(&replying.send("/read/x", 40, SHARE_WINDOW.as_millis() as u64));
-    replying.check_share(0, SHARE_WINDOW);
+    let scripted = ScriptedWorld::start("leaving-later-start", 3, 4, SLOW_SERVICE_TIME);
+    (0..4).for_each(|server| scripted.world.record_server_born(server, "ready", "1000"));
+    scripted.send("/read/x", 40, 2_000);
+    scripted.servers[0].set(Reply::served(SLOW_SERVICE_TIME).with(LEAVING_LINE));
+    let results = scripted.send("/read/x", 40, 4_000);
+    check_no_late_requests(&scripted, 0, "i-0", &results);
+    scripted.servers[0].set(Reply::served(SLOW_SERVICE_TIME));
+    scripted.world.record_server_born(0, "ready", "2000");
+    scripted.send("/read/x", 40, RECOVERY_MS);
+    check_served(&scripted.send("/read/x", 40, SHARE_WINDOW.as_millis() as u64));
+    scripted.check_share(0, SHARE_WINDOW);
 }
 
 #[test]
 fn a_restarted_router_receives_that_a_server_leaves() {
-    let mut replying = ScriptedWorld::start("leaving-restart", 3, 4, SERVICE_TIME);
-    replying.send("/read/x", 40, 1_000);
-    replying.servers[0].set(leaving());
-    replying.send("/read/x", 40, 4_000);
-    replying.world.kill(0);
-    replying.world.spawn(0);
-    replying.world.wait_ready(0);
+    let mut scripted = ScriptedWorld::start("leaving-restart", 3, 4, SERVICE_TIME);
+    scripted.send("/read/x", 40, 1_000);
+    scripted.servers[0].set(leaving());
+    scripted.send("/read/x", 40, 4_000);
+    scripted.world.kill(0);
+    scripted.world.spawn(0);
+    scripted.world.wait_ready(0);
     let received =
-        || replying.world.metrics(0).contains("doorswitch_leaving_servers{service=\"app\"} 1");
+        || scripted.world.metrics(0).contains("doorswitch_leaving_servers{service=\"app\"} 1");
     fleet::eventually("the router receives that a server leaves", received);
     let since = Instant::now();
-    check_served(&replying.send("/read/x", 40, 3_000));
-    let reached = replying.arrivals(0, since, Instant::now());
+    check_served(&scripted.send("/read/x", 40, 3_000));
+    let reached = scripted.arrivals(0, since, Instant::now());
     assert!(reached.is_empty(), "{} requests reached it", reached.len());
 }
 
@@ -190,13 +191,13 @@
     ($($name:ident: $reply:expr;)*) => {$(
         #[test]
         fn $name() {
-            let replying = ScriptedWorld::start(stringify!($name), 2, 3, SLOW_SERVICE_TIME);
-            replying.servers[0].set($reply);
-            replying.send("/read/x", 40, 2_000);
-            replying.servers[0].set(Reply::served(SLOW_SERVICE_TIME));
-            replying.send("/read/x", 40, RECOVERY_MS);
-            check_served(&replying.send("/read/x", 40, SHARE_WINDOW.as_millis() as u64));
-            replying.check_share(0, SHARE_WINDOW);
+            let scripted = ScriptedWorld::start(stringify!($name), 2, 3, SLOW_SERVICE_TIME);
+            scripted.servers[0].set($reply);
+            scripted.send("/read/x", 40, 2_000);
+            scripted.servers[0].set(Reply::served(SLOW_SERVICE_TIME));
+            scripted.send("/read/x", 40, RECOVERY_MS);
+            check_served(&scripted.send("/read/x", 40, SHARE_WINDOW.as_millis() as u64));
+            scripted.check_share(0, SHARE_WINDOW);
         }
     )*};
 }
--- a/tests/restored_budgets.rs
+++ b/tests/restored_budgets.rs
@@ -24,7 +24,7 @@
 
 /// A tenant that spends prepaid tokens through all routers.
 struct SpendingTenant {
-    replying: ScriptedWorld,
+    scripted: ScriptedWorld,
     routers: usize,
     sent: usize,
     served: usize,
@@ -33,11 +33,11 @@
 
 impl SpendingTenant {
     fn new(name: &str, routers: usize) -> Self {
-        let mut replying = ScriptedWorld::start(name, routers, SERVERS, Duration::from_millis(20));
-        replying.world.publish(&[KEY], PAID);
+        let mut scripted = ScriptedWorld::start(name, routers, SERVERS, Duration::from_millis(20));
+        scripted.world.publish(&[KEY], PAID);
         // Routers apply a new configuration within half a second.
         thread::sleep(Duration::from_millis(700));
-        Self { replying, routers, sent: 0, served: 0, last_status: 0 }
+        Self { scripted, routers, sent: 0, served: 0, last_status: 0 }
     }
 
     /// Sends one request; true if it was served.
@@ -45,8 +45,8 @@
         let router = self.sent % self.routers;
         let id = format!("{router}-{}", self.sent);
         self.sent += 1;
-        let one = Request { tokens: Some(TOKENS), ..request("/read/x", &id) };
-        self.last_status = self.replying.world.call(router, &one).status;
+        let request = Request { tokens: Some(TOKENS), ..request("/read/x", &id) };
+        self.last_status = self.scripted.world.call(router, &request).status;
         self.served += usize::from(self.last_status == 200);
         self.last_status == 200
     }
@@ -60,18 +60,18 @@
 
     /// Restores the store from a backup that was taken before `meanwhile` ran; all routers are killed and started again.
     fn lose_all_routers(&mut self, meanwhile: impl FnOnce(&mut Self)) {
-        let backup = self.replying.world.store.back_up();
+        let backup = self.scripted.world.store.back_up();
         meanwhile(self);
-        self.replying.world.store.set_mode(Mode::Down);
-        (0..self.routers).for_each(|router| self.replying.world.kill(router));
+        self.scripted.world.store.set_mode(Mode::Down);
+        (0..self.routers).for_each(|router| self.scripted.world.kill(router));
         thread::sleep(OUTAGE);
-        self.replying.world.store.restore(&backup, OpenWatches::Ended);
-        self.replying.world.store.set_mode(Mode::Normal);
-        (0..self.routers).for_each(|router| self.replying.world.spawn(router));
+        self.scripted.world.store.restore(&backup, OpenWatches::Ended);
+        self.scripted.world.store.set_mode(Mode::Normal);
+        (0..self.routers).for_each(|router| self.scripted.world.spawn(router));
         for router in 0..self.routers {
-            self.replying.world.wait_ready(router);
+            self.scripted.world.wait_ready(router);
             fleet::eventually("the router serves", || {
-                self.replying.world.call(router, &long_deadline_request("/stream/x", "warm")).status
+                self.scripted.world.call(router, &long_deadline_request("/stream/x", "warm")).status
                     == 200
             });
         }
@@ -81,7 +81,7 @@
 
     /// Runs an operator's `budget` command against all routers; returns its output.
     fn operate(&self, arguments: &[&str]) -> String {
-        let routers = self.replying.world.routers.iter();
+        let routers = self.scripted.world.routers.iter();
         let urls =
             routers.flat_map(|router| ["--router".into(), format!("http://{}", router.operators)]);
         let output = Command::new(env!("CARGO_BIN_EXE_doorswitch"))
--- a/tests/server_restarts.rs
+++ b/tests/server_restarts.rs
@@ -21,15 +21,15 @@
 const FIRST_START_MS: &str = "1796250000000";
 const LATER_START_MS: &str = "1796250009000";
 
-fn status(world: &World, place: usize) -> u16 {
-    world.call(place, &request("/read/x", "id")).status
+fn status(world: &World, router: usize) -> u16 {
+    world.call(router, &request("/read/x", "id")).status
 }
 
 /// One router before servers whose records have a start.
 fn world(name: &str, scripts: Vec<backend::Script>) -> World {
     let world = World::start(name, scripts);
-    for place in 0..world.backends.len() {
-        world.record_server_born(place, "ready", FIRST_START_MS);
+    for server in 0..world.backends.len() {
+        world.record_server_born(server, "ready", FIRST_START_MS);
     }
     world
 }
@@ -38,19 +38,19 @@
 fn a_leaving_state_does_not_apply_after_a_server_restart() {
     let mut world = world("restart-leaving", vec![answers("0")]);
     world.add_router();
-    for place in [0, 1] {
-        world.wait_ready(place);
-        fleet::eventually("the server is used", || status(&world, place) == 200);
+    for router in [0, 1] {
+        world.wait_ready(router);
+        fleet::eventually("the server is used", || status(&world, router) == 200);
     }
     world.record_server_born(0, "draining", FIRST_START_MS);
-    for place in [0, 1] {
+    for router in [0, 1] {
         fleet::eventually("the router receives that the server leaves", || {
-            status(&world, place) == 503
+            status(&world, router) == 503
         });
     }
     world.record_server_born(0, "ready", LATER_START_MS);
-    for place in [0, 1] {
-        fleet::eventually("the restarted server is used", || status(&world, place) == 200);
+    for router in [0, 1] {
+        fleet::eventually("the restarted server is used", || status(&world, router) == 200);
     }
 }
 
@@ -127,9 +127,9 @@
             // Only the server with the unreadable start remains.
             world.record_server_born(1, "draining", FIRST_START_MS);
             world.add_router();
-            for place in [0, 1] {
-                world.wait_ready(place);
-                fleet::eventually("no server is used", || status(&world, place) == 503);
+            for router in [0, 1] {
+                world.wait_ready(router);
+                fleet::eventually("no server is used", || status(&world, router) == 503);
             }
         }
     )* };
@@ -149,8 +149,8 @@
     fleet::eventually("the server is used", || status(&world, 0) == 200);
     world.record_server_born(1, "draining", FIRST_START_MS);
     world.add_router();
-    for place in [0, 1] {
-        world.wait_ready(place);
-        fleet::eventually("no server is used", || status(&world, place) == 503);
+    for router in [0, 1] {
+        world.wait_ready(router);
+        fleet::eventually("no server is used", || status(&world, router) == 503);
     }
 }
--- a/tests/stops.rs
+++ b/tests/stops.rs
@@ -73,7 +73,7 @@
     vms.iter_mut().filter(|vm| vm.vm == "engine-0").for_each(|vm| vm.state = "leaving".to_owned());
     fleet.platform.set_vms(vms);
     eventually("every router has the engine as leaving", || {
-        (0..3).all(|place| has_leaving_engine(&fleet, place))
+        (0..3).all(|router| has_leaving_engine(&fleet, router))
     });
     let before = fleet.engines[0].counts().started;
     for number in 0..12 {
@@ -95,13 +95,13 @@
     vms.iter_mut().filter(|vm| vm.vm == "engine-0").for_each(|vm| vm.state = "leaving".to_owned());
     fleet.platform.set_vms(vms);
     eventually("every router has the engine as leaving", || {
-        (0..3).all(|place| has_leaving_engine(&fleet, place))
+        (0..3).all(|router| has_leaving_engine(&fleet, router))
     });
 }
 
 /// True if the router's dump shows the first engine as leaving.
-fn has_leaving_engine(fleet: &Fleet, place: usize) -> bool {
-    fleet.dump(place)["servers"]["engine-0"]["vm"]["state"] == "leaving"
+fn has_leaving_engine(fleet: &Fleet, router: usize) -> bool {
+    fleet.dump(router)["servers"]["engine-0"]["vm"]["state"] == "leaving"
 }
 
 #[test]
