--- a/core/tests/directive_schedules.rs
+++ b/core/tests/directive_schedules.rs
@@ -127,8 +127,8 @@
     fn step_clients(&mut self) {
         for _ in 0..self.traffic.due_requests() {
             let now_ms = self.traffic.fleet.now_ms;
-            if let Some(handed) = self.traffic.submit() {
-                self.waiting.insert(handed, now_ms);
+            if let Some(handle) = self.traffic.submit() {
+                self.waiting.insert(handle, now_ms);
                 self.counts.submitted += 1;
                 self.handle_answers();
             }
@@ -139,9 +139,9 @@
         for (index, incarnation, slot, answer) in std::mem::take(&mut self.traffic.fleet.answers) {
             let submitted_ms = self.waiting.get(&(index, incarnation, slot)).copied();
             match answer {
-                node::Answer::Dispatch { vm, incarnation: server_life, .. } => {
-                    self.check_send((index, incarnation), &vm, server_life);
-                    self.record_dispatch((index, incarnation), slot, &vm, server_life);
+                node::Answer::Dispatch { vm, incarnation: server_incarnation, .. } => {
+                    self.check_send((index, incarnation), &vm, server_incarnation);
+                    self.record_dispatch((index, incarnation), slot, &vm, server_incarnation);
                 }
                 node::Answer::Refuse { reason, retry_after_ms } => {
                     self.waiting.remove(&(index, incarnation, slot));
@@ -224,11 +224,11 @@
         self.counts.refused += 1;
         self.counts.refused_late += u64::from(waited_ms > 100);
         assert!(retry_after_ms > 0);
-        let in_touch = self.traffic.fleet.must_meet_bounds(index);
+        let is_connected = self.traffic.fleet.must_meet_bounds(index);
         let no_server = matches!(reason, node::Reason::Backoff | node::Reason::NoServer);
         assert!(
-            !(no_server && in_touch && self.first_available),
-            "seed {seed}: refused at {now_ms} by {index} for {reason:?} although a server is \
+            !(no_server && is_connected && self.first_available),
+            "seed {seed}: at {now_ms} router {index} refuses a request for {reason:?} although a server is \
              available"
         );
     }
@@ -356,7 +356,12 @@
     fn check_nothing_held_back(&self) {
         for (index, router) in self.traffic.fleet.routers.iter().enumerate() {
             let table = router.node.servers();
-            assert_eq!(table.backing_off().count(), 0, "seed {}: at router {index}", self.seed);
+            assert_eq!(
+                table.backing_off().count(),
+                0,
+                "seed {}: a server still backs off at router {index}",
+                self.seed
+            );
             for server in self.servers.iter().filter(|server| server.behaviour != Behaviour::Leaves)
             {
                 let slot = table.find_incarnation(&server.name, server.incarnation).unwrap();
@@ -379,14 +384,14 @@
 
     /// Whether a router has recorded all these servers as leaving, each from an answer.
     fn has_recorded_leaving(&self, node: &node::Node, leaving: &[ServerInstance]) -> bool {
-        let known = |(vm, incarnation): &ServerInstance| {
-            let source = node.leaving_servers().iter().find(|(known, _)| known == vm);
-            source.is_some_and(|(_, record)| {
+        let recorded = |(vm, incarnation): &ServerInstance| {
+            let entry = node.leaving_servers().iter().find(|(name, _)| name == vm);
+            entry.is_some_and(|(_, record)| {
                 record.incarnation == *incarnation
                     && record.source == leaving_servers::Source::Answer
             })
         };
-        leaving.iter().all(known)
+        leaving.iter().all(recorded)
     }
 }
 
@@ -447,8 +452,8 @@
     directives_hold_with_three_hundred_routers: 300, false, 5, 400..401;
 }
 
-/// All servers reject requests for a while and then serve. Callers must be refused without delay in the meantime and
-/// served soon afterwards, and the routers must not return to a server all at once.
+/// All servers reject requests for a while and then serve. Guards against callers that wait for their refusals in the
+/// meantime, and against requests that are still refused afterwards.
 fn all_back_off(routers: usize, per_s: u64, seed: u64) -> Counts {
     let mut scenario = Scenario::new(routers, 4, seed);
     scenario.run_ms(8_000);
@@ -468,7 +473,10 @@
     scenario.counts = Counts::default();
     scenario.run_ms(WINDOW_MS);
     let after = scenario.counts;
-    assert!(after.refused * 50 <= after.submitted, "seed {seed}: {after:?} long after the backoff");
+    assert!(
+        after.refused * 50 <= after.submitted,
+        "seed {seed}: requests are refused long after the backoff: {after:?}"
+    );
     counts
 }
 
@@ -479,8 +487,8 @@
             let all: Vec<Counts> = (0..3).map(|seed| all_back_off($routers, $per_s, seed)).collect();
             println!("{} {all:?}", stringify!($name));
             for counts in all {
-                let most = (counts.refused / 10).max(counts.submitted / 20);
-                assert!(counts.refused_late <= most, "{counts:?}");
+                let allowed = (counts.refused / 10).max(counts.submitted / 20);
+                assert!(counts.refused_late <= allowed, "too many late refusals: {counts:?}");
             }
         }
     )*};
@@ -507,8 +515,8 @@
     let since_ms = scenario.traffic.fleet.now_ms;
     scenario.run_ms(WINDOW_MS);
     let counts = scenario.requests_by_server(since_ms);
-    let even = counts.iter().sum::<usize>() / counts.len();
-    assert!(counts[3] * 2 >= even, "seed {seed}: {counts:?}");
+    let even_share = counts.iter().sum::<usize>() / counts.len();
+    assert!(counts[3] * 2 >= even_share, "seed {seed}: too few requests at server 3: {counts:?}");
 }
 
 macro_rules! shares_after_a_backoff {
@@ -553,7 +561,10 @@
             for seed in 0..3 {
                 let (percent, counts) = used_percent_of_shedding_servers($routers, $load_percent, seed);
                 println!("{} {percent} {counts:?}", stringify!($name));
-                assert!(percent >= $percent_min, "seed {seed}: {percent} percent, {counts:?}");
+                assert!(
+                    percent >= $percent_min,
+                    "seed {seed}: only {percent} percent are used, {counts:?}"
+                );
             }
         }
     )*};
@@ -585,15 +596,19 @@
             let node = &mut scenario.traffic.fleet.routers[0].node;
             node.report_directives(&vm, ids::ServerIncarnation(1), &directives, age, now_ms);
         }
-        scenario.traffic.fleet.run_until("all routers received it", FAULT_RECOVERY_MS, |fleet| {
-            fleet
-                .routers
-                .iter()
-                .all(|router| router.node.leaving_servers().iter().count() == leaving)
-        });
+        scenario.traffic.fleet.run_until(
+            "all routers received the leaving servers",
+            FAULT_RECOVERY_MS,
+            |fleet| {
+                fleet
+                    .routers
+                    .iter()
+                    .all(|router| router.node.leaving_servers().iter().count() == leaving)
+            },
+        );
         scenario.traffic.fleet.restart(routers - 1);
         scenario.traffic.fleet.run_until(
-            "the restarted router received it",
+            "the restarted router received the leaving servers",
             2 * FAULT_RECOVERY_MS + 4_000,
             |fleet| fleet.routers[routers - 1].node.leaving_servers().iter().count() == leaving,
         );
@@ -611,5 +626,9 @@
     fleet.run_ms(10_000);
     assert_eq!(fleet.routers[0].node.leaving_servers().iter().count(), 0);
     // A probe and its answer every half second, and updates of the age of the copy of the store.
-    assert!(sent(&fleet) - before <= 7 * 10 * 12, "{}", sent(&fleet) - before);
+    assert!(
+        sent(&fleet) - before <= 7 * 10 * 12,
+        "{} datagrams of gossip were sent",
+        sent(&fleet) - before
+    );
 }
--- a/core/tests/servers.rs
+++ b/core/tests/servers.rs
@@ -1,4 +1,5 @@
-//! The choice among backend servers: classes, slots, ejection, prompt affinity and backoff.
+//! The choice among backend servers: classes, slots, ejection, prompt affinity and backoff. Guards against requests to
+//! servers that must not receive them, and against usable servers that receive none.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -87,7 +88,7 @@
 fn full_servers_are_reported_differently_from_none() {
     let mut fixture = Fixture::two();
     let chosen = (0..1_000).map_while(|_| fixture.choose().ok()).count();
-    assert_eq!(chosen, 16, "eight slots on each of two");
+    assert_eq!(chosen, 16, "not eight requests at each of the two servers");
     assert_eq!(fixture.choose(), Err(servers::Unavailable::Full));
     fixture.table.apply_list(&[], 0);
     assert_eq!(fixture.choose(), Err(servers::Unavailable::None));
@@ -96,18 +97,18 @@
 #[test]
 fn a_failing_server_is_ejected_and_probed_with_one_request() {
     let mut fixture = Fixture::two();
-    let bad = fixture.choose().unwrap();
+    let failing = fixture.choose().unwrap();
     for _ in 0..3 {
-        fixture.table.record_failure(bad, fixture.now_ms);
+        fixture.table.record_failure(failing, fixture.now_ms);
     }
     for _ in 0..5 {
-        assert_ne!(fixture.choose().unwrap(), bad);
+        assert_ne!(fixture.choose().unwrap(), failing);
     }
     fixture.now_ms += 60_000;
-    let probes = (0..12).filter(|_| fixture.choose() == Ok(bad)).count();
+    let probes = (0..12).filter(|_| fixture.choose() == Ok(failing)).count();
     assert_eq!(probes, 1);
-    fixture.table.record_success(bad, 10, 0);
-    let chosen = (0..4).filter(|_| fixture.choose() == Ok(bad)).count();
+    fixture.table.record_success(failing, 10, 0);
+    let chosen = (0..4).filter(|_| fixture.choose() == Ok(failing)).count();
     assert!(chosen > 0);
 }
 
@@ -174,32 +175,32 @@
 
 #[test]
 fn routers_agree_on_the_server_of_a_shared_part_in_any_order_of_the_server_list() {
-    let (mut one, mut other) =
+    let (mut ordered, mut reversed) =
         (live_servers(&["a", "b", "c", "d"]), live_servers(&["d", "c", "b", "a"]));
     for shared in 0..50 {
-        let first = choose_for_prompt(&mut one, &prompt(shared, 1)).slot;
-        let second = choose_for_prompt(&mut other, &prompt(shared, 2)).slot;
-        assert_eq!(one.name(first), other.name(second));
-        one.table.record_prompt_processed(first, u64::MAX);
-        other.table.record_prompt_processed(second, u64::MAX);
-        one.table.record_end(first);
-        other.table.record_end(second);
+        let first = choose_for_prompt(&mut ordered, &prompt(shared, 1)).slot;
+        let second = choose_for_prompt(&mut reversed, &prompt(shared, 2)).slot;
+        assert_eq!(ordered.name(first), reversed.name(second));
+        ordered.table.record_prompt_processed(first, u64::MAX);
+        reversed.table.record_prompt_processed(second, u64::MAX);
+        ordered.table.record_end(first);
+        reversed.table.record_end(second);
     }
 }
 
 #[test]
 fn the_removal_of_a_server_moves_only_its_own_prompts() {
-    let (mut whole, mut less) =
+    let (mut all_servers, mut without_d) =
         (live_servers(&["a", "b", "c", "d"]), live_servers(&["a", "b", "c"]));
     for shared in 0..50 {
-        let before = choose_for_prompt(&mut whole, &prompt(shared, 1)).slot;
-        let after = choose_for_prompt(&mut less, &prompt(shared, 1)).slot;
-        let server = whole.name(before);
-        assert!(server == "d" || server == less.name(after));
-        whole.table.record_prompt_processed(before, u64::MAX);
-        less.table.record_prompt_processed(after, u64::MAX);
-        whole.table.record_end(before);
-        less.table.record_end(after);
+        let before = choose_for_prompt(&mut all_servers, &prompt(shared, 1)).slot;
+        let after = choose_for_prompt(&mut without_d, &prompt(shared, 1)).slot;
+        let server = all_servers.name(before);
+        assert!(server == "d" || server == without_d.name(after));
+        all_servers.table.record_prompt_processed(before, u64::MAX);
+        without_d.table.record_prompt_processed(after, u64::MAX);
+        all_servers.table.record_end(before);
+        without_d.table.record_end(after);
     }
 }
 
@@ -207,7 +208,10 @@
 fn a_prompt_leaves_its_server_only_when_waiting_costs_more_than_reading_it_again() {
     let mut fixture = live_servers(&["a", "b", "c"]);
     let first = choose_for_prompt(&mut fixture, &prompt(7, 1));
-    assert_eq!(first.unread_tokens, 2_000, "the shared part counts as cached at its server");
+    assert_eq!(
+        first.unread_tokens, 2_000,
+        "the shared part does not count as cached at its server"
+    );
     let second = choose_for_prompt(&mut fixture, &prompt(7, 2));
     assert_eq!(second.slot, first.slot);
     let mut moved = second;
@@ -217,8 +221,11 @@
             break;
         }
     }
-    assert_ne!(moved.slot, first.slot, "a frequent part is assigned to a second server");
-    assert_eq!(moved.unread_tokens, 8_000, "the second server reads the whole prompt");
+    assert_ne!(moved.slot, first.slot, "a frequent part is not assigned to a second server");
+    assert_eq!(
+        moved.unread_tokens, 8_000,
+        "a part of the prompt counts as cached at the second server"
+    );
     fixture.table.record_prompt_processed(first.slot, u64::MAX);
     assert_eq!(choose_for_prompt(&mut fixture, &prompt(7, 20)).slot, first.slot);
 }
@@ -236,7 +243,7 @@
             fixture.table.record_failure(slot, fixture.now_ms);
         }
     }
-    assert!(fixture.choose().is_ok(), "both servers failed recently, and there is no other");
+    assert!(fixture.choose().is_ok(), "no server is chosen although all have failed");
     assert!(choose_for_prompt(&mut fixture, &prompt(1, 1)).unread_tokens > 0);
 }
 
@@ -246,9 +253,13 @@
     let mut fixture = Fixture::new(&[vm("one", "new", live)]);
     fixture.choose().unwrap();
     fixture.table.apply_list(&[], 0);
-    assert_eq!(fixture.choose(), Err(servers::Unavailable::None), "the server is not listed");
+    assert_eq!(
+        fixture.choose(),
+        Err(servers::Unavailable::None),
+        "a server that is not listed was chosen"
+    );
     fixture.table.apply_list(&[vm("one", "new", live)], 0);
-    assert!(fixture.choose().is_ok(), "the server is listed again");
+    assert!(fixture.choose().is_ok(), "a server that is listed again was not chosen");
 }
 
 #[test]
@@ -274,14 +285,14 @@
     }
     assert!(fixture.now_ms >= until_ms);
     let sent = |fixture: &mut Fixture| {
-        let not: Vec<ids::ServerSlot> = fixture.table.find("two").into_iter().collect();
-        (0..6).filter(|_| fixture.choose_for(&[], None, &not) == Ok(one)).count()
+        let excluded: Vec<ids::ServerSlot> = fixture.table.find("two").into_iter().collect();
+        (0..6).filter(|_| fixture.choose_for(&[], None, &excluded) == Ok(one)).count()
     };
     assert_eq!(sent(&mut fixture), 1);
     fixture.table.record_answer(one, fixture.now_ms);
-    assert_eq!(sent(&mut fixture), 2, "an answer allows two requests");
+    assert_eq!(sent(&mut fixture), 2, "not two requests after an answer");
     fixture.now_ms += 1_000;
-    assert_eq!(sent(&mut fixture), 1, "one more trial is allowed without an answer");
+    assert_eq!(sent(&mut fixture), 1, "not one more trial without an answer");
 }
 
 #[test]
@@ -294,9 +305,15 @@
     };
     let mut open_times_ms: Vec<u64> = (0..30).map(open_ms_with).collect();
     open_times_ms.sort_unstable();
-    assert!(open_times_ms.last().unwrap() - open_times_ms[0] >= 250, "{open_times_ms:?}");
+    assert!(
+        open_times_ms.last().unwrap() - open_times_ms[0] >= 250,
+        "routers return together: {open_times_ms:?}"
+    );
     open_times_ms.dedup();
-    assert!(open_times_ms.len() >= 20, "{open_times_ms:?}");
+    assert!(
+        open_times_ms.len() >= 20,
+        "too many routers return at the same time: {open_times_ms:?}"
+    );
 }
 
 #[test]
--- a/core/tests/world/checks.rs
+++ b/core/tests/world/checks.rs
@@ -42,8 +42,12 @@
             let settled = matches!(state, Some(log_index::IdState::Settled { .. }));
 
             // An end that was not durably recorded is lost only if its router was killed.
-            let lost = !safe && self.routers[request.at].incarnation != request.incarnation;
-            assert!(settled || lost, "request {} ended and was not billed", request.key);
+            let lost = !safe && self.routers[request.router].incarnation != request.incarnation;
+            assert!(
+                settled || lost,
+                "request {} ended for its caller and was not billed",
+                request.key
+            );
         }
         let billed_requests: u64 = log.totals().map(|(_, _, totals)| totals.billed_requests).sum();
         let consumed: u64 = log.totals().map(|(_, _, totals)| totals.consumed_tokens()).sum();
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -21,7 +21,8 @@
     pub folder: PathBuf,
     /// The number of routers.
     pub routers: usize,
-    /// The second and third byte of the fleet's loopback addresses, which keep it apart from other fleets on this machine.
+    /// The second and third byte of the fleet's loopback addresses, which keep it apart from other fleets on this
+    /// machine.
     pub net: [u8; 2],
     /// The seed of the order in which processes start.
     pub seed: u64,
@@ -193,7 +194,7 @@
                 self.begin_fault(&self.all_routers());
                 self.fleet.store().hide_changes();
             }
-            Action::UnreadableEntries => self.fleet.put_bad_entries(),
+            Action::UnreadableEntries => self.fleet.put_unreadable_entries(),
             Action::ServerRestarts => {
                 let ended = self.second_server_incarnation;
                 self.second_server_incarnation = self.fleet.start_server(fleet::SECOND_SERVER)?;
--- a/standins/src/platform.rs
+++ b/standins/src/platform.rs
@@ -29,9 +29,9 @@
     pub slow_ms: u64,
     /// The percentage of writes that take effect without a reply.
     pub lose_write_replies_percent: u32,
-    /// The most writes that are admitted per second; 0 means no limit.
+    /// The maximum number of writes that are admitted per second; 0 means no limit.
     pub writes_per_s: u64,
-    /// The most reads that are admitted per second; 0 means no limit.
+    /// The maximum number of reads that are admitted per second; 0 means no limit.
     pub reads_per_s: u64,
     /// The time until a change to the list of VMs is visible, in milliseconds.
     pub vms_lag_ms: u64,
@@ -254,7 +254,8 @@
     fn loses_reply(&mut self) -> bool {
         self.write_count += 1;
         let percent = u64::from(self.mode.lose_write_replies_percent);
-        // Lost replies are spread evenly and without chance, so that the same sequence of writes loses the same replies.
+        // Lost replies are spread evenly and without chance, so that the same sequence of writes loses the same
+        // replies.
         (self.write_count * percent) / 100 > ((self.write_count - 1) * percent) / 100
     }
 }
@@ -270,12 +271,12 @@
     };
     delay(mode).await;
     let recurse = query.contains_key("recurse");
-    let known: u64 = query.get("index").and_then(|text| text.parse().ok()).unwrap_or(0);
+    let known_index: u64 = query.get("index").and_then(|text| text.parse().ok()).unwrap_or(0);
     let deadline = Instant::now() + watch_time(&query);
     loop {
         let notified = shared.changed.notified();
         let (newest, rows) = shared.lock().find(&key, recurse);
-        if newest > known || Instant::now() >= deadline || known == 0 {
+        if newest > known_index || Instant::now() >= deadline || known_index == 0 {
             let index = ("X-Consul-Index", newest.max(1).to_string());
             if rows.is_empty() {
                 return HttpResponse::NotFound().insert_header(index).finish();
@@ -343,12 +344,12 @@
         Err(refused) => return *refused,
     };
     delay(mode).await;
-    let known: u64 = query.get("index").and_then(|text| text.parse().ok()).unwrap_or(0);
+    let known_index: u64 = query.get("index").and_then(|text| text.parse().ok()).unwrap_or(0);
     let deadline = Instant::now() + watch_time(&query);
     loop {
         let notified = shared.changed.notified();
         let (index, vms) = shared.lock().visible_vms();
-        if index > known || Instant::now() >= deadline {
+        if index > known_index || Instant::now() >= deadline {
             let body = serde_json::json!({ "index": index, "vms": vms });
             return HttpResponse::Ok().json(body);
         }
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -1,11 +1,12 @@
-//! A request that crashes the servers which run it must be quarantined, also if its client repeats it under other ids and
-//! through other routers. Guards against routers that identify a request by its id alone: each repeat counted as a new
-//! request, no limit counted it, and the server was blamed and avoided while the request went to the next one.
-//! Measured: fourteen placements of one budget and size at five routers within ten seconds, each under another id
-//! (`placed id=190ba782121ae37c budget=dahu610/prepaid bound_tokens=13311 vm=i-c30a8d5d73`). After each, all streams of
-//! the server broke within one millisecond (`stream_broken`), and its address refused connections
-//! (`attempt_ended vm=i-c30a8d5d73 outcome=not_run`) until a server with another id started there 3.3 s later. Thirteen
-//! servers crashed, and a tenth of the other requests failed with them.
+//! A request that crashes the servers which run it must be quarantined, also if its client repeats it under other ids
+//! and through other routers. Guards against routers that identify a request by its id alone: each repeat then counts
+//! as a new request, no limit counts it, and the server is blamed and avoided while the request goes to the next one.
+//!
+//! The logs show the fault as fourteen placements of one budget and size at five routers within ten seconds, each under
+//! another id (`placed id=190ba782121ae37c budget=dahu610/prepaid bound_tokens=13311 vm=i-c30a8d5d73`). After each, all
+//! streams of the server break within one millisecond (`stream_broken`), and its address refuses connections
+//! (`attempt_ended vm=i-c30a8d5d73 outcome=not_run`) until a server with another id starts there 3.3 s later. Thirteen
+//! servers crash, and a tenth of the other requests fail with them.
 //!
 //! In these tests a body that contains `poison` crashes the server.
 
@@ -71,12 +72,12 @@
     }
 }
 
-/// A server that crashes on each body that contains `poison`, after the start of the answer if it streams; it answers all
-/// other requests.
+/// A server that crashes on each body that contains `poison`, after the start of the answer if it streams; it answers
+/// all other requests.
 fn crashing(crash: Crash) -> backend::Script {
-    Box::new(move |_, seen| {
-        let body = String::from_utf8_lossy(&seen.body).into_owned();
-        let streams = seen.line.contains("stream") || seen.line.contains("resume");
+    Box::new(move |_, received| {
+        let body = String::from_utf8_lossy(&received.body).into_owned();
+        let streams = received.line.contains("stream") || received.line.contains("resume");
         let head = match streams {
             true => vec![backend::Step::Write(routes::STREAM_HEAD.to_owned()), event(1)],
             false => Vec::new(),
@@ -101,7 +102,7 @@
     identity: Identity,
     /// The number of the start that each server's record has, counted from 1; 0 without a record.
     recorded: Vec<usize>,
-    /// Places and starts of servers whose records have expired.
+    /// Indexes of servers and numbers of their starts whose records have expired.
     expired: HashSet<(usize, usize)>,
 }
 
@@ -113,60 +114,60 @@
     fn start_with(name: &str, identity: Identity, crash: Crash) -> Self {
         let scripts = (0..SERVERS).map(|_| crashing(crash)).collect();
         let mut world = World::unready(name, scripts);
-        for place in 0..SERVERS {
-            world.store.remove(&format!("servers/i-{place}"));
+        for server in 0..SERVERS {
+            world.store.remove(&format!("servers/i-{server}"));
         }
         let mut crashing =
             Self { world, identity, recorded: vec![0; SERVERS], expired: HashSet::new() };
         crashing.follow_servers();
         world = crashing.world;
         world.publish(&[routes::KEY], routes::PREPAID);
-        for place in 0..ROUTERS {
+        for router in 0..ROUTERS {
             world.add_router();
-            world.wait_ready(place);
+            world.wait_ready(router);
         }
         let crashing = Self { world, ..crashing };
-        for place in 0..ROUTERS {
+        for router in 0..ROUTERS {
             fleet::eventually("the router serves and lists the other routers", || {
                 let harmless =
                     Request { body: "innocent", ..long_deadline_request("/read/x", "warm") };
-                let served = crashing.world.call(place, &harmless).status == 200;
-                served && crashing.world.metrics(place).contains("doorswitch_members 3")
+                let served = crashing.world.call(router, &harmless).status == 200;
+                served && crashing.world.metrics(router).contains("doorswitch_members 3")
             });
         }
         crashing
     }
 
-    fn key(&self, place: usize, start: usize) -> String {
+    fn key(&self, server: usize, start: usize) -> String {
         match self.identity {
-            Identity::NewId => format!("servers/i-{place}-{start}"),
-            Identity::SameId => format!("servers/i-{place}"),
+            Identity::NewId => format!("servers/i-{server}-{start}"),
+            Identity::SameId => format!("servers/i-{server}"),
         }
     }
 
     /// Writes records of servers that started, and removes records of crashed ones once they have expired.
     fn follow_servers(&mut self) {
-        for place in 0..SERVERS {
-            let backend = &self.world.backends[place];
+        for server in 0..SERVERS {
+            let backend = &self.world.backends[server];
             let (starts, crashes) = (backend.starts(), backend.crashes());
             let expired_starts =
                 crashes.iter().enumerate().filter(|(_, at)| at.elapsed() >= RECORD_EXPIRY);
             for start in expired_starts.map(|(number, _)| number + 1) {
-                let newly_expired = self.expired.insert((place, start));
-                if newly_expired && self.recorded[place] <= start {
-                    self.world.store.remove(&self.key(place, start));
+                let newly_expired = self.expired.insert((server, start));
+                if newly_expired && self.recorded[server] <= start {
+                    self.world.store.remove(&self.key(server, start));
                 }
             }
-            if self.recorded[place] < starts {
-                self.recorded[place] = starts;
+            if self.recorded[server] < starts {
+                self.recorded[server] = starts;
                 let mut record = json!({
-                    "service": "app", "address": self.world.backends[place].address().to_string(),
+                    "service": "app", "address": self.world.backends[server].address().to_string(),
                     "zone": "a", "version": "v1", "slots": 8, "state": "ready", "coldLeftMs": 0,
                 });
                 if self.identity == Identity::SameId {
                     record["born"] = json!(1_796_250_000_000_u64 + starts as u64);
                 }
-                self.world.store.put(&self.key(place, starts), record.to_string().as_bytes());
+                self.world.store.put(&self.key(server, starts), record.to_string().as_bytes());
             }
         }
     }
@@ -175,9 +176,9 @@
     fn arrivals(&self, text: &str) -> Vec<Instant> {
         let mut arrivals = Vec::new();
         for backend in &self.world.backends {
-            let seen = backend.requests().into_iter().zip(backend.arrivals());
-            let with_text =
-                seen.filter(|(seen, _)| String::from_utf8_lossy(&seen.body).contains(text));
+            let received = backend.requests().into_iter().zip(backend.arrivals());
+            let with_text = received
+                .filter(|(request, _)| String::from_utf8_lossy(&request.body).contains(text));
             arrivals.extend(with_text.map(|(_, at)| at));
         }
         arrivals.sort_unstable();
@@ -192,8 +193,8 @@
         crashes
     }
 
-    /// Sends a body repeatedly through the routers in turn, each time under another id; returns the statuses in order. `each`
-    /// runs before every send, with its number.
+    /// Sends a body repeatedly through the routers in turn, each time under another id; returns the statuses in order.
+    /// `each` runs before every send, with its number.
     fn repeat(
         &mut self,
         path: &str,
@@ -217,8 +218,9 @@
     }
 
     /// Sends a request; returns the status of a complete answer, 0 without an answer, 1 if it broke off.
-    fn send_one(&self, place: usize, request: &Request<'_>) -> u16 {
-        let Ok(mut stream) = std::net::TcpStream::connect(self.world.routers[place].clients) else {
+    fn send_one(&self, router: usize, request: &Request<'_>) -> u16 {
+        let Ok(mut stream) = std::net::TcpStream::connect(self.world.routers[router].clients)
+        else {
             return 0;
         };
         if std::io::Write::write_all(&mut stream, request.bytes().as_bytes()).is_err() {
@@ -231,7 +233,7 @@
     /// Checks the total number of sends to servers.
     fn check_sends(&self, statuses: &[u16]) {
         let reached = self.arrivals("poison").len();
-        assert!(reached <= SENDS_MAX, "{reached} sends, statuses {statuses:?}");
+        assert!(reached <= SENDS_MAX, "{reached} sends reached servers, statuses {statuses:?}");
     }
 
     /// Checks that few sends reach servers once the quarantine is in force at all routers.
@@ -239,7 +241,7 @@
         let (arrivals, crashes) = (self.arrivals("poison"), self.crashes());
         let in_force = crashes[QUARANTINE_CRASHES - 1] + QUARANTINE_BOUND;
         let late = arrivals.iter().filter(|at| **at > in_force).count();
-        let logs: Vec<String> = (0..ROUTERS).map(|place| self.world.log(place)).collect();
+        let logs: Vec<String> = (0..ROUTERS).map(|router| self.world.log(router)).collect();
         let logged = |event: &str| logs.iter().map(|log| log.matches(event).count()).sum::<usize>();
         assert!(
             late <= LATE_SENDS_MAX,
@@ -283,8 +285,8 @@
     )* };
 }
 
-// A process that ends closes its sockets in no guaranteed order: a router that checks its address may still connect after
-// its connections have ended.
+// A process that ends closes its sockets in no guaranteed order: a router that checks its address may still connect
+// after its connections have ended.
 quarantined_in_any_closing_order! {
     requests_that_crash_servers_whose_listeners_close_first: "/read/x", Crash::ListenerFirst;
     requests_that_crash_servers_whose_listeners_close_at_once: "/read/x", Crash::ListenerLast(0);
@@ -339,8 +341,8 @@
 fn requests_that_crash_servers_reach_few_though_all_routers_restart() {
     let mut crashing = CrashingServers::start("crashing-restart-all", Identity::NewId);
     let statuses = crashing.repeat("/read/x", "poison", |crashing, number| match number {
-        70 => (0..ROUTERS).for_each(|place| crashing.world.kill(place)),
-        75 => (0..ROUTERS).for_each(|place| crashing.world.spawn(place)),
+        70 => (0..ROUTERS).for_each(|router| crashing.world.kill(router)),
+        75 => (0..ROUTERS).for_each(|router| crashing.world.spawn(router)),
         _ => {}
     });
     crashing.check_quarantined(&statuses);
@@ -361,11 +363,11 @@
             clients.push(crashing.world.send(number % ROUTERS, &request));
         }
     });
-    assert!(crashing.crashes().len() >= 6, "{} crashes", crashing.crashes().len());
+    assert!(crashing.crashes().len() >= 6, "only {} crashes", crashing.crashes().len());
     let served = statuses.iter().filter(|status| **status == 200).count();
-    assert!(served * 100 >= statuses.len() * 90, "{served} served of {statuses:?}");
+    assert!(served * 100 >= statuses.len() * 90, "only {served} served: {statuses:?}");
     let last = &statuses[statuses.len() - 15..];
-    assert!(last.iter().all(|status| *status == 200), "{statuses:?}");
+    assert!(last.iter().all(|status| *status == 200), "failures at the end: {statuses:?}");
 }
 
 /// While a client repeats a request that crashes servers, other requests lose nothing once it is quarantined and the
@@ -383,10 +385,14 @@
     });
     let crashes = crashing.crashes();
     // Each router may have one more in flight when the third crash is reported to it.
-    assert!(crashes.len() <= QUARANTINE_CRASHES + ROUTERS, "{} crashes", crashes.len());
+    assert!(
+        crashes.len() <= QUARANTINE_CRASHES + ROUTERS,
+        "more than the allowed crashes: {}",
+        crashes.len()
+    );
     let recovered = crashes[QUARANTINE_CRASHES - 1] + QUARANTINE_BOUND + RESTART_DELAY;
     let mut after = statuses.iter().zip(&sent).filter(|(_, at)| **at > recovered);
-    assert!(after.all(|(status, _)| *status == 200), "{statuses:?}");
+    assert!(after.all(|(status, _)| *status == 200), "failures at the end: {statuses:?}");
 }
 
 /// Repeats one request at servers of which one resets each connection without crashing.
@@ -404,5 +410,5 @@
         })
         .collect();
     let served = statuses.iter().filter(|status| **status == 200).count();
-    assert_eq!(served, statuses.len(), "{statuses:?}");
+    assert_eq!(served, statuses.len(), "harmless requests failed: {statuses:?}");
 }
--- a/tests/http_ends.rs
+++ b/tests/http_ends.rs
@@ -31,18 +31,18 @@
     let answer = world.call(0, &sent);
     assert_eq!((answer.status, answer.text().as_str()), (200, "done"));
     assert_eq!(answer.header("server-seal").as_deref(), Some("seal"));
-    let seen = &world.backends[0].requests()[0];
-    assert_eq!(seen.line, "POST /read/a%20b?c=d&e HTTP/1.1");
-    assert_eq!(seen.body, b"the body");
-    assert_eq!(seen.header("host"), Some(routes::HOST));
-    assert_eq!(seen.header("attempt-id"), Some("id-1"));
-    assert_eq!(seen.header("x-own"), Some("kept"));
-    assert_eq!(seen.header("tenant"), Some("cafe"));
-    assert_eq!(seen.header("expect-instance"), Some("i-0"));
-    assert_eq!(seen.header("authorization"), None);
-    assert_eq!(seen.header("x-hop"), None);
-    let left_ms: u64 = seen.header("deadline-ms").unwrap().parse().unwrap();
-    assert!((1..=3_000).contains(&left_ms), "{left_ms} ms are left");
+    let received = &world.backends[0].requests()[0];
+    assert_eq!(received.line, "POST /read/a%20b?c=d&e HTTP/1.1");
+    assert_eq!(received.body, b"the body");
+    assert_eq!(received.header("host"), Some(routes::HOST));
+    assert_eq!(received.header("attempt-id"), Some("id-1"));
+    assert_eq!(received.header("x-own"), Some("kept"));
+    assert_eq!(received.header("tenant"), Some("cafe"));
+    assert_eq!(received.header("expect-instance"), Some("i-0"));
+    assert_eq!(received.header("authorization"), None);
+    assert_eq!(received.header("x-hop"), None);
+    let left_ms: u64 = received.header("deadline-ms").unwrap().parse().unwrap();
+    assert!((1..=3_000).contains(&left_ms), "the server is told that {left_ms} ms are left");
 }
 
 #[test]
@@ -82,7 +82,7 @@
     let clean = world.call(0, &request("/read/x", "id-1"));
     assert_eq!((clean.status, clean.text().as_str(), clean.whole), (200, "clean", true));
     let cut = world.call(0, &request("/read/x", "id-2"));
-    assert_ne!(cut.status, 200, "a body that ends with a reset is not complete");
+    assert_ne!(cut.status, 200, "a body that ended with a reset was forwarded as complete");
 }
 
 #[test]
@@ -99,8 +99,8 @@
     eventually("a later request is served", || {
         number += 1;
         let answer = world.call(0, &request("/read/x", &format!("id-{number}")));
-        assert!(!answer.text().contains("stray"), "{answer:?}");
-        assert!(answer.status == 502 || answer.text() == "second", "{answer:?}");
+        assert!(!answer.text().contains("stray"), "the second answer was forwarded: {answer:?}");
+        assert!(answer.status == 502 || answer.text() == "second", "unexpected answer: {answer:?}");
         answer.status == 200
     });
     assert!(number <= 3, "one connection had an unrequested answer, {number} requests were sent");
@@ -115,7 +115,7 @@
     });
     let world = World::start("late", vec![script]);
     let failed = world.call(0, &request("/pay/x", "id-1"));
-    assert_eq!(failed.status, 502, "it may have run, so it is not retried");
+    assert_eq!(failed.status, 502, "a request that may have run was retried");
     assert_eq!(world.call(0, &request("/read/x", "id-2")).text(), "own");
 }
 
@@ -159,15 +159,15 @@
 
 #[test]
 fn pipelined_requests_are_answered_in_order() {
-    let script = Box::new(|_, seen: &doorswitch_standins::backend::ReceivedRequest| {
-        vec![response("200 OK", seen.header("attempt-id").unwrap())]
+    let script = Box::new(|_, received: &doorswitch_standins::backend::ReceivedRequest| {
+        vec![response("200 OK", received.header("attempt-id").unwrap())]
     });
     let world = World::start("order", vec![script]);
     let mut client = world.send(0, &request("/read/x", "id-1"));
     client.write_all(request("/read/x", "id-2").bytes().as_bytes()).unwrap();
     let first = routes::read_answer(&mut client);
     assert!(first.text().starts_with("id-1"));
-    eventually("both ran", || world.backends[0].requests().len() == 2);
+    eventually("both requests ran", || world.backends[0].requests().len() == 2);
 }
 
 #[test]
@@ -191,14 +191,18 @@
     let world = World::start("broken", vec![script]);
     let answer = world.call(0, &request("/stream/x", "id-1"));
     assert!(!answer.whole);
-    assert_eq!(answer.text(), "id: 1\ndata: piece 1\n\n", "no part of an incomplete event");
-    assert_eq!(world.backends[0].requests().len(), 1, "it is sent at most once");
+    assert_eq!(
+        answer.text(),
+        "id: 1\ndata: piece 1\n\n",
+        "a part of an incomplete event was forwarded"
+    );
+    assert_eq!(world.backends[0].requests().len(), 1, "the stream was requested a second time");
 }
 
 #[test]
 fn a_resumable_stream_is_continued_by_another_server_without_a_gap() {
     fn server() -> doorswitch_standins::backend::Script {
-        Box::new(|_, seen| match seen.header("last-event-id") {
+        Box::new(|_, received| match received.header("last-event-id") {
             None => vec![Step::Write(STREAM_HEAD.to_owned()), event(1), event(2), Step::Reset],
             Some("2") => vec![Step::Write(STREAM_HEAD.to_owned()), event(3), last_chunk()],
             Some(_) => vec![Step::Reset],
--- a/tests/restored_budgets.rs
+++ b/tests/restored_budgets.rs
@@ -1,4 +1,5 @@
-//! Guards against prepaid tokens that are spent twice when the store is restored from a backup and all routers are lost.
+//! Guards against prepaid tokens that are spent twice when the store is restored from a backup and all routers are
+//! lost.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -24,7 +25,7 @@
 
 /// A tenant that spends prepaid tokens through all routers.
 struct SpendingTenant {
-    replying: ScriptedWorld,
+    scripted: ScriptedWorld,
     routers: usize,
     sent: usize,
     served: usize,
@@ -33,11 +34,11 @@
 
 impl SpendingTenant {
     fn new(name: &str, routers: usize) -> Self {
-        let mut replying = ScriptedWorld::start(name, routers, SERVERS, Duration::from_millis(20));
-        replying.world.publish(&[KEY], PAID);
+        let mut scripted = ScriptedWorld::start(name, routers, SERVERS, Duration::from_millis(20));
+        scripted.world.publish(&[KEY], PAID);
         // Routers apply a new configuration within half a second.
         thread::sleep(Duration::from_millis(700));
-        Self { replying, routers, sent: 0, served: 0, last_status: 0 }
+        Self { scripted, routers, sent: 0, served: 0, last_status: 0 }
     }
 
     /// Sends one request; true if it was served.
@@ -45,8 +46,8 @@
         let router = self.sent % self.routers;
         let id = format!("{router}-{}", self.sent);
         self.sent += 1;
-        let one = Request { tokens: Some(TOKENS), ..request("/read/x", &id) };
-        self.last_status = self.replying.world.call(router, &one).status;
+        let request = Request { tokens: Some(TOKENS), ..request("/read/x", &id) };
+        self.last_status = self.scripted.world.call(router, &request).status;
         self.served += usize::from(self.last_status == 200);
         self.last_status == 200
     }
@@ -58,20 +59,21 @@
         }
     }
 
-    /// Restores the store from a backup that was taken before `meanwhile` ran; all routers are killed and started again.
+    /// Restores the store from a backup that was taken before `meanwhile` ran; all routers are killed and started
+    /// again.
     fn lose_all_routers(&mut self, meanwhile: impl FnOnce(&mut Self)) {
-        let backup = self.replying.world.store.back_up();
+        let backup = self.scripted.world.store.back_up();
         meanwhile(self);
-        self.replying.world.store.set_mode(Mode::Down);
-        (0..self.routers).for_each(|router| self.replying.world.kill(router));
+        self.scripted.world.store.set_mode(Mode::Down);
+        (0..self.routers).for_each(|router| self.scripted.world.kill(router));
         thread::sleep(OUTAGE);
-        self.replying.world.store.restore(&backup, OpenWatches::Ended);
-        self.replying.world.store.set_mode(Mode::Normal);
-        (0..self.routers).for_each(|router| self.replying.world.spawn(router));
+        self.scripted.world.store.restore(&backup, OpenWatches::Ended);
+        self.scripted.world.store.set_mode(Mode::Normal);
+        (0..self.routers).for_each(|router| self.scripted.world.spawn(router));
         for router in 0..self.routers {
-            self.replying.world.wait_ready(router);
+            self.scripted.world.wait_ready(router);
             fleet::eventually("the router serves", || {
-                self.replying.world.call(router, &long_deadline_request("/stream/x", "warm")).status
+                self.scripted.world.call(router, &long_deadline_request("/stream/x", "warm")).status
                     == 200
             });
         }
@@ -81,7 +83,7 @@
 
     /// Runs an operator's `budget` command against all routers; returns its output.
     fn operate(&self, arguments: &[&str]) -> String {
-        let routers = self.replying.world.routers.iter();
+        let routers = self.scripted.world.routers.iter();
         let urls =
             routers.flat_map(|router| ["--router".into(), format!("http://{}", router.operators)]);
         let output = Command::new(env!("CARGO_BIN_EXE_doorswitch"))
@@ -111,8 +113,8 @@
             }
             tenant.exhaust();
             let served = tenant.served;
-            assert!(served <= PAID_REQUESTS, "{served} served, {PAID_REQUESTS} were paid");
-            assert_eq!(tenant.last_status, 402, "{served} served");
+            assert!(served <= PAID_REQUESTS, "{served} requests served, {PAID_REQUESTS} were paid");
+            assert_eq!(tenant.last_status, 402, "the last was not refused, {served} served");
         }
     )*};
 }
@@ -134,15 +136,19 @@
     let before = tenant.served;
     assert_eq!(tenant.last_status, 402);
     let withheld = tenant.operate(&["withheld"]);
-    assert!(withheld.contains("cafe/prepaid"), "{withheld}");
+    assert!(withheld.contains("cafe/prepaid"), "the budget is not listed: {withheld}");
     let dry_run = tenant.operate(&["release", "cafe", "prepaid", "--dry-run"]);
-    assert!(dry_run.contains("would be released"), "{dry_run}");
+    assert!(dry_run.contains("would be released"), "the dry run: {dry_run}");
     let released = tenant.operate(&["release", "cafe", "prepaid"]);
-    assert!(released.contains("released"), "{released}");
+    assert!(released.contains("released"), "not released: {released}");
     fleet::eventually("the tenant is served again", || tenant.spend_one());
     tenant.exhaust();
     // What was spent before the loss can be spent once more.
     let served_max = PAID_REQUESTS + before;
-    assert!(tenant.served > before && tenant.served <= served_max, "{} served", tenant.served);
+    assert!(
+        tenant.served > before && tenant.served <= served_max,
+        "{} requests were served",
+        tenant.served
+    );
     assert!(!tenant.operate(&["withheld"]).contains("cafe/prepaid"));
 }
--- a/tests/stops.rs
+++ b/tests/stops.rs
@@ -1,5 +1,5 @@
-//! Guards against planned stops that cut off requests or lose grants, and against leaving VMs that get new requests after a
-//! few seconds.
+//! Guards against planned stops that cut off requests or lose grants, and against leaving VMs that get new requests
+//! after a few seconds.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -46,10 +46,10 @@
         assert_eq!(answer.text(), engine::answer(PROMPT, 60));
         assert!(answer.done());
     }
-    assert!(fleet.wait_stopped(0), "{}", fleet.log_text(0));
+    assert!(fleet.wait_stopped(0), "the stop failed: {}", fleet.log_text(0));
     let ledger = fleet.ledger("kitchen");
     assert_eq!(ledger.written_off_tokens, 0);
-    assert_eq!(ledger.grants.len(), 2, "the stopped router's grant is closed");
+    assert_eq!(ledger.grants.len(), 2, "the stopped router's grant is not closed");
     assert_eq!(ledger.closed_consumed_tokens, 5 * 63);
     eventually("all requests are billed", || fleet.totals("kitchen").billed_requests == 5);
 }
@@ -73,7 +73,7 @@
     vms.iter_mut().filter(|vm| vm.vm == "engine-0").for_each(|vm| vm.state = "leaving".to_owned());
     fleet.platform.set_vms(vms);
     eventually("every router has the engine as leaving", || {
-        (0..3).all(|place| has_leaving_engine(&fleet, place))
+        (0..3).all(|router| has_leaving_engine(&fleet, router))
     });
     let before = fleet.engines[0].counts().started;
     for number in 0..12 {
@@ -95,13 +95,13 @@
     vms.iter_mut().filter(|vm| vm.vm == "engine-0").for_each(|vm| vm.state = "leaving".to_owned());
     fleet.platform.set_vms(vms);
     eventually("every router has the engine as leaving", || {
-        (0..3).all(|place| has_leaving_engine(&fleet, place))
+        (0..3).all(|router| has_leaving_engine(&fleet, router))
     });
 }
 
 /// True if the router's dump shows the first engine as leaving.
-fn has_leaving_engine(fleet: &Fleet, place: usize) -> bool {
-    fleet.dump(place)["servers"]["engine-0"]["vm"]["state"] == "leaving"
+fn has_leaving_engine(fleet: &Fleet, router: usize) -> bool {
+    fleet.dump(router)["servers"]["engine-0"]["vm"]["state"] == "leaving"
 }
 
 #[test]
@@ -122,7 +122,7 @@
     assert_eq!(answer.text(), engine::answer(PROMPT, 40));
     assert!(answer.done());
     fleet.platform.set_mode(platform::Mode::default());
-    assert!(fleet.wait_stopped(0), "{}", fleet.log_text(0));
+    assert!(fleet.wait_stopped(0), "the stop failed: {}", fleet.log_text(0));
     assert_eq!(fleet.ledger("kitchen").grants.len(), 2);
     assert_eq!(fleet.ledger("kitchen").written_off_tokens, 0);
     eventually("the request is billed", || fleet.totals("kitchen").billed_tokens == 43);
