--- a/core/src/config.rs
+++ b/core/src/config.rs
@@ -53,8 +53,10 @@
     }
 }
 
-/// The configuration document that an operator writes and publishes to all routers. It lists the workspaces with their
-/// budgets, the services, the policies, the routes and the evacuated failure domains.
+/// The configuration document that an operator writes and publishes to all routers. It lists the workspaces (customers)
+/// with their prepaid token budgets, the services (groups of backend servers), the policies, which decide who may use a
+/// service, the routes from hosts and paths to services, and the evacuated failure domains, whose servers get no new
+/// requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
@@ -78,9 +80,10 @@
     pub evacuated: Vec<String>,
 }
 
-/// How the stored data are divided: the number of values (shards) among which the budgets of the ledger are divided,
-/// the number of logs (shards) among which the request ids are divided, and the number of log segments that are deleted
-/// together. It is fixed by the first publish.
+/// How the data that routers write to the platform's store are divided, so that fewer routers compete to write the same
+/// value: the number of values (shards) for the ledger, the record of all token budgets; the number of logs (shards),
+/// divided by request id, that record who may run a request and what it cost; and the number of segments (stored
+/// batches of log entries) that are deleted together. It is fixed by the first publish of a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Layout {
@@ -119,8 +122,9 @@
     pub priority: u8,
 }
 
-/// A bearer key with which callers of a [`Workspace`] authenticate. Only its name and its digest are stored, so that
-/// the key cannot be read from the configuration.
+/// A bearer key with which callers authenticate as a [`Workspace`], a customer whose prepaid token budgets pay for
+/// their requests. The operator enters it in the configuration of the workspace. Only its name and its digest are
+/// stored, so that the key cannot be read from the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Key {
@@ -130,8 +134,9 @@
     pub sha256: String,
 }
 
-/// The operator's settings of a prepaid token budget of a [`Workspace`]: the tokens paid in, how many tokens each
-/// router takes from it in advance, and how many routers do so. The amounts spent are in [`crate::ledger::Budget`].
+/// The operator's settings of a prepaid token budget of a [`Workspace`], a customer: the tokens paid in, how many
+/// tokens each router takes from it in advance, and how many routers do so. The amounts spent are in
+/// [`crate::ledger::Budget`], the stored record of the same budget.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
@@ -168,9 +173,9 @@
     }
 }
 
-/// The settings of one budget by which a router decides how many tokens it takes from the ledger in advance, to spend
-/// them without a call to the store. More such headroom lasts through a longer outage or network partition, and loses
-/// more tokens when a router fails.
+/// The settings of one budget by which a router decides how many tokens it takes in advance from the ledger, the stored
+/// record of all token budgets, to spend them without a call to the store. More such headroom lasts through a longer
+/// outage or network partition, and loses more tokens when a router fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Cover {
     /// The headroom that a router keeps, in seconds of spending at its present rate.
--- a/core/src/grants/account.rs
+++ b/core/src/grants/account.rs
@@ -31,8 +31,9 @@
 /// rates.
 const EQUAL_SHARE_DIVISOR: u64 = 4;
 
-/// The total number of tokens paid into a budget, where the operator sets it in the configuration instead of making
-/// payments to the ledger.
+/// The total number of tokens paid into a prepaid budget, where the operator sets it in the configuration instead of
+/// making payments to the ledger, the stored record of all token budgets. A router reads it from the configuration and
+/// writes it to the ledger as the budget's paid-in total, which limits how many tokens all routers together may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Prepaid {
     /// The total number of tokens paid in.
--- a/core/src/ids.rs
+++ b/core/src/ids.rs
@@ -65,7 +65,9 @@
     pub whole: [u8; 16],
 }
 
-/// The error that parsing a [`Fingerprint`] returns if the text does not consist of 48 hexadecimal digits.
+/// The error of parsing a [`Fingerprint`], which identifies the requests of one caller with the same content, from a
+/// text that does not consist of 48 hexadecimal digits. An operator enters the text to release such requests from
+/// quarantine, in which routers refuse requests that crash backend servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, snafu::Snafu)]
 #[snafu(display("a fingerprint is 48 hexadecimal digits"))]
 pub struct FingerprintError;
--- a/core/src/ledger.rs
+++ b/core/src/ledger.rs
@@ -51,8 +51,8 @@
 }
 
 /// One part of the ledger of prepaid token budgets, stored under one key of the platform's store: the budgets whose
-/// names are assigned to this part, and the routers that have grants from them. A router that takes tokens from a
-/// budget or returns them replaces the whole value by compare-and-swap.
+/// names are assigned to this part, and the routers that have grants (tokens taken in advance) from them. A router that
+/// takes tokens from a budget or returns them replaces the whole value by compare-and-swap.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Shard {
     /// The version of this value's layout.
@@ -78,8 +78,10 @@
     pub silent_routers: Option<u64>,
 }
 
-/// The VM and address of one holder: a router process that has grants of tokens in a [`Shard`]. Other routers use them
-/// to determine whether the process has terminated, so that they can close its grants.
+/// The VM and address of one holder: a router process that has grants (tokens that it has taken in advance from a
+/// budget) in a [`Shard`], one part of the stored record of all token budgets. The process writes this entry together
+/// with its grants. Other routers use it to determine whether the process has terminated, so that they can close its
+/// grants: remove them and count their tokens as spent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holder {
     /// The VM on which it runs.
@@ -101,9 +103,9 @@
     }
 }
 
-/// One prepaid token budget of a workspace, as stored in the ledger: the tokens paid in, the part of them that is
-/// granted to each router, and the totals of the routers whose grants are closed. Routers derive from it how many
-/// tokens can still be drawn, that is, moved into a router's grant.
+/// One prepaid token budget of a workspace (a customer), as stored in the ledger, the record of all budgets: the tokens
+/// paid in, the part of them that is granted to each router, and the totals of the routers whose grants are closed,
+/// that is, removed. Routers derive from it how many tokens can still be drawn, that is, moved into a router's grant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Budget {
     /// The total number of tokens paid in.
@@ -134,9 +136,9 @@
     pub withheld: Withheld,
 }
 
-/// The token totals of all routers whose grants from one [`Budget`] are closed. Those at the start of an era of the
-/// store (the time since it was last restored from a backup) are kept, so that totals that the restore lost are added
-/// only once when routers write them back.
+/// The token totals of all routers whose grants (tokens taken in advance) from one [`Budget`] are closed. Those at the
+/// start of an era of the store (the time since it was last restored from a backup) are kept, so that totals that the
+/// restore lost are added only once when routers write them back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClosedTotals {
     /// Tokens that they consumed, sent to others or lost.
@@ -179,8 +181,9 @@
     pub idle: bool,
 }
 
-/// A grant that another router closes because the router process that held it has terminated. The tokens that the
-/// process had not reported as consumed are written off: they count as spent, because they may have been. It is logged.
+/// A [`Grant`] (tokens that a router process has taken in advance from a budget) that another router closes, that is,
+/// removes from the stored budget, because the process has terminated. The tokens that the process had not reported as
+/// consumed are written off: they count as spent, because they may have been. The router that closes the grant logs it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WrittenOffGrant {
     /// The name of the budget.
@@ -196,8 +199,9 @@
     }
 }
 
-/// The tokens that a router consumed, sent to other routers and received from them under its [`Grant`] from a budget.
-/// The router adds them to the budget's totals when it closes the grant.
+/// The tokens that a router consumed, sent to other routers and received from them under its [`Grant`], the tokens that
+/// it took in advance from a budget. The router adds them to the budget's totals when it closes the grant, which lets
+/// others take the unspent tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FinalTotals {
     /// Tokens that it consumed, including the full bound of requests of which it is not known whether they ran.
--- a/core/src/ledger/reserve.rs
+++ b/core/src/ledger/reserve.rs
@@ -29,8 +29,10 @@
     pub next: Option<NextReserve>,
 }
 
-/// A lower value that will replace the present [`Reserve`] of a budget, with the write that stored it. It takes effect
-/// once it has been in the store for longer than the greatest age of a backup.
+/// A lower value that will replace the present [`Reserve`] of a budget (the tokens that routers may not take yet, so
+/// that a restore of a backup loses the record of fewer taken tokens), with the write that stored it. A router that
+/// takes tokens from the budget sets it when they are spent faster. It takes effect once it has been in the store for
+/// longer than the greatest age of a backup.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NextReserve {
     /// The number of tokens in reserve once it is in effect.
--- a/core/src/ledger_writer.rs
+++ b/core/src/ledger_writer.rs
@@ -49,8 +49,9 @@
     }
 }
 
-/// A value of a [`ledger::Shard`] that is to be stored if the stored one still has the expected index
-/// (compare-and-swap). It contains this router's changes to the budgets of the shard.
+/// A value of a [`ledger::Shard`], one part of the stored record of all token budgets, that is to be stored if the
+/// stored one still has the expected index (compare-and-swap). It contains this router's changes to the budgets of the
+/// shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Write {
     /// The index of the value to replace.
@@ -61,8 +62,9 @@
     pub sets_era_marker: bool,
 }
 
-/// What a sync (a read-modify-write of one [`ledger::Shard`]) showed or changed, reported by a [`Writer`] to its
-/// router. The router logs it, admits requests that wait for tokens, or sends copies of the shard to other routers.
+/// What a sync (a read-modify-write of one [`ledger::Shard`], a part of the stored record of all token budgets) showed
+/// or changed, reported by a [`Writer`] to its router. The router logs it, admits requests that wait for tokens, or
+/// sends copies of the shard to other routers.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Event {
     /// The accounts were updated from a newer state of the ledger.
@@ -86,9 +88,10 @@
     Unusable(String),
 }
 
-/// One router's decision, after the store was restored from a backup, on how many tokens of a [`ledger::Shard`] stay
-/// withheld because routers may have taken them and the restore lost the record. The router makes it from the replies
-/// of all routers on whether they have recorded what they took again, and applies it with its next write of the shard.
+/// One router's decision, after the store was restored from a backup, on how many tokens stay withheld in a
+/// [`ledger::Shard`], one part of the stored record of all token budgets, because routers may have taken them and the
+/// restore lost the record. The router makes it from the replies of all routers on whether they have written their
+/// records of taken tokens back to the store, and applies it with its next write of the shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecoveryDecision {
     /// The number of silent routers: those that have not confirmed that all their draws are recorded again. Each of
@@ -129,8 +132,9 @@
     Writing { call: ids::CallId, base_index: store::Position, draft: Box<ledger::Shard> },
 }
 
-/// Syncs one router's token accounts ([`grants::Account`]) with one [`ledger::Shard`] in the store: it reads the shard,
-/// computes the tokens to take or return, and writes the changed value by compare-and-swap.
+/// Syncs one router's token accounts ([`grants::Account`], its state of each budget) with one [`ledger::Shard`], a part
+/// of the stored record of all token budgets: it reads the shard, computes the tokens to take or return, and writes the
+/// changed value by compare-and-swap.
 #[derive(Debug)]
 pub struct Writer {
     shard: u32,
--- a/core/src/log_writer.rs
+++ b/core/src/log_writer.rs
@@ -22,9 +22,10 @@
 /// How long an entry that no caller waits for may be delayed, so that more entries are written together.
 const BATCH_DELAY_MS: u64 = 1_000;
 
-/// The recipient of the [`Completed`] report on an entry of the log, once the entry is durable, that is, stored in the
-/// platform's store: the request that needs the entry, the router that sent it, or this router itself, which hands over
-/// its settlements until they are durable.
+/// The recipient of the [`Completed`] report on an entry of the log, once it is durable, that is, in the platform's
+/// store. An entry is a claim (of the sole right to run a request), the release of one, or a settlement (what a request
+/// cost). The recipient is the request that needs the entry, the router that sent it, or this router itself, which
+/// hands over the settlements of the requests that it served until they are durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Waiter {
     /// A request that this router serves, and that waits for the decision on its claim.
@@ -36,8 +37,9 @@
     Outbox,
 }
 
-/// Whether an entry of the log of claims and settlements is written to the store at once, because a caller waits for
-/// it, or may be delayed and written together with others. The router sets it for each entry that it appends.
+/// Whether an entry of the log of claims (of the sole right to run a request) and settlements (what a request cost) is
+/// written to the store at once, because a caller waits for it, or may be delayed and written together with others. The
+/// router sets it for each entry that it appends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Urgency {
     /// A caller waits for it.
@@ -46,8 +48,9 @@
     Batched,
 }
 
-/// The report of a [`Writer`] that an entry is durable in the log, or that the log already decides the claim in it. For
-/// a claim it contains whether the request may run.
+/// The report of a [`Writer`] that an entry is durable in the log, where routers record who may run a request (a claim)
+/// and what it cost, or that the log already decides the claim in it. For a claim it contains whether the request may
+/// run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Completed {
     /// The entry that was to be appended.
@@ -89,8 +92,8 @@
     Verified,
 }
 
-/// One router's writer of one shard of the log of claims and settlements: it appends entries to the shard in the store
-/// and reports when they are durable.
+/// One router's writer of one shard (part) of the log of claims (of the sole right to run a request) and settlements
+/// (what a request cost): it appends entries to the shard in the store and reports when they are durable.
 ///
 /// Old segments are deleted once a checkpoint contains their entries. A writer that was suspended could create a
 /// deleted segment number again. Segments that were read or created are therefore not relied on until a later read of
--- a/core/src/message.rs
+++ b/core/src/message.rs
@@ -22,10 +22,10 @@
     pub message: Message,
 }
 
-/// What one router sends to another apart from [`Gossip`]: for example a [`log_index::Claim`] or
-/// [`log_index::Settlement`] of a request, a transfer of budget tokens, a copy of the configuration, or permits to send
-/// requests to a backend server that limits its request rate. A message may be lost, duplicated or delayed; the core
-/// handles all three.
+/// What one router sends to another apart from [`Gossip`]: for example a [`log_index::Claim`] (of the sole right to run
+/// a request), a [`log_index::Settlement`] (what a request cost), a transfer of budget tokens, a copy of the
+/// configuration, or permits to send requests to a backend server that limits its request rate. A message may be lost,
+/// duplicated or delayed; the core handles all three.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// Requests a claim through the receiver, the router responsible for the claim's shard of the log.
@@ -205,9 +205,10 @@
     }
 }
 
-/// A router's reply, after the store was restored from a backup, on what it has recovered of the ledger data that
-/// existed at its address before: nothing, the data of its present process, or also those of earlier processes at the
-/// address. Another router uses it to decide whether tokens withheld because of the restore can be released.
+/// A router's reply, after the store was restored from a backup, on what it has recovered of the ledger (the stored
+/// record of token budgets) that was known at its address before: nothing, the data of its present process, or also
+/// those of earlier processes at the address. Another router uses it to decide whether tokens withheld because of the
+/// restore can be released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Recovered {
     /// Its own part is not recovered yet.
@@ -262,9 +263,10 @@
     pub age_ms: Option<u64>,
 }
 
-/// A summary of what one router has read from the store: the versions, positions and ages of its copies, and the latest
-/// changes of server records. Each [`Gossip`] datagram contains the sender's summary, so that the receiver applies the
-/// changes or requests what it lacks.
+/// A summary of what one router has read from the store: the versions, positions and ages of its copies of the
+/// configuration and of the list of VMs, and the latest changes of the records that list backend servers. Each
+/// [`Gossip`] datagram contains the sender's summary, so that the receiver applies the changes or requests what it
+/// lacks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
     /// The store's era as known to the sender.
--- a/core/src/quarantine/record_sync.rs
+++ b/core/src/quarantine/record_sync.rs
@@ -14,8 +14,9 @@
 /// Minimum interval between reads, so that simultaneous crashes cause a single read.
 const READ_INTERVAL_MIN_MS: u64 = 500;
 
-/// What the platform's store returned to a call for the [`Record`](super::Record) of quarantined requests: a value to
-/// merge, a value that cannot be decoded, or nothing to merge.
+/// What the platform's store returned to a call for the [`Record`](super::Record) of quarantined requests (refused for
+/// a while, because backend servers crashed during them): a value to merge into the router's own table of them, a value
+/// that cannot be decoded, or nothing to merge.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// The value that the store returned for the record.
@@ -26,8 +27,10 @@
     Nothing,
 }
 
-/// Schedules one router's reads and writes of the [`Record`](super::Record) of quarantined requests in the platform's
-/// store: which call is needed, whether one is in flight, and when the next may be made.
+/// Schedules one router's reads and writes of the stored [`Record`](super::Record) of quarantined requests: those
+/// during which backend servers crashed repeatedly, so that routers refuse them for a while instead of sending them to
+/// more servers. It determines which call of the platform's store is needed, whether one is in flight, and when the
+/// next may be made.
 #[derive(Debug)]
 pub struct RecordSync {
     /// Modification index of the stored record; `None` if it is not known.
--- a/core/src/servers/by_prompt.rs
+++ b/core/src/servers/by_prompt.rs
@@ -66,8 +66,10 @@
     }
 }
 
-/// The backend server that was chosen for a request, and the number of the prompt's tokens that it is not expected to
-/// have cached.
+/// The backend server that a router's [`Table`] of servers chose for a request, and the number of the prompt's tokens
+/// that the server is not expected to have cached. The router counts them as work of the server until they are
+/// processed or the request has left it, and compares that work when it chooses servers for later prompts. The number
+/// is 0 for requests without prompt parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Choice {
     /// Slot of the server.
--- a/core/src/servers/limits.rs
+++ b/core/src/servers/limits.rs
@@ -57,8 +57,10 @@
     }
 }
 
-/// A [`LimitReport`] in the form in which a router sends it to other routers, by gossip or with a request for permits,
-/// with the server that it applies to. Routers share no clock, so times are sent as ages.
+/// The rate of requests that a backend server accepts from all routers together, or that there is no such limit, as the
+/// server reported it in an answer to a router ([`LimitReport`]). Routers send it to each other with the name of the
+/// server's VM, by gossip or in a request for permits, each of which allows one request to that server. Routers share
+/// no clock, so times are sent as ages.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitUpdate {
     /// VM of the server.
--- a/core/src/watch.rs
+++ b/core/src/watch.rs
@@ -76,8 +76,10 @@
     pub const ALL: [Self; 2] = [Self::Configuration, Self::Servers];
 }
 
-/// For each [`Topic`], the longest time from a change in the store until it is in force at every router that reaches
-/// the store or another router, in milliseconds. It decides how often routers poll.
+/// For each [`Topic`] (what operators publish, or the list of backend servers: the two parts of the platform's store
+/// that routers keep copies of), the longest time from a change in the store until it is in force at every router that
+/// reaches the store or another router, in milliseconds. It comes from the settings of the router's process and decides
+/// how often routers poll the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// The bound for the configuration.
@@ -113,9 +115,9 @@
     }
 }
 
-/// One request to the platform's store for the changes or the full state of a [`Topic`], which the store answers when
-/// there is a change or after a maximum wait. The process around [`crate::node::Node`], which does its input and
-/// output, sends the poll and reports its [`Outcome`].
+/// One request to the platform's store for the changes or the full state of a [`Topic`] (what operators publish, or the
+/// list of backend servers), which the store answers when there is a change or after a maximum wait. The process around
+/// [`crate::node::Node`], which does its input and output, sends the poll and reports its [`Outcome`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Poll {
     /// Distinguishes the poll from the other polls of this topic.
@@ -128,8 +130,9 @@
     pub wait_ms: u64,
 }
 
-/// One [`Topic`] of the platform's store as one router follows it: the position and age of the router's copy, and the
-/// polls in flight. It decides when the next poll is sent.
+/// One [`Topic`] (what operators publish, or the list of backend servers: the two parts of the platform's store that
+/// routers keep copies of) as one router follows it: the position of its copy in the store's history, the copy's age,
+/// and the polls in flight. A router has one for each topic; it decides when the next poll is sent.
 #[derive(Debug)]
 pub struct Subscription {
     topic: Topic,
--- a/core/src/watch/polls.rs
+++ b/core/src/watch/polls.rs
@@ -2,8 +2,10 @@
 
 use crate::store;
 
-/// How a router found out that the store will probably not answer one of its polls: a later poll of this router
-/// returned an update that this poll should have returned, or another router reported such an update.
+/// How a router found out that the store will probably not answer one of its polls (requests for changes): a later poll
+/// of this router returned an update that this poll should have returned, or another router reported such an update.
+/// The router then waits only shortly for the answer, abandons the poll, and reports this reason in the
+/// [`AbandonedPoll`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Evidence {
     /// The answer to a later poll of this router contained an update that this poll should have returned.
--- a/core/src/watch/updates.rs
+++ b/core/src/watch/updates.rs
@@ -28,7 +28,9 @@
 }
 
 /// What the platform's list of backend servers contains about a server after a change: that it is listed, was removed,
-/// has a record that cannot be decoded, or disappeared while the store was unavailable.
+/// has a record that cannot be decoded, or disappeared while the store was unavailable. The router makes it from the
+/// store's answer to a poll, updates its copy of the list with it, and passes it on to other routers in a
+/// [`ServerChange`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerRecord {
     /// The server is listed.
@@ -54,7 +56,8 @@
 }
 
 /// What a poll of the platform's store returned of the operators' publications: a new version of the configuration, if
-/// there is one, and the changed evacuations of failure domains.
+/// there is one, and the changed evacuations of failure domains (the backend servers in an evacuated one get no new
+/// requests). The router applies both to its copies.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConfigurationUpdate {
     /// The configuration, if it can be decoded and has changed or the full state was requested.
@@ -64,8 +67,9 @@
     pub evacuations: evacuation::Update,
 }
 
-/// The content of the platform's store that one poll returned: changes of the configuration and the evacuations,
-/// changes of server records, or the full list of server records. It may contain no change.
+/// The content of the platform's store that one poll returned: changes of the configuration and of the evacuations of
+/// failure domains (the backend servers in an evacuated one get no new requests), changes of the records that list
+/// single backend servers, or the full list of these. It may contain no change. The router applies it to its copies.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
     /// Changes of the configuration and the evacuations.
