--- a/core/src/ids.rs
+++ b/core/src/ids.rs
@@ -17,7 +17,7 @@
 }
 
 /// A server incarnation, one run of a backend server from start to end: the Unix time of its start in milliseconds, so
-/// that a later incarnation is greater. What routers measured of one incarnation, such as its load, does not apply to
+/// that a later incarnation is greater. What routers recorded of one incarnation, such as its load, does not apply to
 /// another.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
--- a/core/src/node/queue.rs
+++ b/core/src/node/queue.rs
@@ -174,7 +174,7 @@
         self.queue(service).next().cloned()
     }
 
-    /// Estimate, in milliseconds, of the time in which the queue of a service drains, from its measured rate.
+    /// Estimate, in milliseconds, of the time in which the queue of a service drains, at its recent rate.
     pub(super) fn drain_time_ms(&self, service: &str) -> u64 {
         let waiting = self.queue(service).count();
         let per_s = self.queue_drains.get(service).map_or(0, |drain| drain.per_s).max(1);
--- a/core/src/servers/answer_time.rs
+++ b/core/src/servers/answer_time.rs
@@ -14,7 +14,7 @@
 const DEFAULT_ANSWER_US: u64 = 500_000;
 const US_PER_MS: u64 = 1_000;
 
-/// The moving average of the answer times of all backend servers of a service, as measured by this router. It is the
+/// The moving average of the answer times of all backend servers of a service at this router. It is the
 /// estimate for a server that has not answered yet.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceAnswerTime {
@@ -32,7 +32,7 @@
     }
 }
 
-/// The estimated time that one backend server takes to answer a request, as measured by this router. It is part of the
+/// The estimated time that one backend server takes to answer a request of this router. It is part of the
 /// cost by which servers are compared when one is chosen for a request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AnswerTime {
--- a/core/src/servers/restarts.rs
+++ b/core/src/servers/restarts.rs
@@ -30,6 +30,8 @@
         std::mem::take(&mut self.restarted)
     }
 
+    /// Applies a listed record of a server: updates the slot of its incarnation, or creates one for a new server or a
+    /// later incarnation. A record of an earlier incarnation is ignored.
     pub(super) fn apply_vm(&mut self, vm: &Vm, now_ms: u64) {
         if let Some(slot) = self.find(&vm.vm) {
             match vm.incarnation.cmp(&self.servers[slot].vm.incarnation) {
@@ -64,6 +66,7 @@
         let server = &mut self.servers[slot];
         // The list is delayed: a VM that was reported as leaving stays so.
         let leaving = server.vm.state == VmState::Leaving;
+        // A record that is listed again has the same time, and must not start the warm-up again.
         let cold_again = vm.cold_ms > 0 && vm.cold_ms != server.vm.cold_ms;
         server.vm = vm.clone();
         if leaving {
--- a/core/tests/withheld.rs
+++ b/core/tests/withheld.rs
@@ -1,5 +1,6 @@
-//! Guards against tokens that are spent twice after a restore of the store, and against withheld tokens that stay
-//! unusable.
+//! After a restore of the store from a backup, routers withhold tokens that may have been spent without a remaining
+//! record: no router may take them until all routers have written their records back, or an operator releases them.
+//! Guards against tokens that are spent twice after a restore, and against withheld tokens that stay unusable.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -205,6 +206,7 @@
         spend(&mut world, 1);
         world.run_ms(500);
     }
+    // Faster spending lowers the reserve: the lower one is in the store, but not in effect yet.
     let reserve = world.ledger(0).reserve;
     assert!(
         reserve.tokens > 0 && reserve.next.is_some(),
@@ -218,5 +220,6 @@
     assert!(world.ledger(0).reserve.is_none(), "a reserve is left: {:?}", world.ledger(0).reserve);
     spend(&mut world, 60);
     restore(&mut world, &backup, 0..ROUTERS);
+    // The simulation asserts in every step that no more tokens are served than were paid.
     spend(&mut world, 100);
 }
--- a/src/gateway/backends.rs
+++ b/src/gateway/backends.rs
@@ -64,6 +64,7 @@
 pub struct Connection {
     /// The sending side of the HTTP/1 connection.
     pub sender: http1::SendRequest<RequestBody>,
+    /// The task that reads from and writes to the socket; aborted when the connection is dropped.
     driver: task::JoinHandle<()>,
     upstream: Upstream,
     /// Whether an earlier exchange used this connection.
@@ -131,7 +132,9 @@
 pub struct Backends {
     local: net::IpAddr,
     idle: RefCell<HashMap<Upstream, Vec<Idle>>>,
+    /// All connections, idle ones included, so that those to earlier server incarnations can be aborted.
     open: RefCell<Vec<Open>>,
+    /// Running probes, whose result concurrent callers share.
     probes: RefCell<HashMap<Upstream, Rc<OnceCell<probe::ProbeResult>>>>,
     /// Tasks that check for a while whether connections that probes established stay open.
     probe_watches: RefCell<task::JoinSet<()>>,
